--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -10,8 +10,8 @@
 from collections import Counter
 from itertools import count
 
-from sprucegate.interface import Asked, Forward, Found, Listed, Outcome, State
-from sprucegate.rules import MS, Router, S
+from sprucegate.routing.interface import Asked, Forward, Found, Listed, Outcome, State
+from sprucegate.routing.router import MS, Router, S
 
 CACHES, PARENTS, ORIGIN = tuple(range(11, 19)), (21, 22), 31
 SETTINGS = {
--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -13,11 +13,11 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.http2_closes import soak
-from sprucegate.interface import Outcome
-from sprucegate.servers.http2.limits import Limits, S
-from sprucegate.servers.http2.session import Session
-from sprucegate.servers.lines import transport as lines_transport
-from sprucegate.servers.lines.connection import LineConnection
+from sprucegate.routing.interface import Outcome
+from sprucegate.upstream.http2.limits import Limits, S
+from sprucegate.upstream.http2.session import Session
+from sprucegate.upstream.lines import transport as lines_transport
+from sprucegate.upstream.lines.connection import LineConnection
 from standins.driver import Recorder
 from standins.processes import Process
 
--- a/benchmarks/http2_closes.py
+++ b/benchmarks/http2_closes.py
@@ -18,9 +18,9 @@
 import uvloop
 
 from sprucegate.assembly import run
-from sprucegate.front.lifecycle import configuration
-from sprucegate.interface import Outcome
-from sprucegate.operator.file import parse
+from sprucegate.cli.operator_file import parse
+from sprucegate.front import configuration
+from sprucegate.routing.interface import Outcome
 from standins.processes import Process
 
 KDL = """servers {
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -20,11 +20,11 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import exchange
-from sprucegate.fleet.chance import Chance
-from sprucegate.fleet.keeping import PIECE, Keeping, packed
+from sprucegate.fleet.random_source import Chance
 from sprucegate.fleet.replica.facts import Fact
 from sprucegate.fleet.replica.replica import Replica
-from sprucegate.state.disk import Disk
+from sprucegate.fleet.replica_storage import PIECE, Keeping, packed
+from sprucegate.storage.disk import Disk
 from standins.fleet import checkers
 from standins.fleet.rig import Rig
 from standins.fleet.schedules import played
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -51,8 +51,8 @@
     """One Router, fed by a seed; every action that it asks for goes into the digest."""
 
     def __init__(self, seed):
-        from sprucegate.interface import Asked, Found, Listed, Outcome, State
-        from sprucegate.rules import Router
+        from sprucegate.routing.interface import Asked, Found, Listed, Outcome, State
+        from sprucegate.routing.router import Router
 
         self.asked, self.listed_as, self.outcomes, self.found, self.state = (
             Asked,
--- a/benchmarks/serverfiles.py
+++ b/benchmarks/serverfiles.py
@@ -23,14 +23,14 @@
 
 from benchmarks.http2_closes import SETTINGS, _bus, _client
 from sprucegate.assembly import run
-from sprucegate.front.lifecycle import configuration
-from sprucegate.interface import Listed, State
-from sprucegate.membership import moves
-from sprucegate.membership.listfile import render
-from sprucegate.membership.view import Server
-from sprucegate.operator.file import parse
-from sprucegate.servers.hosts import number_of
-from sprucegate.state.snapshots import Snapshots
+from sprucegate.cli.operator_file import parse
+from sprucegate.discovery import moves
+from sprucegate.discovery.listfile import render
+from sprucegate.discovery.view import Server
+from sprucegate.front import configuration
+from sprucegate.routing.interface import Listed, State
+from sprucegate.storage.snapshots import Snapshots
+from sprucegate.upstream.hosts import number_of
 from standins import lines
 from standins.disk import Crashed, FaultyDisk
 
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -8,8 +8,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from sprucegate.fleet.members.swim import Member, Standing
-from sprucegate.fleet.views.views import Views
+from sprucegate.fleet.failure_detector.swim import Member, Standing
+from sprucegate.fleet.membership_view.views import Views
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
 from standins.fleet.schedules import played
--- a/sprucegate/__main__.py
+++ b/sprucegate/__main__.py
@@ -14,13 +14,13 @@
 import uvloop  # noqa: E402
 
 from sprucegate.assembly.run import serve  # noqa: E402
-from sprucegate.front.lifecycle import configuration  # noqa: E402
+from sprucegate.front import configuration  # noqa: E402
 
 
 def main():
     if len(sys.argv) > 1:
         # Here and not above: the platform's front loads none of its libraries.
-        from sprucegate.operator.commands import main as command
+        from sprucegate.cli.commands import main as command
 
         return command(prog_name="sprucegate")
     try:
--- a/sprucegate/assembly/keep.py
+++ b/sprucegate/assembly/keep.py
@@ -6,10 +6,10 @@
 
 import orjson
 
-from sprucegate.fleet.agreed import Agreed
-from sprucegate.fleet.face import Node
+from sprucegate.fleet.consensus.driver import Agreed
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.links import KEEPER_MOST, Links
+from sprucegate.fleet.maintenance_agent import Node
 
 
 async def keep(name, fleet, agreement, rollout, log, **trusted):
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -7,12 +7,12 @@
 import socket
 import time
 
+from sprucegate.front import configuration
+from sprucegate.front.buffer_pool import Pool
+from sprucegate.front.connection_reader import TakeIn
 from sprucegate.front.driver import Driver
-from sprucegate.front.lifecycle import configuration
-from sprucegate.front.lifecycle.log import Log
-from sprucegate.front.lifecycle.subscribe import Subscription
-from sprucegate.front.memory.pool import Pool
-from sprucegate.front.stages.take_in import TakeIn
+from sprucegate.front.log import Log
+from sprucegate.front.subscription import Subscription
 
 # Errors of bind, listen and socket that may pass: the address is held by another, or descriptors or memory are out.
 PASSING = (
@@ -41,15 +41,15 @@
     loop.set_exception_handler(driver.loop_fault)
     if wanted.membership is not None:
         # Here and not above: a front without it loads none of its libraries.
-        from sprucegate.membership.service import Membership
+        from sprucegate.discovery.service import Membership
 
         driver.membership = Membership(driver, wanted, wanted.membership)
     if wanted.fleet is not None:
         from sprucegate.fleet.service import Fleet
 
         if driver.membership is None:
-            from sprucegate.membership.merged import Merged
-            from sprucegate.membership.view import View
+            from sprucegate.discovery.merged import Merged
+            from sprucegate.discovery.view import View
 
             driver.membership = Merged(driver, View(("bus",), 0, driver.clock()))
         driver.fleet = Fleet(
--- a/sprucegate/operator/commands.py
+++ b/sprucegate/cli/commands.py
@@ -8,11 +8,11 @@
 import click
 import orjson
 
-from sprucegate.operator import file
-from sprucegate.operator.fleet import fleet
-from sprucegate.operator.rollout import COMMANDS
-from sprucegate.operator.servers import servers
-from sprucegate.operator.story import story
+from sprucegate.cli import operator_file
+from sprucegate.cli.fleet import fleet
+from sprucegate.cli.rollout import COMMANDS
+from sprucegate.cli.servers import servers
+from sprucegate.cli.story import story
 
 
 def _fault(fault, as_json):
@@ -44,14 +44,14 @@
     import uvloop
 
     from sprucegate.assembly.run import serve
-    from sprucegate.front.lifecycle import configuration
-    from sprucegate.operator.logs import structured
+    from sprucegate.cli.structured_logging import structured
+    from sprucegate.front import configuration
 
     try:
-        said = file.read(path)
+        said = operator_file.read(path)
         wanted = configuration.read(os.environ)
         servers = said.servers.resolved(wanted.kinds)
-    except file.Faulty as fault:
+    except operator_file.Faulty as fault:
         _fault(fault, False)
     except configuration.Faulty as fault:
         click.echo(f"sprucegate: {fault}", err=True)
@@ -79,8 +79,8 @@
 def check(path, as_json):
     """Say whether the operator's file FILE can be taken, without starting anything."""
     try:
-        said = file.read(path)
-    except file.Faulty as fault:
+        said = operator_file.read(path)
+    except operator_file.Faulty as fault:
         _fault(fault, as_json)
     rules = said.servers.speak
     if as_json:
--- a/sprucegate/operator/fleet.py
+++ b/sprucegate/cli/fleet.py
@@ -8,8 +8,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from sprucegate.operator import file
-from sprucegate.state import records
+from sprucegate.cli import operator_file
+from sprucegate.storage import records
 
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 OPERATOR = click.option(
@@ -34,8 +34,8 @@
 
 def _node(path, as_json):
     try:
-        node = file.read(path).fleet
-    except file.Faulty as fault:
+        node = operator_file.read(path).fleet
+    except operator_file.Faulty as fault:
         _fail(str(fault), as_json, 2)
     if node is None:
         _fail(f"{path}: fleet: is not there, so this front is alone", as_json, 2)
--- a/sprucegate/operator/file.py
+++ b/sprucegate/cli/operator_file.py
@@ -18,9 +18,9 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from sprucegate.documents import places
-from sprucegate.documents.places import Faulty
-from sprucegate.servers.http2.limits import MS, Limits, S, Share, number, size, time
+from sprucegate.config import source_locations
+from sprucegate.config.source_locations import Faulty
+from sprucegate.upstream.http2.limits import MS, Limits, S, Share, number, size, time
 
 SIZE_MOST = 1 << 20  # bytes of the file
 TIMES = {"us": 1000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000, "h": 3_600_000_000_000}
@@ -392,9 +392,9 @@
     try:
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several kinds
-        raise Faulty(path, places.fault_line(text), "", "is not KDL from here on") from None
+        raise Faulty(path, source_locations.fault_line(text), "", "is not KDL from here on") from None
     builder = _Builder(path)
-    data = builder.children(nodes, places.starts(text), "", False)
+    data = builder.children(nodes, source_locations.starts(text), "", False)
     try:
         made = msgspec.convert(data, OperatorFile)
     except msgspec.ValidationError as fault:
--- a/sprucegate/operator/rollout.py
+++ b/sprucegate/cli/rollout.py
@@ -13,8 +13,8 @@
 from rich.table import Table
 
 from sprucegate import clock
-from sprucegate.operator import file
-from sprucegate.operator.fleet import AT, JSON, OPERATOR, _ask, _fail, _node, _shown
+from sprucegate.cli import operator_file
+from sprucegate.cli.fleet import AT, JSON, OPERATOR, _ask, _fail, _node, _shown
 
 REFUSALS = (
     "no such",
@@ -118,11 +118,11 @@
     import uvloop
 
     from sprucegate.assembly.keep import keep
-    from sprucegate.operator.logs import structured
+    from sprucegate.cli.structured_logging import structured
 
     try:
-        said = file.read(path)
-    except file.Faulty as fault:
+        said = operator_file.read(path)
+    except operator_file.Faulty as fault:
         _fail(str(fault), False, 2)
     if said.fleet is None or said.agreement is None:
         _fail(f"{path}: agreement: is not there, so there is nothing to keep", False, 2)
@@ -149,7 +149,7 @@
 def keepers(path, as_json):
     """How each keeper that answers stands: its role, its term, who votes."""
     node = _node(path, as_json)
-    if (agreement := file.read(path).agreement) is None:
+    if (agreement := operator_file.read(path).agreement) is None:
         _fail(f"{path}: agreement: is not there", as_json, 2)
     rows = []
     for name, at in agreement.addresses.items():
@@ -273,7 +273,7 @@
     """Begin the release that the file PLAN describes."""
     try:
         made = read_plan(plan)
-    except file.Faulty as fault:
+    except operator_file.Faulty as fault:
         _fail(str(fault), as_json, 2)
     _say(path, address, as_json, _given(request, "start", made[0]), ["release", made, _user()])
 
@@ -338,45 +338,45 @@
 
 def read_plan(path):
     """[name, kind, version, former, waves, bake ns] of a file with one `release` node; raises Faulty."""
-    from sprucegate.documents import places
+    from sprucegate.config import source_locations
 
     try:
         with open(path, "rb") as opened:
             text = opened.read(1 << 20).decode()
-        nodes, begun = ckdl.parse(text).nodes, places.starts(text)
+        nodes, begun = ckdl.parse(text).nodes, source_locations.starts(text)
     except OSError as fault:
-        raise file.Faulty(path, 1, "", f"can't be read: {os.strerror(fault.errno or 0)}") from None
+        raise operator_file.Faulty(path, 1, "", f"can't be read: {os.strerror(fault.errno or 0)}") from None
     except Exception:  # ckdl raises several kinds
-        raise file.Faulty(path, 1, "", "is not KDL") from None
+        raise operator_file.Faulty(path, 1, "", "is not KDL") from None
     if len(nodes) != 1 or nodes[0].name != "release" or len(nodes[0].args) != 1:
-        raise file.Faulty(path, 1, "release", f"wants one node as {PLAN}")
+        raise operator_file.Faulty(path, 1, "release", f"wants one node as {PLAN}")
     found, waves = {}, []
     for node, at in zip(nodes[0].children, begun[0].children, strict=True):
         key = f"release.{node.name}"
         values = [value.value if isinstance(value, ckdl.Value) else value for value in node.args]
         if node.name == "wave":
             if not values or not all(isinstance(value, str) for value in values):
-                raise file.Faulty(path, at.line, key, "wants names of boxes")
+                raise operator_file.Faulty(path, at.line, key, "wants names of boxes")
             waves.append(values)
         elif node.name in found or node.name not in ("kind", "version", "former", "bake") or len(values) != 1:
-            raise file.Faulty(path, at.line, key, "is not known, stands twice or wants one value")
+            raise operator_file.Faulty(path, at.line, key, "is not known, stands twice or wants one value")
         elif node.name == "bake":
             unit = node.args[0].type_annotation if isinstance(node.args[0], ckdl.Value) else None
             if (
-                unit not in file.TIMES
+                unit not in operator_file.TIMES
                 or isinstance(values[0], bool)
                 or not isinstance(values[0], int | float)
             ):
-                raise file.Faulty(path, at.line, key, "wants a time with its unit, as (min)10")
-            found["bake"] = int(values[0] * file.TIMES[unit])
+                raise operator_file.Faulty(path, at.line, key, "wants a time with its unit, as (min)10")
+            found["bake"] = int(values[0] * operator_file.TIMES[unit])
         elif not isinstance(values[0], str):
-            raise file.Faulty(path, at.line, key, "wants a text")
+            raise operator_file.Faulty(path, at.line, key, "wants a text")
         else:
             found[node.name] = values[0]
     if missing := [key for key in ("kind", "version", "former", "bake") if key not in found]:
-        raise file.Faulty(path, begun[0].line, f"release.{missing[0]}", "is missing")
+        raise operator_file.Faulty(path, begun[0].line, f"release.{missing[0]}", "is missing")
     if not waves:
-        raise file.Faulty(path, begun[0].line, "release.wave", "is missing")
+        raise operator_file.Faulty(path, begun[0].line, "release.wave", "is missing")
     return [str(nodes[0].args[0]), found["kind"], found["version"], found["former"], waves, found["bake"]]
 
 
--- a/sprucegate/operator/servers.py
+++ b/sprucegate/cli/servers.py
@@ -9,11 +9,11 @@
 from rich.table import Table
 
 from sprucegate import clock
-from sprucegate.interface import State
-from sprucegate.membership import listfile, moves, reading
-from sprucegate.operator import file
-from sprucegate.state.disk import Disk, replace
-from sprucegate.state.snapshots import Snapshots
+from sprucegate.cli import operator_file
+from sprucegate.discovery import listfile, moves, reading
+from sprucegate.routing.interface import State
+from sprucegate.storage.disk import Disk, replace
+from sprucegate.storage.snapshots import Snapshots
 
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 CONFIG = click.option(
@@ -54,7 +54,7 @@
 def _names(config):
     if not config:
         return _AnyName(), _AnyName()
-    from sprucegate.front.lifecycle import configuration
+    from sprucegate.front import configuration
 
     try:
         wanted = configuration.read({"BALANCER_CONFIG": config})
@@ -152,8 +152,8 @@
 
 def _membership(path, as_json):
     try:
-        node = file.read(path).membership
-    except file.Faulty as fault:
+        node = operator_file.read(path).membership
+    except operator_file.Faulty as fault:
         _fail(str(fault), as_json, file=fault.file, line=fault.line, key=fault.key)
     if node is None or not node.state:
         _fail(f"{path}: membership.state: is not set, so nothing is kept of the running front", as_json)
--- a/sprucegate/operator/logs.py
+++ b/sprucegate/cli/structured_logging.py
@@ -7,7 +7,7 @@
 import structlog
 
 from sprucegate import clock
-from sprucegate.front.lifecycle.log import Writer
+from sprucegate.front.log import Writer
 
 
 class _Lines:
--- a/sprucegate/membership/gate.py
+++ b/sprucegate/discovery/gate.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sprucegate.interface import State
+from sprucegate.routing.interface import State
 
 
 class Held(NamedTuple):
--- a/sprucegate/membership/listfile.py
+++ b/sprucegate/discovery/listfile.py
@@ -15,11 +15,11 @@
 import ckdl
 import msgspec
 
-from sprucegate.documents import places
-from sprucegate.documents.places import Faulty
-from sprucegate.interface import Listed, State
-from sprucegate.membership.view import Server
-from sprucegate.servers.hosts import number_of
+from sprucegate.config import source_locations
+from sprucegate.config.source_locations import Faulty
+from sprucegate.discovery.view import Server
+from sprucegate.routing.interface import Listed, State
+from sprucegate.upstream.hosts import number_of
 
 MS = 1_000_000
 SIZE_MOST = 10_000_000  # bytes of a list, of all its parts together
@@ -78,7 +78,7 @@
     try:
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several kinds
-        line = places.fault_line(text) if len(text) < 20_000 else text.count("\n") + 1
+        line = source_locations.fault_line(text) if len(text) < 20_000 else text.count("\n") + 1
         raise Faulty(file, line, "", "is not KDL, or is cut") from None
     if [node.name for node in nodes] != ["servers"] or nodes[0].args or nodes[0].properties:
         raise Faulty(file, 1, "", "wants one block `servers { ... }` and nothing else")
@@ -126,7 +126,7 @@
 
 def _fault(file, text, at, key, said):
     """The line is looked for only now: finding all of them would cost more than the parsing."""
-    starts = places.starts(text)
+    starts = source_locations.starts(text)
     children = starts[0].children if starts else []
     return Faulty(file, children[at].line if at < len(children) else 1, key, said)
 
--- a/sprucegate/membership/merged.py
+++ b/sprucegate/discovery/merged.py
@@ -1,7 +1,7 @@
 """The merged view between what tells of servers and the driver, where no file is watched."""
 
-from sprucegate.membership.view import Server
-from sprucegate.servers.hosts import Hosts
+from sprucegate.discovery.view import Server
+from sprucegate.upstream.hosts import Hosts
 
 
 class Merged:
--- a/sprucegate/membership/moves.py
+++ b/sprucegate/discovery/moves.py
@@ -3,8 +3,8 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from sprucegate.interface import State
-from sprucegate.rules import Router
+from sprucegate.routing.interface import State
+from sprucegate.routing.router import Router
 
 OBJECTS = 2000  # looked at in each group of one location and kind
 WORK = 1_000_000  # objects times servers in a group, at most: then fewer are looked at
--- a/sprucegate/membership/reading.py
+++ b/sprucegate/discovery/reading.py
@@ -12,7 +12,7 @@
 
 import ckdl
 
-from sprucegate.membership.listfile import SIZE_MOST, Faulty
+from sprucegate.discovery.listfile import SIZE_MOST, Faulty
 
 SETTLE = 0.03  # seconds between two reads of a file without a digest
 MANIFEST = "manifest.kdl"
--- a/sprucegate/membership/service.py
+++ b/sprucegate/discovery/service.py
@@ -10,14 +10,14 @@
 import watchfiles
 
 from sprucegate import clock
-from sprucegate.membership import reading
-from sprucegate.membership.gate import Gate
-from sprucegate.membership.listfile import Faulty
-from sprucegate.membership.merged import Merged, hosts_of
-from sprucegate.membership.view import View
-from sprucegate.membership.worker import flat, server_of
-from sprucegate.state.disk import Disk
-from sprucegate.state.snapshots import Snapshots
+from sprucegate.discovery import reading
+from sprucegate.discovery.gate import Gate
+from sprucegate.discovery.listfile import Faulty
+from sprucegate.discovery.merged import Merged, hosts_of
+from sprucegate.discovery.view import View
+from sprucegate.discovery.worker import flat, server_of
+from sprucegate.storage.disk import Disk
+from sprucegate.storage.snapshots import Snapshots
 
 MANY = 1000  # entries of a change after which the collector is told that they stay
 PIECE = 100  # entries handed over in one turn of the loop
@@ -147,7 +147,7 @@
             self.worker = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "sprucegate.membership.worker",
+                "sprucegate.discovery.worker",
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 limit=LINE_MOST,
--- a/sprucegate/membership/view.py
+++ b/sprucegate/discovery/view.py
@@ -7,7 +7,7 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from sprucegate.interface import Listed, State
+from sprucegate.routing.interface import Listed, State
 
 DRAINS_MOST = 20_000  # drains remembered, also of servers that no source lists any more
 STEPS = 10  # of a ramp: each is a change of weight, which moves objects
--- a/sprucegate/membership/worker.py
+++ b/sprucegate/discovery/worker.py
@@ -7,9 +7,9 @@
 
 import orjson
 
-from sprucegate.interface import Listed, State
-from sprucegate.membership import listfile, reading
-from sprucegate.membership.view import Server
+from sprucegate.discovery import listfile, reading
+from sprucegate.discovery.view import Server
+from sprucegate.routing.interface import Listed, State
 
 PIECE = 200
 STATES = {"serving": State.SERVING, "draining": State.DRAINING}
--- a/sprucegate/fleet/parts.py
+++ b/sprucegate/fleet/components.py
@@ -42,11 +42,11 @@
     """The parts that the file has, in the order in which they start."""
     made = []
     if fleet.agreement is not None:
-        from sprucegate.fleet.agreed import AgreedPart
+        from sprucegate.fleet.consensus.driver import AgreedPart
 
         made.append(AgreedPart(fleet, *fleet.agreement))
     if fleet.shares is not None:
-        from sprucegate.fleet.shares.part import SharesPart
+        from sprucegate.fleet.quotas.part import SharesPart
 
         made.append(SharesPart(fleet, fleet.shares))
     return made
--- a/sprucegate/fleet/agreed.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -14,24 +14,40 @@
 import orjson
 
 from sprucegate import clock
-from sprucegate.fleet.agreement import fitness, following
-from sprucegate.fleet.agreement.fitness import Begins, Begun, Fit, Fitness, Keep, PutBack, base, takes_in
-from sprucegate.fleet.agreement.following import Applied, Follow, Follower, Propose, Replaced, Serving, Word
-from sprucegate.fleet.agreement.keeper import Apply, Config, Current, Install, Keeper, Leads, Send, Write
-from sprucegate.fleet.chance import Chance
-from sprucegate.fleet.face import Face, Node
-from sprucegate.fleet.ledger import Ledger, Unreadable
-from sprucegate.fleet.links import agreed as codec
+from sprucegate.fleet.components import Part
+from sprucegate.fleet.consensus import codec, durability_check, log_follower
+from sprucegate.fleet.consensus.durability_check import (
+    Begins,
+    Begun,
+    Fit,
+    Fitness,
+    Keep,
+    PutBack,
+    base,
+    takes_in,
+)
+from sprucegate.fleet.consensus.log_follower import (
+    Applied,
+    Follow,
+    Follower,
+    Propose,
+    Replaced,
+    Serving,
+    Word,
+)
+from sprucegate.fleet.consensus.raft_node import Apply, Config, Current, Install, Keeper, Leads, Send, Write
+from sprucegate.fleet.consensus.storage import Ledger, Unreadable
 from sprucegate.fleet.links.codec import Routed
-from sprucegate.fleet.parts import Part
+from sprucegate.fleet.maintenance_agent import Face, Node
+from sprucegate.fleet.membership_view.careful import OwnAction
+from sprucegate.fleet.random_source import Chance
 from sprucegate.fleet.rollout import commands
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.leader import Leading, front_lease
 from sprucegate.fleet.rollout.permits import Step
 from sprucegate.fleet.rollout.releases import Phase
 from sprucegate.fleet.rollout.rollout import Rollout
-from sprucegate.fleet.views.careful import OwnAction
-from sprucegate.state.disk import Disk
+from sprucegate.storage.disk import Disk
 
 S = 1_000_000_000
 TICK = 0.02  # seconds between two looks at what is due
@@ -123,7 +139,7 @@
         if isinstance(message, Begins | Begun):
             if isinstance(message, Begins):
                 self.newcomers[sender] = now
-                while len(self.newcomers) > fitness.KNOWN_MOST:
+                while len(self.newcomers) > durability_check.KNOWN_MOST:
                     del self.newcomers[next(iter(self.newcomers))]
             return self.do(self.fitness.heard(sender, message, now))
         if not self.fitness.fit or to != self.keeper.name:
@@ -392,7 +408,7 @@
             message = codec.unpacked(routed.number, routed.data)
         except codec.Unreadable as fault:
             return self.log("agreed_refused", peer=routed.sender, error=str(fault))
-        if isinstance(message, following.Entries | following.State | following.Proposed):
+        if isinstance(message, log_follower.Entries | log_follower.State | log_follower.Proposed):
             if self.follower is not None:
                 self._do(self.follower.heard(base(routed.sender), message, time.monotonic_ns()))
         elif self.voting is not None:
--- a/sprucegate/fleet/agreement/fitness.py
+++ b/sprucegate/fleet/consensus/durability_check.py
@@ -17,7 +17,7 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.agreement.keeper import Role, Send
+from sprucegate.fleet.consensus.raft_node import Role, Send
 
 MS, S = 1_000_000, 1_000_000_000
 AGAIN = 100 * MS
--- a/sprucegate/fleet/agreement/following.py
+++ b/sprucegate/fleet/consensus/log_follower.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.agreement.keeper import DATA, Role, Send
+from sprucegate.fleet.consensus.raft_node import DATA, Role, Send
 
 MS, S = 1_000_000, 1_000_000_000
 EVERY = 100 * MS  # between two questions of a follower
--- a/sprucegate/fleet/ledger.py
+++ b/sprucegate/fleet/consensus/storage.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from sprucegate.fleet.agreement.keeper import CONFIG, Config, Entry
-from sprucegate.state.disk import replace
-from sprucegate.state.log import Log
-from sprucegate.state.snapshots import Snapshots
+from sprucegate.fleet.consensus.raft_node import CONFIG, Config, Entry
+from sprucegate.storage.disk import replace
+from sprucegate.storage.log import Log
+from sprucegate.storage.snapshots import Snapshots
 
 _encode = msgspec.msgpack.Encoder().encode
 _record = msgspec.msgpack.Decoder(tuple[int, str, int, list[tuple[int, int, str, object]]]).decode
--- a/sprucegate/fleet/members/swim.py
+++ b/sprucegate/fleet/failure_detector/swim.py
@@ -14,7 +14,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from sprucegate.fleet.members.pace import Pace
+from sprucegate.fleet.failure_detector.pace import Pace
 
 MEMBERS_MOST = 1000
 HURRY = 30_000_000_000  # ns after the start
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from sprucegate.fleet.members import swim
+from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, State
-from sprucegate.interface import Believed, Resting
-from sprucegate.state import records
+from sprucegate.routing.interface import Believed, Resting
+from sprucegate.storage import records
 
 
 class Routed(NamedTuple):
--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -12,7 +12,7 @@
 
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.outgoing import Outgoing
-from sprucegate.servers.sockets import set_no_delay
+from sprucegate.upstream.sockets import set_no_delay
 
 OUT_MOST, IN_MOST = 12, 64  # connections: those of this front's own choice, and those that chose it
 KEEPER_MOST = 1024  # and those of a keeper, whom every front follows
--- a/sprucegate/fleet/face.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -2,11 +2,11 @@
 
 from typing import NamedTuple
 
+from sprucegate.fleet.membership_view.careful import Action, does
+from sprucegate.fleet.membership_view.standing import OF_WORD
 from sprucegate.fleet.rollout.gates import Limits
 from sprucegate.fleet.rollout.permits import Box, Step
-from sprucegate.fleet.views.careful import Action, does
-from sprucegate.fleet.views.standing import OF_WORD
-from sprucegate.interface import Found, Outcome
+from sprucegate.routing.interface import Found, Outcome
 
 SOURCE = "permit"  # whose word a drain by permit is, in the view
 MISSED = 3  # forwards in a row that did not reach a box, until it is told of
--- a/sprucegate/fleet/views/careful.py
+++ b/sprucegate/fleet/membership_view/careful.py
@@ -6,7 +6,7 @@
 
 from enum import Enum, auto
 
-from sprucegate.fleet.views.standing import Standing
+from sprucegate.fleet.membership_view.standing import Standing
 
 LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING, LEAVING, GONE, OTHER_BUILD = Standing
 
--- a/sprucegate/fleet/views/standing.py
+++ b/sprucegate/fleet/membership_view/standing.py
@@ -8,7 +8,7 @@
 from math import log2
 from typing import NamedTuple
 
-from sprucegate.fleet.members.swim import Standing as Word
+from sprucegate.fleet.failure_detector.swim import Standing as Word
 
 MS, S = 1_000_000, 1_000_000_000
 HEARD = 1500 * MS  # a frame that came so lately: it is heard
--- a/sprucegate/fleet/views/views.py
+++ b/sprucegate/fleet/membership_view/views.py
@@ -7,10 +7,10 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.members.swim import MEMBERS_MOST
-from sprucegate.fleet.views import careful
-from sprucegate.fleet.views.careful import Own
-from sprucegate.fleet.views.standing import Known, Row, Standing
+from sprucegate.fleet.failure_detector.swim import MEMBERS_MOST
+from sprucegate.fleet.membership_view import careful
+from sprucegate.fleet.membership_view.careful import Own
+from sprucegate.fleet.membership_view.standing import Known, Row, Standing
 
 MS, S = 1_000_000, 1_000_000_000
 HOLD = 1 * S  # for which what makes bold has to hold
--- a/sprucegate/fleet/peer.py
+++ b/sprucegate/fleet/node.py
@@ -4,14 +4,14 @@
 Actions are those of the two modules; `Send` of either goes to a peer by name, or to an address.
 """
 
-from sprucegate.fleet.chance import Chance
-from sprucegate.fleet.members import swim
-from sprucegate.fleet.members.swim import Member, Members, Standing
+from sprucegate.fleet.failure_detector import swim
+from sprucegate.fleet.failure_detector.swim import Member, Members, Standing
+from sprucegate.fleet.membership_view.careful import Action, does
+from sprucegate.fleet.membership_view.standing import OF_WORD
+from sprucegate.fleet.membership_view.views import Views
+from sprucegate.fleet.random_source import Chance
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.replica import Live, Phase, Replica
-from sprucegate.fleet.views.careful import Action, does
-from sprucegate.fleet.views.standing import OF_WORD
-from sprucegate.fleet.views.views import Views
 
 MEMBER_WORDS = (swim.Ping, swim.Ack, swim.PingFor, swim.Nack, swim.All, swim.Refused)
 
--- a/sprucegate/fleet/shares/part.py
+++ b/sprucegate/fleet/quotas/part.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
+from sprucegate.fleet.components import Part
 from sprucegate.fleet.links.codec import Unreadable, Word
-from sprucegate.fleet.parts import Part
-from sprucegate.fleet.shares import places
-from sprucegate.fleet.shares.queue import tenant_of
-from sprucegate.fleet.shares.shares import Shares
-from sprucegate.fleet.shares.terms import Asks, GiveUp, Goes, Lent, Moved, Need, Send, Start, Terms
-from sprucegate.fleet.views.careful import Action, OwnAction
-from sprucegate.interface import Found, Outcome
+from sprucegate.fleet.membership_view.careful import Action, OwnAction
+from sprucegate.fleet.quotas import places
+from sprucegate.fleet.quotas.queue import tenant_of
+from sprucegate.fleet.quotas.shares import Shares
+from sprucegate.fleet.quotas.terms import Asks, GiveUp, Goes, Lent, Moved, Need, Send, Start, Terms
+from sprucegate.routing.interface import Found, Outcome
 
 S = 1_000_000_000
 FACTORS = 0.5  # seconds between two looks at which sources have just started
--- a/sprucegate/fleet/chance.py
+++ b/sprucegate/fleet/random_source.py
@@ -1,6 +1,6 @@
 """Chance without a random generator: a hash over the instance, a text and a counter from the seed."""
 
-from sprucegate.rules import mixed
+from sprucegate.routing.router import mixed
 
 
 class Chance:
--- a/sprucegate/fleet/keeping.py
+++ b/sprucegate/fleet/replica_storage.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from sprucegate.fleet.replica.facts import Fact
-from sprucegate.state.disk import replace
-from sprucegate.state.log import Log
-from sprucegate.state.snapshots import Snapshots
+from sprucegate.storage.disk import replace
+from sprucegate.storage.log import Log
+from sprucegate.storage.snapshots import Snapshots
 
 Span = tuple[str, int, int, int]
 Life = tuple[str, int, list[int]]
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -13,12 +13,13 @@
 import orjson
 
 from sprucegate import clock
-from sprucegate.fleet import parts
-from sprucegate.fleet.keeping import PIECE, Keeping, Unreadable, packed
+from sprucegate.fleet import components
+from sprucegate.fleet.failure_detector.swim import Doubled, Fenced, Look, Standing, Stands
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.links import IN_MOST, KEEPER_MOST, Links
-from sprucegate.fleet.members.swim import Doubled, Fenced, Look, Standing, Stands
-from sprucegate.fleet.peer import Peer, outgoing
+from sprucegate.fleet.membership_view.careful import Action, OwnAction
+from sprucegate.fleet.membership_view.views import Viewed
+from sprucegate.fleet.node import Peer, outgoing
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import (
     HELD,
@@ -34,11 +35,10 @@
     Send,
     Write,
 )
-from sprucegate.fleet.views.careful import Action, OwnAction
-from sprucegate.fleet.views.views import Viewed
-from sprucegate.interface import Believed, Resting
-from sprucegate.interface import State as Listed
-from sprucegate.state.disk import Disk
+from sprucegate.fleet.replica_storage import PIECE, Keeping, Unreadable, packed
+from sprucegate.routing.interface import Believed, Resting
+from sprucegate.routing.interface import State as Listed
+from sprucegate.storage.disk import Disk
 
 S = 1_000_000_000
 AGAIN = 1.0  # seconds until a disk that failed is tried again
@@ -64,7 +64,7 @@
         self.tasks, self.snapping, self.stopped, self.waiting = set(), False, False, []
         self.rows_out, self.rows_in = 0, 0  # of evidence
         self.being = int.from_bytes(os.urandom(4), "big")
-        self.parts = parts.wanted(self)
+        self.parts = components.wanted(self)
         self.fresh = 0  # facts since the collector was told
         merged.view.news = []
 
--- a/sprucegate/front/stages/admit.py
+++ b/sprucegate/front/admission.py
@@ -2,9 +2,9 @@
 
 import re
 
-from sprucegate.front.memory.gets import OpenGet
+from sprucegate.front.open_requests import OpenGet
 from sprucegate.front.protocol.http import Refusal
-from sprucegate.interface import Asked
+from sprucegate.routing.interface import Asked
 
 MS = 1_000_000
 TARGET = re.compile(rb"/svc/([^/?]+)/([0-9a-f]{1,16})(?:/slice-([0-9]{1,9}))?")
--- a/sprucegate/front/memory/connections.py
+++ b/sprucegate/front/client_connections.py
@@ -4,7 +4,7 @@
 from enum import Enum, auto
 
 from sprucegate.front.protocol.http import RequestReader
-from sprucegate.servers.sockets import ended
+from sprucegate.upstream.sockets import ended
 
 
 class Phase(Enum):
--- a/sprucegate/front/lifecycle/configuration.py
+++ b/sprucegate/front/configuration.py
@@ -6,9 +6,9 @@
 
 import orjson
 
-from sprucegate.front.lifecycle import shape
+from sprucegate.front import configuration_checks
 from sprucegate.front.protocol import bus
-from sprucegate.wire.settings import settings_from
+from sprucegate.simulator.settings import settings_from
 
 REQUIRED = object()
 KINDS = {str: "text", dict: "an object", list: "a list"}
@@ -194,7 +194,7 @@
         # Without them a front would go by another deployment's: connections would be used as their caches close them.
         if name not in settings:
             raise Faulty(f"settings.{path}: is missing")
-    if found := shape.fault(settings, len(locations)):
+    if found := configuration_checks.fault(settings, len(locations)):
         raise Faulty(f"settings.{found[0]}: {found[1]}")
     return Wanted(
         name=_pick(data, "name", str),
--- a/sprucegate/front/lifecycle/shape.py
+++ b/sprucegate/front/configuration_checks.py
@@ -6,7 +6,7 @@
 
 from math import isfinite
 
-from sprucegate.wire.settings import NAMES
+from sprucegate.simulator.settings import NAMES
 
 WORDS = {
     "tells": ("all", "hit", "none"),
--- a/sprucegate/front/stages/take_in.py
+++ b/sprucegate/front/connection_reader.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections import deque
 
-from sprucegate.front.memory.connections import Client, Phase
-from sprucegate.servers.sockets import receive_into, set_no_delay, waited
+from sprucegate.front.client_connections import Client, Phase
+from sprucegate.upstream.sockets import receive_into, set_no_delay, waited
 
 TURN = 3  # requests begun in one turn of the loop
 LOOKS = 16  # connections looked at for one that may give way to a new one
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -6,19 +6,19 @@
 from itertools import count
 
 from sprucegate import clock as system
+from sprucegate.front.admission import LIVE, admit
+from sprucegate.front.counters import Book
 from sprucegate.front.invariants import Invariants
-from sprucegate.front.memory.copies import Copies, Copy
-from sprucegate.front.memory.gets import OpenForward
+from sprucegate.front.open_requests import OpenForward
 from sprucegate.front.protocol.http import Refusal, tagged
-from sprucegate.front.stages.admit import LIVE, admit
-from sprucegate.front.stages.book import Book
-from sprucegate.front.stages.relay import Relay
-from sprucegate.front.stages.route import route
-from sprucegate.interface import Cancel, Errored, Forward, Found, Outcome, Shed, State, Wait
-from sprucegate.rules import OWN_BYTES, Router
-from sprucegate.servers.hosts import Hosts
-from sprucegate.servers.sending import Sending
-from sprucegate.servers.servers import Servers
+from sprucegate.front.response_cache import Copies, Copy
+from sprucegate.front.response_writer import Relay
+from sprucegate.front.route import route
+from sprucegate.routing.interface import Cancel, Errored, Forward, Found, Outcome, Shed, State, Wait
+from sprucegate.routing.router import OWN_BYTES, Router
+from sprucegate.upstream.hosts import Hosts
+from sprucegate.upstream.sending import Sending
+from sprucegate.upstream.servers import Servers
 
 MS = 1_000_000
 COMPACTED = 128  # entries of the heap of time-outs from which those that are over are let go
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -5,7 +5,7 @@
 decide. A count other than 0 in the log's `second` lines is to be reported with the lines around it.
 """
 
-from sprucegate.front.memory.connections import Phase
+from sprucegate.front.client_connections import Phase
 
 MS = 1_000_000
 GONE_LATE = 100 * MS  # an attempt that begins so long after its client went counts as a lost request
--- a/sprucegate/front/memory/gets.py
+++ b/sprucegate/front/open_requests.py
@@ -1,6 +1,6 @@
 """Open GETs and their forwards, as the front keeps them. Nothing is decided here."""
 
-from sprucegate.servers.progress import Progress
+from sprucegate.upstream.progress import Progress
 
 
 class OpenForward:
--- a/sprucegate/front/protocol/bus.py
+++ b/sprucegate/front/protocol/bus.py
@@ -7,8 +7,8 @@
 import httptools
 import orjson
 
-from sprucegate.interface import Listed, State
-from sprucegate.servers.hosts import Hosts, number_of
+from sprucegate.routing.interface import Listed, State
+from sprucegate.upstream.hosts import Hosts, number_of
 
 MS = 1_000_000
 EVENT_MOST = 4 << 20  # bytes of one event; the whole list is the largest
--- a/sprucegate/front/stages/relay.py
+++ b/sprucegate/front/response_writer.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from sprucegate.front.memory.connections import Phase
+from sprucegate.front.client_connections import Phase
 from sprucegate.front.protocol import http
-from sprucegate.servers.sockets import PendingWrite, send
+from sprucegate.upstream.sockets import PendingWrite, send
 
 
 class Relay:
--- a/sprucegate/front/lifecycle/subscribe.py
+++ b/sprucegate/front/subscription.py
@@ -3,9 +3,9 @@
 import asyncio
 import socket
 
-from sprucegate.front.memory.pool import SIZE
+from sprucegate.front.buffer_pool import SIZE
 from sprucegate.front.protocol import bus
-from sprucegate.servers.sockets import set_no_delay
+from sprucegate.upstream.sockets import set_no_delay
 
 SILENCE = 1.7  # seconds without a byte: a comment comes each second, what is missed counts after 4
 WAITS = (0.1, 0.2, 0.4, 0.8, 1.0)
--- a/sprucegate/rules.py
+++ b/sprucegate/routing/router.py
@@ -10,9 +10,19 @@
 from math import ceil, sqrt
 from statistics import median, median_low
 
-from sprucegate import interface
-from sprucegate.interface import Cancel, Errored, Forward, Found, Outcome, Shed, State, Subscribe, Wait
-from sprucegate.rendezvous import Ranking, Rendezvous, label_of, lane_of, mixed
+from sprucegate.routing import interface
+from sprucegate.routing.interface import (
+    Cancel,
+    Errored,
+    Forward,
+    Found,
+    Outcome,
+    Shed,
+    State,
+    Subscribe,
+    Wait,
+)
+from sprucegate.routing.rendezvous import Ranking, Rendezvous, label_of, lane_of, mixed
 
 MS, S, NEVER = 1_000_000, 1_000_000_000, -1 << 62
 
--- a/sprucegate/wire/codec.py
+++ b/sprucegate/simulator/codec.py
@@ -1,6 +1,6 @@
 """Lines of the wire to plain values and back. Malformed input is named, never guessed at."""
 
-from sprucegate.interface import Found, Listed, Outcome, State
+from sprucegate.routing.interface import Found, Listed, Outcome, State
 
 
 class Malformed(ValueError):
--- a/sprucegate/wire/host.py
+++ b/sprucegate/simulator/host.py
@@ -1,9 +1,9 @@
 """Batches of the wire as calls on routers, one a front, and their results as actions."""
 
-from sprucegate import interface
-from sprucegate.rules import Router
-from sprucegate.wire import codec
-from sprucegate.wire.settings import settings_from
+from sprucegate.routing import interface
+from sprucegate.routing.router import Router
+from sprucegate.simulator import codec
+from sprucegate.simulator.settings import settings_from
 
 
 class Front:
--- /dev/null
+++ b/sprucegate/simulator/process.py
@@ -0,0 +1,55 @@
+"""The adapter's process: batches on standard input, one flushed reply each on standard output."""
+
+import sys
+import traceback
+
+from sprucegate.simulator.codec import Line, Malformed
+from sprucegate.simulator.host import Host
+
+
+def run(source, sink):
+    """Answer batches until the input ends."""
+    host, now, lines = Host(), None, []
+    for number, raw in enumerate(source, 1):
+        try:
+            text = raw.decode("utf-8").rstrip("\r\n")
+        except UnicodeDecodeError:
+            raise Malformed(f"line {number}: is not UTF-8") from None
+        if not text:
+            continue
+        if now is None:
+            line = Line(text, number)
+            if line.name != "sync":
+                raise line.fault("comes before the batch's 'sync'")
+            now = line.time("moment")
+        elif text == "eob":
+            try:
+                actions = host.reply(now, lines)
+            except Malformed:
+                raise
+            except Exception as fault:
+                # A fault in the decisions is for the operators to see: where it arose goes out with it.
+                at = traceback.extract_tb(fault.__traceback__)[-1]
+                text = f"{type(fault).__name__}: {fault} ({at.name}, line {at.lineno})"
+                text = " ".join(text.split())
+                instance = lines[0].fields.get("i", "0") if lines else "0"
+                actions = [f"internal_error\ti={instance}\twhat={text}"]
+            actions.append("ready\n")
+            sink.write("\n".join(actions).encode())
+            sink.flush()
+            now, lines = None, []
+        else:
+            lines.append(Line(text, number))
+    if now is not None:
+        raise Malformed("input ended inside a batch")
+
+
+def main():
+    try:
+        run(sys.stdin.buffer, sys.stdout.buffer)
+    except Malformed as fault:
+        print(f"sprucegate: {fault}", file=sys.stderr)
+        return 2
+    except BrokenPipeError:
+        return 1
+    return 0
--- a/sprucegate/wire/settings.py
+++ b/sprucegate/simulator/settings.py
@@ -1,6 +1,6 @@
 """The wire's settings as a plain map under our names, times in nanoseconds. Unknown ones are skipped."""
 
-from sprucegate.wire.codec import truth
+from sprucegate.simulator.codec import truth
 
 
 def _ns(text):
--- a/sprucegate/state/log.py
+++ b/sprucegate/storage/log.py
@@ -2,8 +2,8 @@
 
 import os
 
-from sprucegate.state import records
-from sprucegate.state.disk import write_all
+from sprucegate.storage import records
+from sprucegate.storage.disk import write_all
 
 
 class Log:
--- a/sprucegate/state/snapshots.py
+++ b/sprucegate/storage/snapshots.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from sprucegate.state import records
-from sprucegate.state.disk import replace
+from sprucegate.storage import records
+from sprucegate.storage.disk import replace
 
 VERSION = 1
 SIZE_MOST = 32 << 20  # bytes of one snapshot
--- a/sprucegate/servers/http2/evidence.py
+++ b/sprucegate/upstream/http2/evidence.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from sprucegate.interface import Outcome
+from sprucegate.routing.interface import Outcome
 
 REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM, HTTP_1_1_REQUIRED = 0x7, 0x8, 0xB, 0xD
 
--- a/sprucegate/servers/http2/mapping.py
+++ b/sprucegate/upstream/http2/mapping.py
@@ -12,9 +12,9 @@
 from http_sfv import Dictionary, List
 from http_sfv.string import ser_string
 
-from sprucegate.interface import Found, Outcome
-from sprucegate.servers.http2 import evidence
-from sprucegate.servers.place import Returned
+from sprucegate.routing.interface import Found, Outcome
+from sprucegate.upstream.http2 import evidence
+from sprucegate.upstream.place import Returned
 
 MS, S = 1_000_000, 1_000_000_000
 BODY_MOST = 240_000  # bytes of an object
--- a/sprucegate/servers/http2/pool.py
+++ b/sprucegate/upstream/http2/pool.py
@@ -9,7 +9,7 @@
 from enum import IntEnum
 from zlib import crc32
 
-from sprucegate.interface import Outcome
+from sprucegate.routing.interface import Outcome
 
 LACKING = 10_000_000  # nanoseconds until a connection is tried again that this side could not begin
 
--- a/sprucegate/servers/http2/session.py
+++ b/sprucegate/upstream/http2/session.py
@@ -25,10 +25,10 @@
 from h2.settings import SettingCodes, Settings
 from hpack import Encoder
 
-from sprucegate.servers.http2 import guard
-from sprucegate.servers.http2.evidence import CANCEL, Written
-from sprucegate.servers.http2.guard import Fault, Guard
-from sprucegate.servers.http2.mapping import BODY_MOST
+from sprucegate.upstream.http2 import guard
+from sprucegate.upstream.http2.evidence import CANCEL, Written
+from sprucegate.upstream.http2.guard import Fault, Guard
+from sprucegate.upstream.http2.mapping import BODY_MOST
 
 STREAM_WINDOW = 262_144  # above BODY_MOST: a whole answer fits without a window update of its own
 CONNECTION_WINDOW = 1 << 20
--- a/sprucegate/servers/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -8,10 +8,10 @@
 import errno
 import socket
 
-from sprucegate.interface import Found, Outcome
-from sprucegate.servers.http2 import evidence, mapping
-from sprucegate.servers.http2.pool import Close, Open, Ping, Pool, Refuse, Send
-from sprucegate.servers.http2.session import (
+from sprucegate.routing.interface import Found, Outcome
+from sprucegate.upstream.http2 import evidence, mapping
+from sprucegate.upstream.http2.pool import Close, Open, Ping, Pool, Refuse, Send
+from sprucegate.upstream.http2.session import (
     Acknowledged,
     Answered,
     GoneAway,
@@ -22,8 +22,8 @@
     Session,
     Spoilt,
 )
-from sprucegate.servers.progress import Progress
-from sprucegate.servers.sockets import is_local, receive_into, send, set_no_delay
+from sprucegate.upstream.progress import Progress
+from sprucegate.upstream.sockets import is_local, receive_into, send, set_no_delay
 
 
 class Held:
--- a/sprucegate/servers/lines/codec.py
+++ b/sprucegate/upstream/lines/codec.py
@@ -3,8 +3,8 @@
 from math import isfinite
 from typing import NamedTuple
 
-from sprucegate.interface import Found, Outcome
-from sprucegate.servers.place import Returned
+from sprucegate.routing.interface import Found, Outcome
+from sprucegate.upstream.place import Returned
 
 LINE_MOST = 4096  # bytes of an answer's line
 BODY_MOST = 240_000  # bytes of an object
--- a/sprucegate/servers/lines/connection.py
+++ b/sprucegate/upstream/lines/connection.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from sprucegate.servers.lines.codec import AnswerReader
+from sprucegate.upstream.lines.codec import AnswerReader
 
 
 class LineConnection:
--- a/sprucegate/servers/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -4,12 +4,12 @@
 import socket
 from collections import OrderedDict, deque
 
-from sprucegate.interface import Found, Outcome
-from sprucegate.rules import CONNECTIONS, STALLED
-from sprucegate.servers.lines import codec
-from sprucegate.servers.lines.connection import LineConnection
-from sprucegate.servers.progress import Progress
-from sprucegate.servers.sockets import RETRY, is_local, receive_into, send, set_no_delay, stands
+from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.router import CONNECTIONS, STALLED
+from sprucegate.upstream.lines import codec
+from sprucegate.upstream.lines.connection import LineConnection
+from sprucegate.upstream.progress import Progress
+from sprucegate.upstream.sockets import RETRY, is_local, receive_into, send, set_no_delay, stands
 
 LOOKS = 8  # reads of what stands on resting connections before one is taken
 
--- a/sprucegate/servers/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -6,9 +6,9 @@
 come is in the outcome.
 """
 
-from sprucegate.interface import Found, Outcome, State
-from sprucegate.servers.lines.transport import Lines
-from sprucegate.servers.place import Place
+from sprucegate.routing.interface import Found, Outcome, State
+from sprucegate.upstream.lines.transport import Lines
+from sprucegate.upstream.place import Place
 
 
 class Servers:
@@ -18,7 +18,7 @@
         self.wanted, self.transports = wanted, {"lines": Lines(self, driver, pool, settings)}
         if wanted is not None and wanted.speaks("http2"):
             # Here and not above: a front without it loads none of its libraries.
-            from sprucegate.servers.http2.transport import Http2
+            from sprucegate.upstream.http2.transport import Http2
 
             self.transports["http2"] = Http2(self, driver, pool, settings, wanted.http2)
 
--- a/standins/driver.py
+++ b/standins/driver.py
@@ -7,13 +7,13 @@
 import time
 from types import SimpleNamespace
 
-from sprucegate.front.memory.gets import OpenForward, OpenGet
-from sprucegate.front.memory.pool import Pool
-from sprucegate.front.stages.book import Book
-from sprucegate.interface import Asked, Forward, Listed, State
-from sprucegate.servers.hosts import Hosts
-from sprucegate.servers.sending import Sending
-from sprucegate.servers.servers import Servers
+from sprucegate.front.buffer_pool import Pool
+from sprucegate.front.counters import Book
+from sprucegate.front.open_requests import OpenForward, OpenGet
+from sprucegate.routing.interface import Asked, Forward, Listed, State
+from sprucegate.upstream.hosts import Hosts
+from sprucegate.upstream.sending import Sending
+from sprucegate.upstream.servers import Servers
 
 
 class Recorder:
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -15,7 +15,7 @@
 import sys
 import time
 
-from sprucegate.fleet.chance import Chance
+from sprucegate.fleet.random_source import Chance
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import Have, Replica, Send, Write
 
--- a/standins/fleet/explore_fitness.py
+++ b/standins/fleet/explore_fitness.py
@@ -9,7 +9,7 @@
 import pickle
 import sys
 
-from sprucegate.fleet.agreement.fitness import ASKS, Fit, Fitness, Keep, PutBack, Send, base
+from sprucegate.fleet.consensus.durability_check import ASKS, Fit, Fitness, Keep, PutBack, Send, base
 from standins.fleet import exploring
 
 NAMES = ("a", "b", "c")
--- a/standins/fleet/explore_keepers.py
+++ b/standins/fleet/explore_keepers.py
@@ -7,7 +7,7 @@
 
 import sys
 
-from sprucegate.fleet.agreement.keeper import Apply, Config, Keeper, Leads, Send, Vote, VoteAnswer, Write
+from sprucegate.fleet.consensus.raft_node import Apply, Config, Keeper, Leads, Send, Vote, VoteAnswer, Write
 from standins.fleet import exploring
 
 NAMES = ("a", "b", "c")
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -8,8 +8,17 @@
 import sys
 from itertools import count
 
-from sprucegate.fleet.agreement.fitness import Begins, Begun, Fit, Fitness, Keep, PutBack, base, takes_in
-from sprucegate.fleet.agreement.keeper import (
+from sprucegate.fleet.consensus.durability_check import (
+    Begins,
+    Begun,
+    Fit,
+    Fitness,
+    Keep,
+    PutBack,
+    base,
+    takes_in,
+)
+from sprucegate.fleet.consensus.raft_node import (
     Apply,
     Config,
     Current,
@@ -20,7 +29,7 @@
     VoteAnswer,
     Write,
 )
-from sprucegate.fleet.chance import Chance
+from sprucegate.fleet.random_source import Chance
 from standins.fleet.schedules import reported
 
 MS, S = 1_000_000, 1_000_000_000
--- a/standins/fleet/relay.py
+++ b/standins/fleet/relay.py
@@ -15,7 +15,7 @@
 import msgspec
 import uvloop
 
-from sprucegate.state.records import HEAD
+from sprucegate.storage.records import HEAD
 
 
 class Troubles:
--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -145,7 +145,7 @@
     def ask(self, what, *given):
         """What the command line gets of it; None where it does not answer."""
         from sprucegate.fleet.links import codec
-        from sprucegate.state import records
+        from sprucegate.storage import records
 
         data = b""
         try:
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from sprucegate.fleet.agreement.fitness import base
-from sprucegate.fleet.agreement.following import Follow, Follower, Propose, Serving, State
-from sprucegate.fleet.agreement.keeper import Send
-from sprucegate.fleet.chance import Chance
+from sprucegate.fleet.consensus.durability_check import base
+from sprucegate.fleet.consensus.log_follower import Follow, Follower, Propose, Serving, State
+from sprucegate.fleet.consensus.raft_node import Send
+from sprucegate.fleet.random_source import Chance
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.leader import Leading, front_lease
 from sprucegate.fleet.rollout.permits import Box as Listed
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -7,12 +7,12 @@
 import random
 from itertools import count
 
-from sprucegate.fleet.keeping import PIECE, Keeping, packed
-from sprucegate.fleet.members.swim import Doubled, Look, Stands
-from sprucegate.fleet.peer import Peer, outgoing
+from sprucegate.fleet.failure_detector.swim import Doubled, Look, Stands
+from sprucegate.fleet.membership_view.views import Viewed
+from sprucegate.fleet.node import Peer, outgoing
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import Act, Done, Doubted, Have, LetGo, Live, Mark, Note, Tell, Write
-from sprucegate.fleet.views.views import Viewed
+from sprucegate.fleet.replica_storage import PIECE, Keeping, packed
 from standins.disk import Crashed, FaultyDisk
 
 MS, S = 1_000_000, 1_000_000_000
--- a/tests/test_operator.py
+++ b/tests/cli/test_cli.py
@@ -12,11 +12,11 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from sprucegate.documents import places
-from sprucegate.front.lifecycle.log import Log
-from sprucegate.operator import file
-from sprucegate.operator.logs import structured
-from sprucegate.servers.http2.limits import MS, S
+from sprucegate.cli import operator_file
+from sprucegate.cli.structured_logging import structured
+from sprucegate.config import source_locations
+from sprucegate.front.log import Log
+from sprucegate.upstream.http2.limits import MS, S
 
 GOOD = """// comment with { braces
 servers {
@@ -35,7 +35,7 @@
 
 
 def test_a_good_file_and_what_goes_before_what():
-    made = file.parse(GOOD, "f")
+    made = operator_file.parse(GOOD, "f")
     limits = made.servers.http2
     assert (limits.connections, limits.wait, limits.held, limits.age_spread) == (2, 250 * MS, 2 << 20, 0.5)
     assert limits.idle == 14 * S  # what is not set has its default
@@ -79,8 +79,8 @@
 )
 def test_a_fault_is_one_message_with_file_line_and_key(old, new, line, key):
     assert old in GOOD
-    with pytest.raises(file.Faulty) as caught:
-        file.parse(GOOD.replace(old, new, 1), "f.kdl")
+    with pytest.raises(operator_file.Faulty) as caught:
+        operator_file.parse(GOOD.replace(old, new, 1), "f.kdl")
     said = caught.value
     assert (said.file, said.line, said.key) == ("f.kdl", line, key), str(said)
     assert str(said).startswith(f"f.kdl:{line}: ") and "\n" not in str(said)
@@ -113,7 +113,7 @@
 def test_nodes_are_found_as_the_library_reads_them(words):
     text = " ".join(words)
     try:
-        nodes = file.ckdl.parse(text).nodes
+        nodes = operator_file.ckdl.parse(text).nodes
     except Exception:
         return
     lines = text.split("\n")
@@ -124,7 +124,7 @@
             assert node.name in lines[start.line - 1]
             same(node.children, start.children)
 
-    same(nodes, places.starts(text))
+    same(nodes, source_locations.starts(text))
 
 
 def command(*given, **environ):
@@ -215,10 +215,10 @@
 
 
 def test_a_fleet_has_its_defaults_and_several_addresses():
-    node = file.parse(FLEET, "f").fleet
+    node = operator_file.parse(FLEET, "f").fleet
     assert (node.address, node.join) == (("127.0.0.1", 7100), ["127.0.0.1:7101", "127.0.0.1:7102"])
     assert (node.catch_up, node.alone_after, node.evidence, node.advertise) == (1 << 20, 5 * S, 32 << 10, "")
-    assert file.parse("", "f").fleet is None
+    assert operator_file.parse("", "f").fleet is None
 
 
 @pytest.mark.parametrize(
@@ -235,8 +235,8 @@
     ],
 )
 def test_a_fault_in_a_fleet_is_told_with_its_line_and_key(old, new, line, key):
-    with pytest.raises(file.Faulty) as fault:
-        file.parse(FLEET.replace(old, new), "f")
+    with pytest.raises(operator_file.Faulty) as fault:
+        operator_file.parse(FLEET.replace(old, new), "f")
     assert (fault.value.line, fault.value.key) == (line, key)
 
 
@@ -254,7 +254,7 @@
 
 
 def test_keepers_and_budgets_are_read():
-    made = file.parse(AGREED, "f")
+    made = operator_file.parse(AGREED, "f")
     assert made.agreement.addresses["k1"] == "127.0.0.1:7201" and made.agreement.state == "keeper"
     assert made.rollout.limits(0.1) == [
         [["fleet", "", "cache", 3, 500], ["kind", "parent", "", 1, 250]],
@@ -283,8 +283,8 @@
 )
 def test_a_fault_in_keepers_or_budgets_is_told_with_its_key(old, new, key, text):
     assert old in AGREED
-    with pytest.raises(file.Faulty) as caught:
-        file.parse(AGREED.replace(old, new), "f")
+    with pytest.raises(operator_file.Faulty) as caught:
+        operator_file.parse(AGREED.replace(old, new), "f")
     assert caught.value.key == key and text in caught.value.text
 
 
@@ -324,8 +324,8 @@
 
 def test_without_the_node_no_get_has_a_line():
     assert (
-        file.parse("", "f").log.gets is False
-        and file.parse("log {\n    gets #true\n}\n", "f").log.gets is True
+        operator_file.parse("", "f").log.gets is False
+        and operator_file.parse("log {\n    gets #true\n}\n", "f").log.gets is True
     )
-    with pytest.raises(file.Faulty, match="log.gets"):
-        file.parse('log {\n    gets "yes"\n}\n', "f")
+    with pytest.raises(operator_file.Faulty, match="log.gets"):
+        operator_file.parse('log {\n    gets "yes"\n}\n', "f")
--- a/tests/test_membership.py
+++ b/tests/discovery/test_discovery.py
@@ -8,13 +8,13 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from sprucegate.interface import Listed, State
-from sprucegate.membership import listfile, reading
-from sprucegate.membership.gate import Gate
-from sprucegate.membership.listfile import Faulty, parse, render
-from sprucegate.membership.reading import Unsettled, read
-from sprucegate.membership.view import Server, Standing, View
-from sprucegate.servers.hosts import number_of
+from sprucegate.discovery import listfile, reading
+from sprucegate.discovery.gate import Gate
+from sprucegate.discovery.listfile import Faulty, parse, render
+from sprucegate.discovery.reading import Unsettled, read
+from sprucegate.discovery.view import Server, Standing, View
+from sprucegate.routing.interface import Listed, State
+from sprucegate.upstream.hosts import number_of
 
 S = 1_000_000_000
 NOW = 1000 * S
--- a/tests/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -12,9 +12,9 @@
 import orjson
 import pytest
 
-from sprucegate.fleet.agreed import Voting
-from sprucegate.fleet.face import Face, Node
-from sprucegate.state.disk import Disk
+from sprucegate.fleet.consensus.driver import Voting
+from sprucegate.fleet.maintenance_agent import Face, Node
+from sprucegate.storage.disk import Disk
 from standins.fleet.agent import Agent
 from standins.fleet.rig import Rig
 
--- a/tests/test_fleet_agreement.py
+++ b/tests/fleet/test_fleet_agreement.py
@@ -2,9 +2,18 @@
 
 import pytest
 
-from sprucegate.fleet.agreement import keeper
-from sprucegate.fleet.agreement.fitness import ASKS, Begins, Begun, Fit, Fitness, Keep, PutBack, takes_in
-from sprucegate.fleet.agreement.keeper import (
+from sprucegate.fleet.consensus import raft_node
+from sprucegate.fleet.consensus.durability_check import (
+    ASKS,
+    Begins,
+    Begun,
+    Fit,
+    Fitness,
+    Keep,
+    PutBack,
+    takes_in,
+)
+from sprucegate.fleet.consensus.raft_node import (
     Config,
     Current,
     Entry,
@@ -16,8 +25,8 @@
     VoteAnswer,
     Write,
 )
-from sprucegate.fleet.chance import Chance
-from sprucegate.fleet.ledger import Ledger
+from sprucegate.fleet.consensus.storage import Ledger
+from sprucegate.fleet.random_source import Chance
 from standins.disk import Crashed, FaultyDisk
 from standins.fleet import explore_fitness, explore_keepers, keepers
 from standins.fleet.keepers import broken, played
@@ -56,7 +65,7 @@
 
     def vote(self, sender, asked, now):
         if not asked.pre and asked.term == self.term:
-            self.vote, self.role = "", keeper.Role.FOLLOWER
+            self.vote, self.role = "", raft_node.Role.FOLLOWER
         return whole(self, sender, asked, now)
 
     monkeypatch.setattr(Keeper, "_vote", vote)
@@ -68,7 +77,7 @@
 
 def _read_at_once(monkeypatch):
     def read(self, token, now):
-        return [Current(token, self.committed if self.role is keeper.Role.LEADER else -1)]
+        return [Current(token, self.committed if self.role is raft_node.Role.LEADER else -1)]
 
     monkeypatch.setattr(Keeper, "read", read)
     # Without it a leader that stood still steps down before it can be asked.
@@ -77,7 +86,7 @@
         "_quorum",
         lambda self, names: 2 * len({*names, self.name} & set(self.config().voters))
         > len(self.config().voters)
-        or self.role is keeper.Role.LEADER,
+        or self.role is raft_node.Role.LEADER,
     )
 
 
@@ -86,7 +95,7 @@
 
     def commits(self, now):
         self.committed = (
-            max(self.committed, self.last()) if self.role is keeper.Role.LEADER else self.committed
+            max(self.committed, self.last()) if self.role is raft_node.Role.LEADER else self.committed
         )
         return whole(self, now)
 
@@ -131,49 +140,52 @@
 
 def test_a_vote_is_not_said_before_it_is_on_disk_and_given_once():
     made = Keeper("c", THREE, lambda _: 0.0, 0)
-    done = made.heard("a", Vote(3, 0, 0, False, False), keeper.S)
+    done = made.heard("a", Vote(3, 0, 0, False, False), raft_node.S)
     assert [type(a) for a in done] == [Write, Write] and done[-1].vote == "a"
-    assert [a.message.granted for a in made.synced(2, keeper.S)] == [True]
-    again = made.heard("b", Vote(3, 5, 2, False, False), keeper.S)
+    assert [a.message.granted for a in made.synced(2, raft_node.S)] == [True]
+    again = made.heard("b", Vote(3, 5, 2, False, False), raft_node.S)
     assert [a.message.granted for a in again if isinstance(a, Send)] == [False]
 
 
 def test_one_that_hears_a_leader_helps_nobody_to_depose_it():
     made = Keeper("c", THREE, lambda _: 0.0, 0)
-    made.heard("a", keeper.Append(1, 0, 0, [], 0, 1), keeper.S)
-    made.synced(made.number, keeper.S)
-    (answer,) = made.heard("b", Vote(9, 9, 9, True, False), keeper.S + 100 * keeper.MS)
+    made.heard("a", raft_node.Append(1, 0, 0, [], 0, 1), raft_node.S)
+    made.synced(made.number, raft_node.S)
+    (answer,) = made.heard("b", Vote(9, 9, 9, True, False), raft_node.S + 100 * raft_node.MS)
     assert not answer.message.granted and made.term == 1
-    assert made.heard("b", Vote(9, 9, 9, False, False), keeper.S + 100 * keeper.MS) == [] and made.term == 1
+    assert (
+        made.heard("b", Vote(9, 9, 9, False, False), raft_node.S + 100 * raft_node.MS) == []
+        and made.term == 1
+    )
 
 
 def test_an_entry_of_an_older_term_is_committed_only_with_one_of_the_leaders_own():
     # Figure 3.7 of the thesis: a majority has it on disk, and it can still be replaced.
     made, now = leader([Entry(1, 1, "data", "old")], term=3)
-    made.heard("b", keeper.AppendAnswer(3, True, 1, 0), now)
+    made.heard("b", raft_node.AppendAnswer(3, True, 1, 0), now)
     assert made.committed == 0
-    made.heard("b", keeper.AppendAnswer(3, True, 2, 0), now)
+    made.heard("b", raft_node.AppendAnswer(3, True, 2, 0), now)
     assert made.committed == 2
 
 
 def test_members_change_one_at_a_time_and_not_before_an_entry_of_the_leaders_own_term():
     made, now = leader()
     assert made.change(("a", "b", "c"), ("d",), now)[0] == 0  # nothing of its term is committed yet
-    made.heard("b", keeper.AppendAnswer(1, True, 1, 0), now)
+    made.heard("b", raft_node.AppendAnswer(1, True, 1, 0), now)
     assert made.change(("a", "b", "c", "d"), (), now)[0] == 0  # no learner yet
     assert made.change(("a", "b", "c"), ("d",), now)[0] == 2
     assert made.change(("a", "b", "c", "d"), (), now)[0] == 0  # the last change is not committed
     made.synced(made.number, now)
-    made.heard("b", keeper.AppendAnswer(1, True, 2, 0), now)
+    made.heard("b", raft_node.AppendAnswer(1, True, 2, 0), now)
     assert made.change(("a", "d"), (), now)[0] == 0  # two at once
     assert made.change(("a", "b", "c", "d"), (), now)[0] == 3
 
 
 def test_a_leader_that_hears_no_majority_leads_no_more_and_tells_its_reads():
     made, now = leader()
-    made.heard("b", keeper.AppendAnswer(1, True, 1, 0), now)
+    made.heard("b", raft_node.AppendAnswer(1, True, 1, 0), now)
     made.read("t", now)
-    done = made.due(now + 400 * keeper.MS)
+    done = made.due(now + 400 * raft_node.MS)
     assert Leads(False, 1) in done and Current("t", -1) in done
     assert made.propose("x", now)[0] == 0
 
@@ -182,20 +194,20 @@
     made, now = leader()
     assert Leads(False, 1) in made.not_kept(now)
     assert (
-        made.heard("b", Vote(9, 9, 9, False, False), now + keeper.S) == []
-        and made.due(now + 9 * keeper.S) == []
+        made.heard("b", Vote(9, 9, 9, False, False), now + raft_node.S) == []
+        and made.due(now + 9 * raft_node.S) == []
     )
 
 
 def test_leadership_goes_on_to_one_that_has_the_whole_log():
     made, now = leader()
-    made.heard("b", keeper.AppendAnswer(1, True, 1, 0), now)
-    assert made.moves("b", now) == [Send("b", keeper.Stand(1))]
+    made.heard("b", raft_node.AppendAnswer(1, True, 1, 0), now)
+    assert made.moves("b", now) == [Send("b", raft_node.Stand(1))]
     assert made.propose("x", now)[0] == 0
     other = Keeper("b", THREE, lambda _: 0.0, 0)
-    other.heard("a", keeper.Append(1, 0, 0, [Entry(1, 1, "nothing", None)], 1, 1), now)
+    other.heard("a", raft_node.Append(1, 0, 0, [Entry(1, 1, "nothing", None)], 1, 1), now)
     other.synced(other.number, now)
-    done = other.heard("a", keeper.Stand(1), now)
+    done = other.heard("a", raft_node.Stand(1), now)
     done += other.synced(other.number, now)
     assert {a.to for a in done if isinstance(a, Send) and a.message.moved} == {"a", "c"}
 
@@ -427,14 +439,14 @@
 
 def test_a_newcomer_takes_the_place_of_its_former_self_in_three_steps():
     keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), Chance("k1", 1), 0)
-    keeper.role, steps = Role.LEADER, []
+    raft_node.role, steps = Role.LEADER, []
     for _ in range(6):
         step = takes_in(keeper, {"k0^9": 0, "stranger": 0}, ("k0", "k1", "k2"), 0)
         if step is None:
             break
         steps.append(step)
-        keeper.base_config = Config(*step)
-        keeper.match["k0^9"] = keeper.committed
+        raft_node.base_config = Config(*step)
+        raft_node.match["k0^9"] = raft_node.committed
     assert steps == [
         (("k0", "k1", "k2"), ("k0^9",)),
         (("k0", "k1", "k2", "k0^9"), ()),
@@ -444,9 +456,9 @@
 
 def test_voters_follow_the_names_of_the_file_one_at_a_time():
     keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), Chance("k1", 1), 0)
-    keeper.role = Role.LEADER
+    raft_node.role = Role.LEADER
     assert takes_in(keeper, {}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ())
-    keeper.base_config = Config(("k1", "k2"), ())
+    raft_node.base_config = Config(("k1", "k2"), ())
     assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ("k3",))
     assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 9 * 10**9) is None  # it is not there any more
 
--- a/tests/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -3,15 +3,15 @@
 import msgspec
 import pytest
 
-from sprucegate.fleet.chance import Chance
-from sprucegate.fleet.keeping import Keeping, packed
+from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.outgoing import FACTS_MOST, PIECES_MOST, SAID_MOST, Outgoing
-from sprucegate.fleet.members import swim
+from sprucegate.fleet.random_source import Chance
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, Facts, Joined
-from sprucegate.interface import Believed, Resting
-from sprucegate.state import records
+from sprucegate.fleet.replica_storage import Keeping, packed
+from sprucegate.routing.interface import Believed, Resting
+from sprucegate.storage import records
 from standins.disk import Crashed, FaultyDisk
 
 MEMBER = swim.Member("n0", "127.0.0.1:1", 1 << 40, 2, 1, "n1")
--- a/tests/test_fleet_links_lack.py
+++ b/tests/fleet/test_fleet_links_lack.py
@@ -5,9 +5,9 @@
 
 import pytest
 
+from sprucegate.fleet.failure_detector.swim import Ping
 from sprucegate.fleet.links import codec, links
 from sprucegate.fleet.links.links import Links
-from sprucegate.fleet.members.swim import Ping
 from standins.ports import free_port
 
 
--- a/tests/test_fleet_rig.py
+++ b/tests/fleet/test_fleet_rig.py
@@ -11,7 +11,7 @@
 import pytest
 
 from sprucegate.fleet.links import codec
-from sprucegate.state import records
+from sprucegate.storage import records
 from standins.fleet.rig import Rig
 
 THING = 0x7F3A9C21E0B4D655
--- a/tests/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from sprucegate.fleet.agreement import following
-from sprucegate.fleet.agreement.fitness import Begins, Begun
-from sprucegate.fleet.agreement.following import (
+from sprucegate.fleet.consensus import codec, log_follower
+from sprucegate.fleet.consensus.durability_check import Begins, Begun
+from sprucegate.fleet.consensus.log_follower import (
     Applied,
     Entries,
     Follow,
@@ -19,7 +19,7 @@
     State,
     Word,
 )
-from sprucegate.fleet.agreement.keeper import (
+from sprucegate.fleet.consensus.raft_node import (
     Append,
     AppendAnswer,
     Config,
@@ -30,8 +30,7 @@
     VoteAnswer,
     Whole,
 )
-from sprucegate.fleet.chance import Chance
-from sprucegate.fleet.links import agreed
+from sprucegate.fleet.random_source import Chance
 from sprucegate.fleet.rollout import gates
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.gates import Seen, Verdict
@@ -689,8 +688,8 @@
 
 
 def test_each_word_of_the_log_comes_as_it_went():
-    assert [agreed.unpacked(*agreed.packed(said)) for said in SAID] == SAID
-    assert {type(said) for said in SAID} == set(agreed.KINDS[1:])
+    assert [codec.unpacked(*codec.packed(said)) for said in SAID] == SAID
+    assert {type(said) for said in SAID} == set(codec.KINDS[1:])
 
 
 @pytest.mark.parametrize(
@@ -707,14 +706,14 @@
     ],
 )
 def test_a_word_that_would_trip_all_is_refused_at_the_door(said):
-    with pytest.raises(agreed.Unreadable):
-        agreed.unpacked(*agreed.packed(said))
+    with pytest.raises(codec.Unreadable):
+        codec.unpacked(*codec.packed(said))
 
 
 @pytest.mark.parametrize("number, data", [(0, b""), (99, b""), (1, b"\xc1"), (1, b"\x90")])
 def test_bytes_that_are_no_word_are_refused(number, data):
-    with pytest.raises(agreed.Unreadable):
-        agreed.unpacked(number, data)
+    with pytest.raises(codec.Unreadable):
+        codec.unpacked(number, data)
 
 
 def test_who_reports_of_boxes_that_are_none_or_under_many_names_fills_no_memory(monkeypatch):
@@ -724,7 +723,7 @@
     for at in range(50):
         leading.due(heard(at * S, rows=[[f"none-{at}-{n}", at, 0, 0, 0, 0, 1] for n in range(20)]), at * S)
     assert not leading.totals and not leading.starts and all(not rows for *_, rows in leading.told.values())
-    monkeypatch.setattr(following, "FOLLOWERS_MOST", 5)
+    monkeypatch.setattr(log_follower, "FOLLOWERS_MOST", 5)
     _, one = serving()
     for at in range(50):
         one.heard(f"n{at}", Follow(0, 1, at, []), at)
--- a/tests/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -10,19 +10,19 @@
 
 import pytest
 
-from sprucegate.documents.places import Faulty
+from sprucegate.cli import operator_file
+from sprucegate.config.source_locations import Faulty
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.codec import Unreadable
-from sprucegate.fleet.shares import places
-from sprucegate.fleet.shares.lease import Borrower
-from sprucegate.fleet.shares.part import packed, unpacked
-from sprucegate.fleet.shares.places import Learned
-from sprucegate.fleet.shares.queue import Queue, Source, tenant_of
-from sprucegate.fleet.shares.shares import Shares
-from sprucegate.fleet.shares.steward import Steward
-from sprucegate.fleet.shares.terms import LEASE, GiveUp, Lent, Moved, Need, Send, Start, Terms, later
-from sprucegate.interface import Wait
-from sprucegate.operator import file
+from sprucegate.fleet.quotas import places
+from sprucegate.fleet.quotas.lease import Borrower
+from sprucegate.fleet.quotas.part import packed, unpacked
+from sprucegate.fleet.quotas.places import Learned
+from sprucegate.fleet.quotas.queue import Queue, Source, tenant_of
+from sprucegate.fleet.quotas.shares import Shares
+from sprucegate.fleet.quotas.steward import Steward
+from sprucegate.fleet.quotas.terms import LEASE, GiveUp, Lent, Moved, Need, Send, Start, Terms, later
+from sprucegate.routing.interface import Wait
 from standins.fleet import explore_shares, filling, sharing
 from standins.fleet.rig import Rig
 from tests.helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, router
@@ -377,7 +377,7 @@
 
 
 def test_the_file_says_tenants_places_and_fronts():
-    node = file.parse(GOOD, "f.kdl").shares
+    node = operator_file.parse(GOOD, "f.kdl").shares
     assert node.weights == [(1, 0), (4, 0), (1, 1)] and node.counts == {"parent": 8, "origin": 2}
     assert node.listed == {b"gold": 1, b"iron": 2} and node.names == ["common", "gold", "iron"]
 
@@ -399,7 +399,7 @@
 )
 def test_a_file_that_can_not_be_is_refused_with_file_line_and_key(old, new, line, key):
     with pytest.raises(Faulty) as fault:
-        file.parse(GOOD.replace(old, new), "f.kdl")
+        operator_file.parse(GOOD.replace(old, new), "f.kdl")
     assert str(fault.value).startswith(f"f.kdl:{line}: {key}")
 
 
--- a/tests/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -5,11 +5,11 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from sprucegate.fleet.keeping import Keeping
-from sprucegate.fleet.members.swim import Members
+from sprucegate.fleet.failure_detector.swim import Members
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, Facts, Joined, State
 from sprucegate.fleet.replica.seen import Seen
+from sprucegate.fleet.replica_storage import Keeping
 from standins.fleet import checkers, explore
 from standins.fleet.schedules import played
 from standins.fleet.simulated import Fleet, S
--- a/tests/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -6,15 +6,25 @@
 
 import pytest
 
-from sprucegate.fleet.chance import Chance
+from sprucegate.fleet.failure_detector import swim
+from sprucegate.fleet.failure_detector.swim import (
+    All,
+    Answered,
+    Look,
+    Member,
+    Members,
+    Ping,
+    Refused,
+    Send,
+    Stands,
+)
+from sprucegate.fleet.failure_detector.swim import Standing as Word
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.members import swim
-from sprucegate.fleet.members.swim import All, Answered, Look, Member, Members, Ping, Refused, Send, Stands
-from sprucegate.fleet.members.swim import Standing as Word
-from sprucegate.fleet.views import careful
-from sprucegate.fleet.views.careful import Action, Own, OwnAction
-from sprucegate.fleet.views.standing import Known, Standing
-from sprucegate.fleet.views.views import HOLD, STILL, Views
+from sprucegate.fleet.membership_view import careful
+from sprucegate.fleet.membership_view.careful import Action, Own, OwnAction
+from sprucegate.fleet.membership_view.standing import Known, Standing
+from sprucegate.fleet.membership_view.views import HOLD, STILL, Views
+from sprucegate.fleet.random_source import Chance
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
 from standins.fleet.schedules import played
--- a/tests/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -12,14 +12,13 @@
 from helpers import REAL, cache, get_text, host, served
 
 from sprucegate.assembly import run as assembly
-from sprucegate.front import driver
-from sprucegate.front.lifecycle import configuration
-from sprucegate.front.memory.connections import Client
-from sprucegate.front.memory.pool import Pool
+from sprucegate.front import configuration, driver
+from sprucegate.front.buffer_pool import Pool
+from sprucegate.front.client_connections import Client
+from sprucegate.front.connection_reader import TakeIn
 from sprucegate.front.protocol.http import RequestReader
-from sprucegate.front.stages.take_in import TakeIn
-from sprucegate.interface import Outcome
-from sprucegate.servers.lines.codec import AnswerReader
+from sprucegate.routing.interface import Outcome
+from sprucegate.upstream.lines.codec import AnswerReader
 
 
 def wanted(dial=None):
--- a/tests/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -36,9 +36,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from hypothesis.strategies import booleans
 
-from sprucegate.front.memory.connections import Client, Phase
+from sprucegate.front.client_connections import Client, Phase
 from sprucegate.front.protocol.http import RequestReader
-from sprucegate.interface import Outcome
+from sprucegate.routing.interface import Outcome
 from standins.driver import Recorder
 from standins.processes import Process
 
--- a/tests/test_deadline_sent.py
+++ b/tests/front/test_deadline_sent.py
@@ -7,7 +7,7 @@
 from crossing import SLOW_TO_CONNECT, goes_on, key, stopped, two, uphill
 from helpers import get_text
 
-from sprucegate.interface import Outcome
+from sprucegate.routing.interface import Outcome
 from standins.driver import Recorder
 
 SLACK = 0.15
--- a/tests/test_front.py
+++ b/tests/front/test_front.py
@@ -15,10 +15,9 @@
 import pytest
 from helpers import REAL, Front, bus, cache, get_text, host, refuses_first, served
 
-from sprucegate.front import driver
-from sprucegate.front.lifecycle import configuration
-from sprucegate.front.memory.connections import Client
-from sprucegate.front.memory.pool import Pool
+from sprucegate.front import configuration, driver
+from sprucegate.front.buffer_pool import Pool
+from sprucegate.front.client_connections import Client
 from sprucegate.front.protocol.http import RequestReader
 
 
--- a/tests/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -6,13 +6,13 @@
 import pytest
 from helpers import REAL, get_text, served
 
-from sprucegate.front.lifecycle import configuration
-from sprucegate.front.memory.pool import Pool
+from sprucegate.front import configuration
+from sprucegate.front.admission import admit
+from sprucegate.front.buffer_pool import Pool
 from sprucegate.front.protocol import bus
 from sprucegate.front.protocol.http import HEAD_MOST, RequestReader
-from sprucegate.front.stages.admit import admit
-from sprucegate.interface import Forward, Found, Outcome, State
-from sprucegate.servers.lines import codec
+from sprucegate.routing.interface import Forward, Found, Outcome, State
+from sprucegate.upstream.lines import codec
 
 
 @pytest.mark.parametrize("cut", range(1, len(get_text(body=b"abc")), 7))
--- a/tests/test_invariants.py
+++ b/tests/front/test_invariants.py
@@ -8,10 +8,10 @@
 from crossing import key, two
 from helpers import SETTINGS, get_text, served
 
+from sprucegate.front.client_connections import Phase
 from sprucegate.front.invariants import ANSWER_LATE, GONE_LATE, WAIT_SLACK, Invariants
-from sprucegate.front.memory.connections import Phase
-from sprucegate.front.memory.gets import OpenForward, OpenGet
-from sprucegate.interface import Asked
+from sprucegate.front.open_requests import OpenForward, OpenGet
+from sprucegate.routing.interface import Asked
 
 S, NOW = 1_000_000_000, 100 * 1_000_000_000
 
--- a/tests/test_shape.py
+++ b/tests/front/test_shape.py
@@ -7,9 +7,9 @@
 import pytest
 from helpers import NOW, REAL, Front, asked, cache, get_text, host, router, served
 
-from sprucegate.front.lifecycle import configuration
-from sprucegate.interface import Found, Outcome
-from sprucegate.rules import MS
+from sprucegate.front import configuration
+from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.router import MS
 
 # Settings as the platform sends them for each shape, times in microseconds; names are those of the wire.
 OLD = {
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,8 +10,8 @@
 import threading
 import time
 
-from sprucegate.interface import Asked, Listed, State
-from sprucegate.rules import MS, Router, S
+from sprucegate.routing.interface import Asked, Listed, State
+from sprucegate.routing.router import MS, Router, S
 from standins.faults import Faults
 from standins.ports import free_port
 
--- a/tests/test_rendezvous.py
+++ b/tests/routing/test_rendezvous.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sprucegate.rendezvous import Rendezvous, label_of, lane_of, mixed, score
+from sprucegate.routing.rendezvous import Rendezvous, label_of, lane_of, mixed, score
 
 
 def group(count, weights, seed=1):
--- a/tests/test_rules.py
+++ b/tests/routing/test_router.py
@@ -3,8 +3,8 @@
 import pytest
 from helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, entry, node, router
 
-from sprucegate.interface import Believed, Errored, Forward, Found, Outcome, Resting, Shed, State
-from sprucegate.rules import (
+from sprucegate.routing.interface import Believed, Errored, Forward, Found, Outcome, Resting, Shed, State
+from sprucegate.routing.router import (
     ANSWER_MARGIN,
     CAP,
     KEEP_COUNT,
--- a/tests/test_cold_fleet.py
+++ b/tests/routing/test_slow_start_of_many_routers.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import NOW, SETTINGS, asked, entry
 
-from sprucegate.interface import Forward, Found, Outcome
-from sprucegate.rules import MS, Router, S
+from sprucegate.routing.interface import Forward, Found, Outcome
+from sprucegate.routing.router import MS, Router, S
 
 CACHES, ORIGIN, COLD = (11, 12, 13, 14, 15, 16), 31, 16
 SERVICE = 40 * MS
--- a/tests/test_wire.py
+++ b/tests/simulator/test_simulator.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from sprucegate.interface import Found, Outcome
-from sprucegate.wire.codec import Line, Malformed
-from sprucegate.wire.settings import settings_from
-from sprucegate.wirehost import run
+from sprucegate.routing.interface import Found, Outcome
+from sprucegate.simulator.codec import Line, Malformed
+from sprucegate.simulator.process import run
+from sprucegate.simulator.settings import settings_from
 
 INIT = (
     "init\ti=0\tentropy=5\tcategories.count=1\tcategories.0.aim=400000\tcategories.0.effect=pure"
--- a/tests/test_state.py
+++ b/tests/storage/test_storage.py
@@ -8,10 +8,10 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from sprucegate.state import records
-from sprucegate.state.disk import Disk
-from sprucegate.state.log import Log
-from sprucegate.state.snapshots import VERSION, Snapshots
+from sprucegate.storage import records
+from sprucegate.storage.disk import Disk
+from sprucegate.storage.log import Log
+from sprucegate.storage.snapshots import VERSION, Snapshots
 from standins.disk import Crashed, FaultyDisk
 
 S = 1_000_000_000
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -26,9 +26,9 @@
 
 def test_walks_are_alike_by_seed_and_tell_a_changed_decision(monkeypatch):
     from benchmarks.same import Walk
-    from sprucegate import rules
+    from sprucegate.routing import router
 
     first = Walk(1).run(400)
     assert Walk(1).run(400) == first != Walk(2).run(400)
-    monkeypatch.setattr(rules, "RETRY_SHARE", 0.1)
+    monkeypatch.setattr(router, "RETRY_SHARE", 0.1)
     assert Walk(1).run(400) != first
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""No import runs from a lower room to a higher one, and what holds that can fail."""
+"""No import runs from a lower layer to a higher one, and what holds that can fail."""
 
 import pathlib
 import subprocess
@@ -29,10 +29,10 @@
         (ROOT / "pyproject.toml")
         .read_text()
         .replace(
-            '"rules",\n    "rendezvous",\n    "interface : clock"',
-            '"interface : clock",\n    "rules",\n    "rendezvous"',
+            '"simulator | config | storage",\n    "routing"',
+            '"routing",\n    "simulator | config | storage"',
         )
     )
     (tmp_path / "pyproject.toml").write_text(turned)
     done = linted(tmp_path / "pyproject.toml")
-    assert done.returncode == 1 and "sprucegate.rules -> sprucegate.interface" in done.stdout
+    assert done.returncode == 1 and "sprucegate.simulator -> sprucegate.routing" in done.stdout
--- a/tests/test_http2_pool.py
+++ b/tests/upstream/test_http2_pool.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sprucegate.interface import Outcome
-from sprucegate.servers.http2.limits import MS, Limits, S
-from sprucegate.servers.http2.pool import Close, Open, Phase, Ping, Pool, Refuse, Send
+from sprucegate.routing.interface import Outcome
+from sprucegate.upstream.http2.limits import MS, Limits, S
+from sprucegate.upstream.http2.pool import Close, Open, Phase, Ping, Pool, Refuse, Send
 
 NOW = 1000 * S
 
--- a/tests/test_http2_session.py
+++ b/tests/upstream/test_http2_session.py
@@ -8,11 +8,11 @@
 from h2.events import DataReceived, RequestReceived, StreamEnded, StreamReset
 from h2.settings import SettingCodes, Settings
 
-from sprucegate.front.memory.gets import OpenGet
-from sprucegate.interface import Asked, Forward, Found, Outcome
-from sprucegate.servers.http2 import evidence, mapping
-from sprucegate.servers.http2.evidence import Written
-from sprucegate.servers.http2.session import (
+from sprucegate.front.open_requests import OpenGet
+from sprucegate.routing.interface import Asked, Forward, Found, Outcome
+from sprucegate.upstream.http2 import evidence, mapping
+from sprucegate.upstream.http2.evidence import Written
+from sprucegate.upstream.http2.session import (
     Acknowledged,
     Answered,
     GoneAway,
--- a/tests/test_http2_transport.py
+++ b/tests/upstream/test_http2_transport.py
@@ -6,8 +6,8 @@
 
 import uvloop
 
-from sprucegate.interface import Outcome, State
-from sprucegate.servers.http2.limits import MS, Limits
+from sprucegate.routing.interface import Outcome, State
+from sprucegate.upstream.http2.limits import MS, Limits
 from standins.driver import Recorder
 from standins.http2 import REFUSED_STREAM, Running, goaway
 
