--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -10,8 +10,10 @@
 from collections import Counter
 from itertools import count
 
-from sprucegate.routing.interface import Asked, Forward, Found, Listed, Outcome, State
+from sprucegate.routing.actions import SendAttempt
+from sprucegate.routing.events import AttemptOutcome, CacheStatus, Endpoint, EndpointState, Request
 from sprucegate.routing.router import MS, Router, S
+from sprucegate.routing.settings import RoutingSettings
 
 CACHES, PARENTS, ORIGIN = tuple(range(11, 19)), (21, 22), 31
 SETTINGS = {
@@ -46,14 +48,14 @@
         self.counts, self.counting = Counter(), False
 
     def fresh(self, at):
-        made = Router({**SETTINGS, "my_number": at}, 7, self.now)
-        made.listed([self.entry(c) for c in (*CACHES, *PARENTS, ORIGIN)], True, self.now)
+        made = Router(RoutingSettings.from_mapping({**SETTINGS, "my_number": at}), 7, self.now)
+        made.update_endpoints([self.entry(c) for c in (*CACHES, *PARENTS, ORIGIN)], True, self.now)
         return made
 
     def entry(self, at):
         kind = 3 if at == ORIGIN else 2 if at in PARENTS else 0
-        state = State.DRAINING if at in self.drained else State.SERVING
-        return Listed(at, 0, kind, 0, state, 1.0, self.started.get(at, 0))
+        state = EndpointState.DRAINING if at in self.drained else EndpointState.SERVING
+        return Endpoint(at, 0, kind, 0, state, 1.0, self.started.get(at, 0))
 
     def at(self, when, action, *given):
         heapq.heappush(self.events, (when, next(self.order), action, given))
@@ -75,22 +77,22 @@
             )
 
     def hears(self, at, entry):
-        self.routers[at].listed([entry], False, self.now)
+        self.routers[at].update_endpoints([entry], False, self.now)
 
     def ask(self):
         self.at(self.now + int(self.chance.expovariate(RATE) * S), self.ask)
         front = 0 if self.chance.random() < self.share else 1 + self.chance.randrange(self.fronts - 1)
         obj = int(OBJECTS * self.chance.random() ** 3)
-        asked = Asked(f"g{next(self.ids)}", obj, 0, 0, 0, 20, False, False, S)
+        asked = Request(f"g{next(self.ids)}", obj, 0, 0, 0, 20, False, False, S)
         router = self.routers[front]
-        get = router.take(asked, self.now)
+        get = router.start_request(asked, self.now)
         self.counts["gets"] += self.counting
         self.done(router, get, get.route(self.now), self.now)
 
     def done(self, router, get, actions, begun):
         for one in actions:
-            if isinstance(one, Forward):
-                what, spent = self.serve(one, get.asked.object)
+            if isinstance(one, SendAttempt):
+                what, spent = self.serve(one, get.request.object)
                 self.at(self.now + spent, self.ends, router, get, one, what, spent, begun)
 
     def serve(self, sent, obj):
@@ -98,39 +100,42 @@
         held = self.holds.get(sent.cache, ())
         if obj in held:
             return "hit", TIMES["hit"]
-        if sent.source != sent.cache and obj in self.holds.get(sent.source, ()):
-            what = "parent" if sent.source in PARENTS else "sibling"
+        if sent.fill_source != sent.cache and obj in self.holds.get(sent.fill_source, ()):
+            what = "parent" if sent.fill_source in PARENTS else "sibling"
             return what, TIMES[what]
-        if sent.held_only or sent.source == sent.cache:
+        if sent.only_if_cached or sent.fill_source == sent.cache:
             return "lacking", 5 * MS
         return "origin", TIMES["origin"]
 
     def ends(self, router, get, sent, what, spent, begun):
         found = {
-            "hit": Found.HIT,
-            "sibling": Found.FILLED,
-            "parent": Found.FILLED,
-            "origin": Found.FILLED_BY_ORIGIN,
-            "lacking": Found.SOURCE_LACKS,
+            "hit": CacheStatus.HIT,
+            "sibling": CacheStatus.FILLED,
+            "parent": CacheStatus.FILLED,
+            "origin": CacheStatus.FILLED_BY_ORIGIN,
+            "lacking": CacheStatus.FILL_SOURCE_MISS,
         }[what]
-        outcome = Outcome.MISS if what == "lacking" else Outcome.RETURNED
+        outcome = AttemptOutcome.MISS if what == "lacking" else AttemptOutcome.RETURNED
         self.counts[what] += self.counting
-        if outcome is Outcome.RETURNED:
-            for at in (sent.cache, sent.source):
+        if outcome is AttemptOutcome.RETURNED:
+            for at in (sent.cache, sent.fill_source):
                 if at in CACHES or at in PARENTS:
-                    self.holds[at].add(get.asked.object)
+                    self.holds[at].add(get.request.object)
             self.counts["in_time"] += self.counting and self.now - begun <= SETTINGS["latency_objective"][0]
         waited = spent - TIMES["hit"] if what not in ("hit", "lacking") else 0
         self.done(
-            router, get, get.ended(sent.number, outcome, found, spent, waited, {}, False, self.now), begun
+            router,
+            get,
+            get.attempt_ended(sent.number, outcome, found, spent, waited, {}, False, self.now),
+            begun,
         )
 
     def exchange(self):
         self.at(self.now + S, self.exchange)
         for at, router in enumerate(self.routers):
-            said = router.tells(728, self.now)
+            said = router.gossip_to_send(728, self.now)
             for other in range(1, 5):
-                self.routers[(at + other) % self.fronts].hears(said, 5 * MS, self.now)
+                self.routers[(at + other) % self.fronts].receive_gossip(said, 5 * MS, self.now)
 
 
 def played(mode, seed, fronts=10, share=0.1):
--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -13,7 +13,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.http2_closes import soak
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 from sprucegate.upstream.http2.limits import Limits, S
 from sprucegate.upstream.http2.session import Session
 from sprucegate.upstream.lines import transport as lines_transport
@@ -49,7 +49,7 @@
     await asyncio.gather(*[future for out, future in recorder.waiting.items() if not future.done()])
     cpu = time.process_time() - cpu
     await asyncio.sleep(0)
-    bad = sum(recorder.ends[out][0] is not Outcome.RETURNED for out in recorder.ends)
+    bad = sum(recorder.ends[out][0] is not AttemptOutcome.RETURNED for out in recorder.ends)
     for one in ends:
         latencies.record_value(int(one * 1e6))
     place = recorder.servers.places[1]
--- a/benchmarks/http2_closes.py
+++ b/benchmarks/http2_closes.py
@@ -20,7 +20,7 @@
 from sprucegate.assembly import run
 from sprucegate.cli.operator_file import parse
 from sprucegate.front import configuration
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 from standins.processes import Process
 
 KDL = """servers {
@@ -225,9 +225,11 @@
 def figures(orders, ends, said, lines, closes, seconds, events):
     ran = Counter((call_id, int(attempt)) for call_id, attempt, _ in lines)
     ran_ids = Counter(call_id for call_id, _, _ in lines)
-    never = {key for key, outcome in said.items() if outcome.never_ran}
+    never = {key for key, outcome in said.items() if outcome.never_executed}
     maybe = {
-        key for key, outcome in said.items() if outcome in (Outcome.RESET, Outcome.TIMED_OUT, Outcome.ERROR)
+        key
+        for key, outcome in said.items()
+        if outcome in (AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT, AttemptOutcome.ERROR)
     }
     again = {call_id for call_id, _ in never}
     gets = again - orders
@@ -239,7 +241,7 @@
         "orders_duplicated": sum(ran_ids[call_id] > 1 for call_id in orders),
         "gets_lost": sum(status == 0 for status, _ in ends.values()),
         "false_never_ran": sum(key in ran for key in never),
-        "never_ran": len(never),
+        "never_executed": len(never),
         "may_have_run": len(maybe),
         "may_have_run_but_had_not": sum(key not in ran for key in maybe),
         "recovered_share": _share(ends, gets),
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -20,7 +20,7 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from benchmarks import exchange
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica.facts import Fact
 from sprucegate.fleet.replica.replica import Replica
 from sprucegate.fleet.replica_storage import PIECE, Keeping, packed
@@ -219,7 +219,7 @@
         with open("/proc/self/statm") as file:
             return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
-    made, before = Replica("n1", 1, Chance("n1", 1), 0), rss()
+    made, before = Replica("n1", 1, RandomSource("n1", 1), 0), rss()
     for n in range(count):
         made.facts.join(Fact(("purge", "object", n), (n + 1,), ("n0", 1 << 32, n + 1)))
     return (rss() - before) / count
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -51,19 +51,24 @@
     """One Router, fed by a seed; every action that it asks for goes into the digest."""
 
     def __init__(self, seed):
-        from sprucegate.routing.interface import Asked, Found, Listed, Outcome, State
+        from sprucegate.routing.events import AttemptOutcome, CacheStatus, Endpoint, EndpointState, Request
         from sprucegate.routing.router import Router
+        from sprucegate.routing.settings import RoutingSettings
 
         self.asked, self.listed_as, self.outcomes, self.found, self.state = (
-            Asked,
-            Listed,
-            Outcome,
-            Found,
-            State,
+            Request,
+            Endpoint,
+            AttemptOutcome,
+            CacheStatus,
+            EndpointState,
         )
         self.chance, self.now, self.digest = random.Random(seed), 1000 * S, hashlib.sha256()
-        self.router, self.ends, self.order = Router(SETTINGS, seed, self.now), [], count()
-        self.router.listed([self.entry(at) for at in (*CACHES, *PARENTS, ORIGIN)], True, self.now)
+        self.router, self.ends, self.order = (
+            Router(RoutingSettings.from_mapping(SETTINGS), seed, self.now),
+            [],
+            count(),
+        )
+        self.router.update_endpoints([self.entry(at) for at in (*CACHES, *PARENTS, ORIGIN)], True, self.now)
 
     def entry(self, at, state="SERVING", started=0):
         kind = 3 if at == ORIGIN else 2 if at in PARENTS else 0
@@ -89,7 +94,7 @@
             False,
             self.chance.choice((300 * MS, 3 * S)),
         )
-        get = self.router.take(asked, self.now)
+        get = self.router.start_request(asked, self.now)
         self.said(get, get.route(self.now))
 
     def ends_due(self):
@@ -101,7 +106,7 @@
             found = (
                 self.chance.choice(list(self.found))
                 if outcome.name in ("RETURNED", "ERROR")
-                else self.found.UNTOLD
+                else self.found.UNKNOWN
             )
             load = {"inflight": self.chance.randrange(9)} if self.chance.random() < 0.3 else {}
             self.said(get, get.ended(action.number, outcome, found, took, 0, load, False, self.now))
@@ -110,19 +115,19 @@
         at = self.chance.choice((*CACHES, *PARENTS))
         kind = self.chance.random()
         if kind < 0.4:
-            self.router.listed([self.entry(at, "DRAINING")], False, self.now)
+            self.router.update_endpoints([self.entry(at, "DRAINING")], False, self.now)
         elif kind < 0.8:
-            self.router.listed(
+            self.router.update_endpoints(
                 [self.entry(at, started=self.now - self.chance.randrange(5 * S))], False, self.now
             )
         else:
-            self.router.purged(self.chance.randrange(50), -1, self.chance.randrange(S), self.now)
+            self.router.invalidate(self.chance.randrange(50), -1, self.chance.randrange(S), self.now)
 
     def run(self, steps):
         for number in range(steps):
             self.now += int(self.chance.expovariate(1 / (10 * MS)))
             self.ends_due()
-            for get, actions in self.router.due(self.now):
+            for get, actions in self.router.on_timer(self.now):
                 self.said(get, actions)
             self.asks(number)
             if self.chance.random() < 0.02:
--- a/benchmarks/serverfiles.py
+++ b/benchmarks/serverfiles.py
@@ -28,9 +28,9 @@
 from sprucegate.discovery.listfile import render
 from sprucegate.discovery.view import Server
 from sprucegate.front import configuration
-from sprucegate.routing.interface import Listed, State
-from sprucegate.storage.snapshots import Snapshots
-from sprucegate.upstream.hosts import number_of
+from sprucegate.routing.events import Endpoint, EndpointState
+from sprucegate.storage.snapshots import SnapshotStore
+from sprucegate.upstream.hosts import endpoint_id
 from standins import lines
 from standins.disk import Crashed, FaultyDisk
 
@@ -39,8 +39,8 @@
 S = 1_000_000_000
 
 
-def server(name, address, kind=0, state=State.SERVING, weight=1.0):
-    return Server(Listed(number_of(name), 0, kind, 0, state, weight, 0), name, address)
+def server(name, address, kind=0, state=EndpointState.SERVING, weight=1.0):
+    return Server(Endpoint(endpoint_id(name), 0, kind, 0, state, weight, 0), name, address)
 
 
 class Box(lines.Server):
@@ -134,7 +134,9 @@
             if len(draining) > 3:
                 lifted = draining.pop(0)
         listed = [
-            server(b.name, b.address, 0, State.DRAINING if b.name in draining else State.SERVING)
+            server(
+                b.name, b.address, 0, EndpointState.DRAINING if b.name in draining else EndpointState.SERVING
+            )
             for b in boxes
         ]
         text = render([*listed, server(root.name, root.address, 2)], LOCATIONS, KINDS) + f"// {count}\n"
@@ -364,7 +366,7 @@
             chance.randrange(1, 40): chance.choice(["short", "lost", OSError(28, "full")]) for _ in range(2)
         }
         disk, written, said = FaultyDisk(seed, chance.randrange(1, 40), lost), {}, 0
-        kept = Snapshots(disk, "/s", "servers")
+        kept = SnapshotStore(disk, "/s", "servers")
         try:
             for generation in range(1, 12):
                 written[generation] = b"list %d;" % generation * chance.randrange(1, 400)
@@ -372,7 +374,7 @@
                     said = generation
         except Crashed:
             pass
-        taken, _ = Snapshots(disk.after_crash(), "/s", "servers").newest(20 * S, 100 * S)
+        taken, _ = SnapshotStore(disk.after_crash(), "/s", "servers").newest(20 * S, 100 * S)
         torn += taken is not None and taken.payload != written.get(taken.generation)
         newest += taken is not None and taken.generation >= said
         former += taken is not None and taken.generation < said
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -8,8 +8,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from sprucegate.fleet.failure_detector.swim import Member, Standing
-from sprucegate.fleet.membership_view.views import Views
+from sprucegate.fleet.failure_detector.swim import Member, MemberState
+from sprucegate.fleet.membership_view.views import ViewTracker
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
 from standins.fleet.schedules import played
@@ -99,9 +99,9 @@
 
 def flaps():
     """How many of twenty losses in a row, two seconds apart, a front was kept out after."""
-    views, out = Views(0), 0
+    views, out = ViewTracker(0), 0
     for life in range(1, 21):
-        for word, at in ((Standing.ALIVE, 0), (Standing.GONE, S)):
+        for word, at in ((MemberState.ALIVE, 0), (MemberState.GONE, S)):
             now = life * 2 * S + at
             views.member(Member("b", "at-b", life << 32, 0, int(word), "b"), now)
             views.due(now)
--- a/sprucegate/__main__.py
+++ b/sprucegate/__main__.py
@@ -25,7 +25,7 @@
         return command(prog_name="sprucegate")
     try:
         wanted = configuration.read(os.environ)
-    except configuration.Faulty as fault:
+    except configuration.FrontConfigurationError as fault:
         print(f"sprucegate: {fault}", file=sys.stderr)
         return 2
     # What the start built stays: the collector need not walk it for the rest of the day.
--- a/sprucegate/assembly/keep.py
+++ b/sprucegate/assembly/keep.py
@@ -6,10 +6,10 @@
 
 import orjson
 
-from sprucegate.fleet.consensus.driver import Agreed
+from sprucegate.fleet.consensus.driver import ConsensusDriver
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.links.links import KEEPER_MOST, Links
-from sprucegate.fleet.maintenance_agent import Node
+from sprucegate.fleet.links.links import VOTER_CONNECTIONS_MAX, PeerLinks
+from sprucegate.fleet.maintenance_agent import ConsensusSettings
 
 
 async def keep(name, fleet, agreement, rollout, log, **trusted):
@@ -22,7 +22,7 @@
         return codec.Greeting(codec.VERSION, fleet.name, "front", name, own, life)
 
     def heard(_, message):
-        if isinstance(message, codec.Routed):
+        if isinstance(message, codec.ConsensusFrame):
             agreed.heard(message)
 
     async def asked(question):
@@ -30,9 +30,15 @@
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known to a keeper"})
         return orjson.dumps({"ok": True, "front": name, **agreed.shown()})
 
-    links = Links(fleet.address, log, greeting, heard, asked, KEEPER_MOST)
-    agreed = Agreed(
-        name, life, Node(agreement.addresses, agreement.state, rollout.limits), life, log, links, **trusted
+    links = PeerLinks(fleet.address, log, greeting, heard, asked, VOTER_CONNECTIONS_MAX)
+    agreed = ConsensusDriver(
+        name,
+        life,
+        ConsensusSettings(agreement.addresses, agreement.state, rollout.limits),
+        life,
+        log,
+        links,
+        **trusted,
     )
     if fault := links.start():
         log("fleet_listen_failed", address=fleet.listen, error=fault)
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -8,8 +8,8 @@
 import time
 
 from sprucegate.front import configuration
-from sprucegate.front.buffer_pool import Pool
-from sprucegate.front.connection_reader import TakeIn
+from sprucegate.front.buffer_pool import BufferPool
+from sprucegate.front.connection_reader import ConnectionReader
 from sprucegate.front.driver import Driver
 from sprucegate.front.log import Log
 from sprucegate.front.subscription import Subscription
@@ -32,7 +32,7 @@
 
 async def serve(wanted, log=None):
     """Serve until SIGTERM, then answer all that was taken; the exit status."""
-    loop, log, pool = asyncio.get_running_loop(), log or Log(wanted.name), Pool(wanted.descriptors)
+    loop, log, pool = asyncio.get_running_loop(), log or Log(wanted.name), BufferPool(wanted.descriptors)
     stop = asyncio.Event()
     # Before anything else of the start: a SIGTERM that comes meanwhile is kept for the end of it.
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -45,14 +45,14 @@
 
         driver.membership = Membership(driver, wanted, wanted.membership)
     if wanted.fleet is not None:
-        from sprucegate.fleet.service import Fleet
+        from sprucegate.fleet.service import FleetService
 
         if driver.membership is None:
             from sprucegate.discovery.merged import Merged
             from sprucegate.discovery.view import View
 
             driver.membership = Merged(driver, View(("bus",), 0, driver.clock()))
-        driver.fleet = Fleet(
+        driver.fleet = FleetService(
             driver,
             wanted.fleet,
             wanted.name,
@@ -82,7 +82,7 @@
         log("stopped", **driver.book.taken())
         return 0
     repeatable = () if wanted.shares is None else (wanted.shares.header_bytes,)
-    take_in = TakeIn(driver, pool, wanted.descriptors // 2, wanted.times, frozenset(repeatable))
+    take_in = ConnectionReader(driver, pool, wanted.descriptors // 2, wanted.times, frozenset(repeatable))
     listener = await _listening(wanted.listen, stop, log)
     if listener is None:
         if wanted.membership is not None:
@@ -90,7 +90,7 @@
         log("stopped", **driver.book.taken())
         return 0 if stop.is_set() else 1
     now = driver.clock()
-    driver.servers.warm_up(driver.router.warm_first(driver.servers.most), now)
+    driver.servers.warm_up(driver.router.endpoints_to_connect(driver.servers.most), now)
     subscription = Subscription(driver, wanted)
     subscription.start()
     loop.add_signal_handler(signal.SIGHUP, reload, subscription, wanted, log)
--- a/sprucegate/cli/commands.py
+++ b/sprucegate/cli/commands.py
@@ -51,9 +51,9 @@
         said = operator_file.read(path)
         wanted = configuration.read(os.environ)
         servers = said.servers.resolved(wanted.kinds)
-    except operator_file.Faulty as fault:
+    except operator_file.OperatorFileError as fault:
         _fault(fault, False)
-    except configuration.Faulty as fault:
+    except configuration.FrontConfigurationError as fault:
         click.echo(f"sprucegate: {fault}", err=True)
         sys.exit(2)
     except KeyError as fault:
@@ -80,7 +80,7 @@
     """Say whether the operator's file FILE can be taken, without starting anything."""
     try:
         said = operator_file.read(path)
-    except operator_file.Faulty as fault:
+    except operator_file.OperatorFileError as fault:
         _fault(fault, as_json)
     rules = said.servers.speak
     if as_json:
--- a/sprucegate/cli/fleet.py
+++ b/sprucegate/cli/fleet.py
@@ -35,7 +35,7 @@
 def _node(path, as_json):
     try:
         node = operator_file.read(path).fleet
-    except operator_file.Faulty as fault:
+    except operator_file.OperatorFileError as fault:
         _fail(str(fault), as_json, 2)
     if node is None:
         _fail(f"{path}: fleet: is not there, so this front is alone", as_json, 2)
--- a/sprucegate/cli/operator_file.py
+++ b/sprucegate/cli/operator_file.py
@@ -19,7 +19,7 @@
 from msgspec import Meta, Struct
 
 from sprucegate.config import source_locations
-from sprucegate.config.source_locations import Faulty
+from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.upstream.http2.limits import MS, Limits, S, Share, number, size, time
 
 SIZE_MOST = 1 << 20  # bytes of the file
@@ -301,7 +301,7 @@
         self.file, self.lines = file, {}
 
     def fault(self, line, key, text):
-        raise Faulty(self.file, line, key, text)
+        raise OperatorFileError(self.file, line, key, text)
 
     def children(self, nodes, begun, path, leaf):
         made = {}
@@ -378,13 +378,13 @@
         with open(path, "rb") as file:
             data = file.read(SIZE_MOST + 1)
     except OSError as fault:
-        raise Faulty(path, 1, "", f"can't be read: {os.strerror(fault.errno or 0)}") from None
+        raise OperatorFileError(path, 1, "", f"can't be read: {os.strerror(fault.errno or 0)}") from None
     if len(data) > SIZE_MOST:
-        raise Faulty(path, 1, "", f"is larger than {SIZE_MOST} bytes")
+        raise OperatorFileError(path, 1, "", f"is larger than {SIZE_MOST} bytes")
     try:
         text = data.decode()
     except UnicodeDecodeError as fault:
-        raise Faulty(path, data.count(b"\n", 0, fault.start) + 1, "", "is not UTF-8") from None
+        raise OperatorFileError(path, data.count(b"\n", 0, fault.start) + 1, "", "is not UTF-8") from None
     return parse(text, path)
 
 
@@ -392,7 +392,9 @@
     try:
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several kinds
-        raise Faulty(path, source_locations.fault_line(text), "", "is not KDL from here on") from None
+        raise OperatorFileError(
+            path, source_locations.fault_line(text), "", "is not KDL from here on"
+        ) from None
     builder = _Builder(path)
     data = builder.children(nodes, source_locations.starts(text), "", False)
     try:
@@ -413,7 +415,7 @@
     while at and at not in builder.lines:
         at = at.rpartition(".")[0]
     line = builder.lines.get(at, 1)
-    return Faulty(path, line, key, text)
+    return OperatorFileError(path, line, key, text)
 
 
 def _contradictions(made, builder):
--- a/sprucegate/cli/rollout.py
+++ b/sprucegate/cli/rollout.py
@@ -122,7 +122,7 @@
 
     try:
         said = operator_file.read(path)
-    except operator_file.Faulty as fault:
+    except operator_file.OperatorFileError as fault:
         _fail(str(fault), False, 2)
     if said.fleet is None or said.agreement is None:
         _fail(f"{path}: agreement: is not there, so there is nothing to keep", False, 2)
@@ -273,7 +273,7 @@
     """Begin the release that the file PLAN describes."""
     try:
         made = read_plan(plan)
-    except operator_file.Faulty as fault:
+    except operator_file.OperatorFileError as fault:
         _fail(str(fault), as_json, 2)
     _say(path, address, as_json, _given(request, "start", made[0]), ["release", made, _user()])
 
@@ -345,21 +345,25 @@
             text = opened.read(1 << 20).decode()
         nodes, begun = ckdl.parse(text).nodes, source_locations.starts(text)
     except OSError as fault:
-        raise operator_file.Faulty(path, 1, "", f"can't be read: {os.strerror(fault.errno or 0)}") from None
+        raise operator_file.OperatorFileError(
+            path, 1, "", f"can't be read: {os.strerror(fault.errno or 0)}"
+        ) from None
     except Exception:  # ckdl raises several kinds
-        raise operator_file.Faulty(path, 1, "", "is not KDL") from None
+        raise operator_file.OperatorFileError(path, 1, "", "is not KDL") from None
     if len(nodes) != 1 or nodes[0].name != "release" or len(nodes[0].args) != 1:
-        raise operator_file.Faulty(path, 1, "release", f"wants one node as {PLAN}")
+        raise operator_file.OperatorFileError(path, 1, "release", f"wants one node as {PLAN}")
     found, waves = {}, []
     for node, at in zip(nodes[0].children, begun[0].children, strict=True):
         key = f"release.{node.name}"
         values = [value.value if isinstance(value, ckdl.Value) else value for value in node.args]
         if node.name == "wave":
             if not values or not all(isinstance(value, str) for value in values):
-                raise operator_file.Faulty(path, at.line, key, "wants names of boxes")
+                raise operator_file.OperatorFileError(path, at.line, key, "wants names of boxes")
             waves.append(values)
         elif node.name in found or node.name not in ("kind", "version", "former", "bake") or len(values) != 1:
-            raise operator_file.Faulty(path, at.line, key, "is not known, stands twice or wants one value")
+            raise operator_file.OperatorFileError(
+                path, at.line, key, "is not known, stands twice or wants one value"
+            )
         elif node.name == "bake":
             unit = node.args[0].type_annotation if isinstance(node.args[0], ckdl.Value) else None
             if (
@@ -367,16 +371,18 @@
                 or isinstance(values[0], bool)
                 or not isinstance(values[0], int | float)
             ):
-                raise operator_file.Faulty(path, at.line, key, "wants a time with its unit, as (min)10")
+                raise operator_file.OperatorFileError(
+                    path, at.line, key, "wants a time with its unit, as (min)10"
+                )
             found["bake"] = int(values[0] * operator_file.TIMES[unit])
         elif not isinstance(values[0], str):
-            raise operator_file.Faulty(path, at.line, key, "wants a text")
+            raise operator_file.OperatorFileError(path, at.line, key, "wants a text")
         else:
             found[node.name] = values[0]
     if missing := [key for key in ("kind", "version", "former", "bake") if key not in found]:
-        raise operator_file.Faulty(path, begun[0].line, f"release.{missing[0]}", "is missing")
+        raise operator_file.OperatorFileError(path, begun[0].line, f"release.{missing[0]}", "is missing")
     if not waves:
-        raise operator_file.Faulty(path, begun[0].line, "release.wave", "is missing")
+        raise operator_file.OperatorFileError(path, begun[0].line, "release.wave", "is missing")
     return [str(nodes[0].args[0]), found["kind"], found["version"], found["former"], waves, found["bake"]]
 
 
--- a/sprucegate/cli/servers.py
+++ b/sprucegate/cli/servers.py
@@ -10,10 +10,11 @@
 
 from sprucegate import clock
 from sprucegate.cli import operator_file
+from sprucegate.config import source_locations
 from sprucegate.discovery import listfile, moves, reading
-from sprucegate.routing.interface import State
-from sprucegate.storage.disk import Disk, replace
-from sprucegate.storage.snapshots import Snapshots
+from sprucegate.routing.events import EndpointState
+from sprucegate.storage.disk import Disk, replace_file
+from sprucegate.storage.snapshots import SnapshotStore
 
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 CONFIG = click.option(
@@ -58,7 +59,7 @@
 
     try:
         wanted = configuration.read({"BALANCER_CONFIG": config})
-    except configuration.Faulty as fault:
+    except configuration.FrontConfigurationError as fault:
         _fail(str(fault), False)
     return wanted.locations, wanted.kinds
 
@@ -66,14 +67,16 @@
 def _list(path, names, as_json):
     try:
         return listfile.parse(reading.read(path).texts, *names)
-    except reading.Unsettled as fault:
+    except reading.FileIncompleteError as fault:
         _fail(str(fault), as_json)
-    except listfile.Faulty as fault:
+    except source_locations.OperatorFileError as fault:
         _fail(str(fault), as_json, file=fault.file, line=fault.line, key=fault.key)
 
 
 def _state(server):
-    return "held" if server.held else "draining" if server.entry.state is State.DRAINING else "serving"
+    return (
+        "held" if server.held else "draining" if server.entry.state is EndpointState.DRAINING else "serving"
+    )
 
 
 def _print(table):
@@ -153,7 +156,7 @@
 def _membership(path, as_json):
     try:
         node = operator_file.read(path).membership
-    except operator_file.Faulty as fault:
+    except operator_file.OperatorFileError as fault:
         _fail(str(fault), as_json, file=fault.file, line=fault.line, key=fault.key)
     if node is None or not node.state:
         _fail(f"{path}: membership.state: is not set, so nothing is kept of the running front", as_json)
@@ -167,7 +170,7 @@
     """Show the front's view as its last snapshot has it."""
     node = _membership(path, as_json)
     now = clock.unix()
-    taken, refused = Snapshots(Disk(), node.state, "servers").newest(now, 1 << 62)
+    taken, refused = SnapshotStore(Disk(), node.state, "servers").newest(now, 1 << 62)
     if taken is None:
         _fail(
             f"{node.state}: holds no readable snapshot" + "".join(f"; {r.name} {r.why}" for r in refused),
@@ -208,7 +211,7 @@
     node = _membership(path, False)
     try:
         os.makedirs(node.state, exist_ok=True)
-        replace(Disk(), node.state, "confirm", str(number).encode())
+        replace_file(Disk(), node.state, "confirm", str(number).encode())
     except OSError as fault:
         _fail(f"{node.state}: {fault}", False, 1)
     click.echo(f"confirmed {number}; the front logs servers_confirmed once it has applied it")
--- a/sprucegate/config/source_locations.py
+++ b/sprucegate/config/source_locations.py
@@ -7,8 +7,10 @@
 
 import ckdl
 
+from sprucegate.errors import ConfigurationError
 
-class Faulty(Exception):
+
+class OperatorFileError(ConfigurationError):
     """What is wrong and where: `file`, `line`, `key`, `text`. Nothing of the file is taken."""
 
     def __init__(self, file, line, key, text):
--- a/sprucegate/discovery/gate.py
+++ b/sprucegate/discovery/gate.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from sprucegate.routing.interface import State
+from sprucegate.routing.events import EndpointState
 
 
 class Held(NamedTuple):
@@ -40,7 +40,7 @@
         if worst[0] <= self.share and not (held and worst[0]):
             self.held = None  # a newer list stands for one that was held
             return Passed(servers, True, None)
-        drains = [s for s in servers if s.entry.state is State.DRAINING and s.entry.id in current]
+        drains = [s for s in servers if s.entry.state is EndpointState.DRAINING and s.entry.id in current]
         self.held = Held(self.number, servers, now + self.hold, worst[1], worst[0])
         return Passed(drains, False, self.held)
 
--- a/sprucegate/discovery/listfile.py
+++ b/sprucegate/discovery/listfile.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from sprucegate.config import source_locations
-from sprucegate.config.source_locations import Faulty
+from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.discovery.view import Server
-from sprucegate.routing.interface import Listed, State
-from sprucegate.upstream.hosts import number_of
+from sprucegate.routing.events import Endpoint, EndpointState
+from sprucegate.upstream.hosts import endpoint_id
 
 MS = 1_000_000
 SIZE_MOST = 10_000_000  # bytes of a list, of all its parts together
@@ -68,9 +68,9 @@
                 raise _fault(file, text, at, "servers", f"more than {ENTRIES_MOST} entries")
     file = texts[0][0] if texts else "?"
     if not found:
-        raise Faulty(file, 1, "servers", "names no servers: an empty list is taken for a mistake")
+        raise OperatorFileError(file, 1, "servers", "names no servers: an empty list is taken for a mistake")
     if not weights:
-        raise Faulty(file, 1, "weight", "all weights are 0")
+        raise OperatorFileError(file, 1, "weight", "all weights are 0")
     return found
 
 
@@ -79,9 +79,9 @@
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several kinds
         line = source_locations.fault_line(text) if len(text) < 20_000 else text.count("\n") + 1
-        raise Faulty(file, line, "", "is not KDL, or is cut") from None
+        raise OperatorFileError(file, line, "", "is not KDL, or is cut") from None
     if [node.name for node in nodes] != ["servers"] or nodes[0].args or nodes[0].properties:
-        raise Faulty(file, 1, "", "wants one block `servers { ... }` and nothing else")
+        raise OperatorFileError(file, 1, "", "wants one block `servers { ... }` and nothing else")
     return nodes[0].children
 
 
@@ -111,9 +111,9 @@
         raise ValueError(
             "started: is wanted of a cold server: without it the front would send as to a warm one"
         )
-    state = State.DRAINING if one.state == "draining" else State.SERVING
-    entry = Listed(
-        number_of(one.name),
+    state = EndpointState.DRAINING if one.state == "draining" else EndpointState.SERVING
+    entry = Endpoint(
+        endpoint_id(one.name),
         locations[one.location],
         kinds[one.kind],
         one.cell,
@@ -128,7 +128,7 @@
     """The line is looked for only now: finding all of them would cost more than the parsing."""
     starts = source_locations.starts(text)
     children = starts[0].children if starts else []
-    return Faulty(file, children[at].line if at < len(children) else 1, key, said)
+    return OperatorFileError(file, children[at].line if at < len(children) else 1, key, said)
 
 
 def render(servers, locations, kinds):
@@ -137,7 +137,7 @@
     lines = ["servers {"]
     for server in servers:
         entry = server.entry
-        state = "held" if server.held else "draining" if entry.state is State.DRAINING else "serving"
+        state = "held" if server.held else "draining" if entry.state is EndpointState.DRAINING else "serving"
         lines.append(
             f'    server "{server.name}" address="{server.address}" location="{places_of[entry.location]}" '
             f'kind="{kinds_of[entry.kind]}" cell={entry.cell} weight={entry.weight!r} state="{state}" '
--- a/sprucegate/discovery/merged.py
+++ b/sprucegate/discovery/merged.py
@@ -1,7 +1,7 @@
 """The merged view between what tells of servers and the driver, where no file is watched."""
 
 from sprucegate.discovery.view import Server
-from sprucegate.upstream.hosts import Hosts
+from sprucegate.upstream.hosts import EndpointList
 
 
 class Merged:
@@ -29,7 +29,7 @@
 
 
 def hosts_of(servers):
-    return Hosts(
+    return EndpointList(
         False,
         [server.entry for server in servers],
         {server.entry.id: (server.name, server.address) for server in servers},
--- a/sprucegate/discovery/moves.py
+++ b/sprucegate/discovery/moves.py
@@ -3,8 +3,9 @@
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from sprucegate.routing.interface import State
+from sprucegate.routing.events import EndpointState
 from sprucegate.routing.router import Router
+from sprucegate.routing.settings import RoutingSettings
 
 OBJECTS = 2000  # looked at in each group of one location and kind
 WORK = 1_000_000  # objects times servers in a group, at most: then fewer are looked at
@@ -20,15 +21,15 @@
 def _groups(servers):
     groups = defaultdict(list)
     for server in servers:
-        if server.entry.state is State.SERVING and not server.held:
+        if server.entry.state is EndpointState.SERVING and not server.held:
             groups[server.entry.location, server.entry.kind].append(server.entry)
     return groups
 
 
 def _firsts(entries, count):
     location = entries[0].location
-    router = Router({"my_location": location}, 0, 0)
-    router.listed(entries, True, 0)
+    router = Router(RoutingSettings(my_location=location), 0, 0)
+    router.update_endpoints(entries, True, 0)
     return [router.hashing["cache"].best(at.to_bytes(8, "big") + bytes(4), 1)[0].id for at in range(count)]
 
 
--- a/sprucegate/discovery/reading.py
+++ b/sprucegate/discovery/reading.py
@@ -12,7 +12,9 @@
 
 import ckdl
 
-from sprucegate.discovery.listfile import SIZE_MOST, Faulty
+from sprucegate.config.source_locations import OperatorFileError
+from sprucegate.discovery.listfile import SIZE_MOST
+from sprucegate.errors import ConfigurationError
 
 SETTLE = 0.03  # seconds between two reads of a file without a digest
 MANIFEST = "manifest.kdl"
@@ -24,7 +26,7 @@
     digest: str  # of all bytes: the same content is no new generation
 
 
-class Unsettled(Exception):
+class FileIncompleteError(ConfigurationError):
     """It is being written, or not there at all: asked for again soon, and no fault yet."""
 
 
@@ -44,9 +46,9 @@
     try:
         return _folder(path) if os.path.isdir(path) else _file(path, settle)
     except FileNotFoundError:
-        raise Unsettled(f"{path} is not there") from None
+        raise FileIncompleteError(f"{path} is not there") from None
     except OSError as fault:
-        raise Faulty(path, 1, "", f"can't be read: {fault.strerror}") from None
+        raise OperatorFileError(path, 1, "", f"can't be read: {fault.strerror}") from None
 
 
 def _bytes(path):
@@ -54,7 +56,7 @@
         found = os.fstat(file.fileno())
         data = file.read(SIZE_MOST + 1)
     if len(data) > SIZE_MOST:
-        raise Faulty(str(path), 1, "", f"is larger than {SIZE_MOST} bytes")
+        raise OperatorFileError(str(path), 1, "", f"is larger than {SIZE_MOST} bytes")
     return data, (found.st_ino, found.st_size, found.st_mtime_ns)
 
 
@@ -62,7 +64,9 @@
     try:
         return data.decode()
     except UnicodeDecodeError as fault:
-        raise Faulty(str(path), data.count(b"\n", 0, fault.start) + 1, "", "is not UTF-8") from None
+        raise OperatorFileError(
+            str(path), data.count(b"\n", 0, fault.start) + 1, "", "is not UTF-8"
+        ) from None
 
 
 def _file(path, settle):
@@ -74,11 +78,11 @@
         said = None
     if said is not None:
         if said != [digest]:
-            raise Unsettled(f"{path} does not have the digest that {path}.sha256 says")
+            raise FileIncompleteError(f"{path} does not have the digest that {path}.sha256 says")
     else:
         time.sleep(settle)
         if _bytes(path) != (data, seen) or len(data) != seen[1]:
-            raise Unsettled(f"{path} is being written")
+            raise FileIncompleteError(f"{path} is being written")
     return Read([(str(path), _text(path, data))], digest)
 
 
@@ -87,10 +91,10 @@
     manifest, _ = _bytes(base / MANIFEST)
     try:
         nodes = ckdl.parse(_text(base / MANIFEST, manifest)).nodes
-    except Faulty:
+    except OperatorFileError:
         raise
     except Exception:
-        raise Unsettled(f"{base / MANIFEST} is not KDL, or is being written") from None
+        raise FileIncompleteError(f"{base / MANIFEST} is not KDL, or is being written") from None
     named = []
     for at, node in enumerate(nodes):
         digest = node.properties.get("sha256")
@@ -102,18 +106,20 @@
             or "/" in node.args[0]
             or node.args[0].startswith(".")
         ):
-            raise Faulty(str(base / MANIFEST), at + 1, node.name, 'wants `part "NAME" sha256="..."`')
+            raise OperatorFileError(
+                str(base / MANIFEST), at + 1, node.name, 'wants `part "NAME" sha256="..."`'
+            )
         named.append((node.args[0], digest))
     if not named or len(named) > PARTS_MOST:
-        raise Faulty(str(base / MANIFEST), 1, "part", f"from 1 to {PARTS_MOST} parts are wanted")
+        raise OperatorFileError(str(base / MANIFEST), 1, "part", f"from 1 to {PARTS_MOST} parts are wanted")
     texts, whole, size = [], hashlib.sha256(), 0
     for name, digest in named:
         data, _ = _bytes(base / name)
         size += len(data)
         if size > SIZE_MOST:
-            raise Faulty(str(base), 1, "", f"its parts are larger than {SIZE_MOST} bytes")
+            raise OperatorFileError(str(base), 1, "", f"its parts are larger than {SIZE_MOST} bytes")
         if hashlib.sha256(data).hexdigest() != digest:
-            raise Unsettled(f"{base / name} does not have the digest that the manifest says")
+            raise FileIncompleteError(f"{base / name} does not have the digest that the manifest says")
         whole.update(digest.encode())
         texts.append((str(base / name), _text(base / name, data)))
     return Read(texts, whole.hexdigest())
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -10,14 +10,14 @@
 import watchfiles
 
 from sprucegate import clock
+from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.discovery import reading
 from sprucegate.discovery.gate import Gate
-from sprucegate.discovery.listfile import Faulty
 from sprucegate.discovery.merged import Merged, hosts_of
 from sprucegate.discovery.view import View
 from sprucegate.discovery.worker import flat, server_of
 from sprucegate.storage.disk import Disk
-from sprucegate.storage.snapshots import Snapshots
+from sprucegate.storage.snapshots import SnapshotStore
 
 MANY = 1000  # entries of a change after which the collector is told that they stay
 PIECE = 100  # entries handed over in one turn of the loop
@@ -35,7 +35,9 @@
         super().__init__(driver, View(node.order, node.ramp, driver.clock()))
         self.wanted, self.node, self.log = wanted, node, driver.log
         self.loop, self.gate = asyncio.get_running_loop(), Gate(node.most_removed, node.hold)
-        self.snapshots = Snapshots(disk or Disk(), node.state, "servers", node.keep) if node.state else None
+        self.snapshots = (
+            SnapshotStore(disk or Disk(), node.state, "servers", node.keep) if node.state else None
+        )
         self.queue, self.handing, self.held_digest = [], None, ""
         self.wake, self.digest, self.refused, self.unsettled = asyncio.Event(), "", None, None
         self.worker, self.dirty, self.tasks, self.seen, self.events = None, False, [], None, 0
@@ -133,7 +135,7 @@
             await asyncio.sleep(AGAIN)
             self.wake.set()
             return None
-        if isinstance(said, Faulty):
+        if isinstance(said, OperatorFileError):
             self._refuse(said)
             return None
         if isinstance(said, str):
@@ -168,7 +170,7 @@
             async with asyncio.timeout(30):
                 said = orjson.loads(await self.worker.stdout.readuntil(b"\n"))
             if "faulty" in said:
-                return Faulty(*said["faulty"])
+                return OperatorFileError(*said["faulty"])
             if "unsettled" in said:
                 return said["unsettled"]
             if "same" in said:
--- a/sprucegate/discovery/view.py
+++ b/sprucegate/discovery/view.py
@@ -7,7 +7,7 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from sprucegate.routing.interface import Listed, State
+from sprucegate.routing.events import Endpoint, EndpointState
 
 DRAINS_MOST = 20_000  # drains remembered, also of servers that no source lists any more
 STEPS = 10  # of a ramp: each is a change of weight, which moves objects
@@ -23,7 +23,7 @@
 class Server(NamedTuple):
     """What one source says of a server. `entry` has id, location, kind, cell, state, weight and start."""
 
-    entry: Listed
+    entry: Endpoint
     name: str
     address: str
     held: bool = False
@@ -66,7 +66,7 @@
     def told(self, source, servers, whole, now):
         """A list of one source, whole or what changed of it. None where nothing of the view changes."""
         made = [one for piece in self.changes(source, servers, whole, now) if piece for one in piece.servers]
-        made.sort(key=lambda one: one.entry.state is State.SERVING)
+        made.sort(key=lambda one: one.entry.state is EndpointState.SERVING)
         return Change(self.generation, made) if made else None
 
     def changes(self, source, servers, whole, now, piece=200):
@@ -81,20 +81,20 @@
             yield None
             removed = [at for at in listed if at not in names]
             yield None
-            servers = sorted(servers, key=lambda s: s.entry.state is not State.DRAINING)
+            servers = sorted(servers, key=lambda s: s.entry.state is not EndpointState.DRAINING)
             yield None
         else:
             removed = []
         for begin in range(0, max(1, len(removed) + len(servers)), piece):
             touched = removed[begin : begin + piece]
             for at in touched:
-                self._tells(source, listed.pop(at), State.GONE)
+                self._tells(source, listed.pop(at), EndpointState.GONE)
             from_here = max(0, begin - len(removed))
             for server in servers[from_here : max(0, begin + piece - len(removed))]:
                 at = server.entry.id
                 touched.append(at)
-                if server.entry.state is State.GONE:
-                    self._tells(source, listed.pop(at, server), State.GONE)
+                if server.entry.state is EndpointState.GONE:
+                    self._tells(source, listed.pop(at, server), EndpointState.GONE)
                     continue
                 self._tells(source, server, server.entry.state)
                 listed[at] = server
@@ -109,7 +109,7 @@
         at, started = server.entry.id, server.entry.started
         drains = [d for d in self.drains.get(at, ()) if started <= d.started]
         own = next((d for d in drains if d.source == source), None)
-        if server.entry.state is State.DRAINING:
+        if server.entry.state is EndpointState.DRAINING:
             if own is None:
                 drains.append(Drain(source, now, started))
         elif own is not None:
@@ -200,9 +200,9 @@
             if told == was:
                 continue
             if told is None:
-                first.append(_with(old.server, State.GONE, old.server.entry.weight))
+                first.append(_with(old.server, EndpointState.GONE, old.server.entry.weight))
             else:
-                (first if told.entry.state is State.DRAINING else later).append(told)
+                (first if told.entry.state is EndpointState.DRAINING else later).append(told)
         return first + later
 
     def _ramped(self, at, old, new, now):
@@ -225,7 +225,7 @@
         """What router and transports know of a row; None where they don't know it."""
         if row is None or row.standing is Standing.HELD:
             return None
-        state = State.DRAINING if row.standing is Standing.DRAINING else State.SERVING
+        state = EndpointState.DRAINING if row.standing is Standing.DRAINING else EndpointState.SERVING
         share = self.ramps[at][1] / STEPS if at in self.ramps else 1.0
         return _with(row.server, state, row.server.entry.weight * share)
 
--- a/sprucegate/discovery/worker.py
+++ b/sprucegate/discovery/worker.py
@@ -7,17 +7,18 @@
 
 import orjson
 
+from sprucegate.config import source_locations
 from sprucegate.discovery import listfile, reading
 from sprucegate.discovery.view import Server
-from sprucegate.routing.interface import Listed, State
+from sprucegate.routing.events import Endpoint, EndpointState
 
 PIECE = 200
-STATES = {"serving": State.SERVING, "draining": State.DRAINING}
+STATES = {"serving": EndpointState.SERVING, "draining": EndpointState.DRAINING}
 
 
 def flat(server):
     one = server.entry
-    state = "draining" if one.state is State.DRAINING else "serving"
+    state = "draining" if one.state is EndpointState.DRAINING else "serving"
     return [
         one.id,
         one.location,
@@ -34,7 +35,7 @@
 
 def server_of(row):
     at, location, kind, cell, state, weight, started, name, address, held = row
-    return Server(Listed(at, location, kind, cell, STATES[state], weight, started), name, address, held)
+    return Server(Endpoint(at, location, kind, cell, STATES[state], weight, started), name, address, held)
 
 
 def answers(asked):
@@ -44,9 +45,9 @@
         if read.digest == asked["digest"]:
             return [{"same": True}]
         servers = listfile.parse(read.texts, asked["locations"], asked["kinds"])
-    except reading.Unsettled as fault:
+    except reading.FileIncompleteError as fault:
         return [{"unsettled": str(fault)}]
-    except listfile.Faulty as fault:
+    except source_locations.OperatorFileError as fault:
         return [{"faulty": [fault.file, fault.line, fault.key, fault.text]}]
     pieces = [servers[at : at + PIECE] for at in range(0, len(servers), PIECE)]
     return [
--- a/sprucegate/fleet/components.py
+++ b/sprucegate/fleet/components.py
@@ -2,51 +2,51 @@
 file has its node. A part that breaks loses the one call, not the front."""
 
 
-class Part:
-    name, takes = "", ()  # whose words of `codec.Word` it is given; other messages that it takes
-    asked = ""  # by which word `fleet why` asks it
-    answers = {}  # question -> awaited call with what was given: its answer as a map
+class FleetComponent:
+    name, message_types = "", ()  # whose words of `codec.Word` it is given; other messages that it takes
+    question = ""  # by which word `fleet why` asks it
+    question_handlers = {}  # question -> awaited call with what was given: its answer as a map
 
     async def start(self):
         pass
 
-    def off(self):
+    def start_without_storage(self):
         """The fleet's disk can't be used: this front goes on by itself, and `start` does not come."""
 
-    def heard(self, sender, message):
+    def on_message(self, sender, message):
         """A message of a kind that it takes, or the bytes of a word for it."""
 
-    def viewed(self, view):
+    def on_view_changed(self, view):
         """A new view of the fleet."""
 
-    def listed(self):
+    def on_endpoints_changed(self):
         """The list of servers changed."""
 
-    def renamed(self, name, life):
+    def on_identity_changed(self, name, life):
         """This front is another life, or another name beside its twin."""
 
-    def forwarded(self, cache, outcome, found, took, asked):
+    def on_attempt_ended(self, cache, outcome, found, took, question):
         """One forward's end at a server."""
 
-    def leaves(self):
+    def on_leaving(self):
         """SIGTERM: the others need not find out by themselves."""
 
-    def why(self, given):
+    def explain(self, given):
         """Rows for `fleet why NAME ...`, or None."""
 
     async def stop(self):
         pass
 
 
-def wanted(fleet):
+def configured_components(fleet):
     """The parts that the file has, in the order in which they start."""
     made = []
     if fleet.agreement is not None:
-        from sprucegate.fleet.consensus.driver import AgreedPart
+        from sprucegate.fleet.consensus.driver import ConsensusComponent
 
-        made.append(AgreedPart(fleet, *fleet.agreement))
+        made.append(ConsensusComponent(fleet, *fleet.agreement))
     if fleet.shares is not None:
-        from sprucegate.fleet.quotas.part import SharesPart
+        from sprucegate.fleet.quotas.part import QuotaComponent
 
-        made.append(SharesPart(fleet, fleet.shares))
+        made.append(QuotaComponent(fleet, fleet.shares))
     return made
--- a/sprucegate/fleet/consensus/codec.py
+++ b/sprucegate/fleet/consensus/codec.py
@@ -2,6 +2,7 @@
 
 import msgspec
 
+from sprucegate.errors import ProtocolError
 from sprucegate.fleet.consensus import durability_check, log_follower, raft_node
 from sprucegate.fleet.consensus.storage import entry_of
 from sprucegate.fleet.rollout import commands
@@ -44,7 +45,7 @@
 _decoders = {kind: msgspec.msgpack.Decoder(shape).decode for kind, shape in SHAPES.items()}
 
 
-class Unreadable(Exception):
+class ConsensusMessageError(ProtocolError):
     """No word of ours; the text says why."""
 
 
@@ -55,21 +56,21 @@
 
 def unpacked(number, data):
     if not 0 < number < len(KINDS):
-        raise Unreadable(f"a word of kind {number}, which is not known here")
+        raise ConsensusMessageError(f"a word of kind {number}, which is not known here")
     kind = KINDS[number]
     try:
         made = kind(*_decoders[kind](data))
     except msgspec.MsgspecError as fault:
-        raise Unreadable(f"a word that can't be read: {fault}") from None
+        raise ConsensusMessageError(f"a word that can't be read: {fault}") from None
     if kind is raft_node.Append:
         rows = [entry_of(row) for row in made.entries]
         if [row.index for row in rows] != list(range(made.before + 1, made.before + 1 + len(rows))):
-            raise Unreadable("entries with a hole")
+            raise ConsensusMessageError("entries with a hole")
         return made._replace(entries=rows)
     if kind is raft_node.Whole:
         return made._replace(config=raft_node.Config(*map(tuple, made.config)))
     if kind is log_follower.Propose and (fault := commands.fault(made.command)):
-        raise Unreadable(fault)
+        raise ConsensusMessageError(fault)
     if kind is log_follower.Follow:
         return made._replace(report=commands.report(made.report))
     return made
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -14,7 +14,7 @@
 import orjson
 
 from sprucegate import clock
-from sprucegate.fleet.components import Part
+from sprucegate.fleet.components import FleetComponent
 from sprucegate.fleet.consensus import codec, durability_check, log_follower
 from sprucegate.fleet.consensus.durability_check import (
     Begins,
@@ -36,11 +36,11 @@
     Word,
 )
 from sprucegate.fleet.consensus.raft_node import Apply, Config, Current, Install, Keeper, Leads, Send, Write
-from sprucegate.fleet.consensus.storage import Ledger, Unreadable
-from sprucegate.fleet.links.codec import Routed
-from sprucegate.fleet.maintenance_agent import Face, Node
+from sprucegate.fleet.consensus.storage import ConsensusStorageError, Ledger
+from sprucegate.fleet.links.codec import ConsensusFrame
+from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
 from sprucegate.fleet.membership_view.careful import OwnAction
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout import commands
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.leader import Leading, front_lease
@@ -81,7 +81,7 @@
             try:
                 name, start, known, kept = await self._disk(self._opened)
                 break
-            except (OSError, Unreadable, ValueError) as fault:
+            except (OSError, ConsensusStorageError, ValueError) as fault:
                 self.log("keeper_off", error=f"{type(fault).__name__}: {fault}")
                 await asyncio.sleep(AGAIN)
         else:
@@ -94,7 +94,7 @@
         # A keeper that ever took part in a vote has a term on its disk.
         self.fitness = Fitness(name, start, being, others, known, now, self.trusted, green=kept.term == 0)
         first = Config(tuple(self.node.addresses), ()) if name == self.base else Config((), ())
-        self.keeper = Keeper(name, first, Chance(name, self.seed ^ being), now)
+        self.keeper = Keeper(name, first, RandomSource(name, self.seed ^ being), now)
         machine = Rollout()
         if kept.snapshot is not None and not machine.loaded(msgspec.msgpack.decode(kept.snapshot[3])):
             self.log("keeper_off", error="the state is of another format")
@@ -272,39 +272,43 @@
         }
 
 
-class AgreedPart(Part):
+class ConsensusComponent(FleetComponent):
     """The agreed log in a front."""
 
-    name, takes = "agreed", (Routed,)
+    name, message_types = "agreed", (ConsensusFrame,)
 
     def __init__(self, fleet, node, rollout):
         self.fleet, self.file, self.rollout, self.agreed, self.face = fleet, node, rollout, None, None
-        self.answers = {"agreed": self._shown, "propose": self._propose}
+        self.question_handlers = {"agreed": self._shown, "propose": self._propose}
 
     async def start(self):
         fleet, own = self.fleet, self.fleet.peer.members.own
-        self.face = Face(fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views)
-        node = Node(self.file.addresses, self.file.state, self.rollout.limits)
-        self.agreed = Agreed(own.name, own.life, node, fleet.seed, fleet.log, fleet.links, self.face)
+        self.face = MaintenanceAgent(
+            fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views
+        )
+        node = ConsensusSettings(self.file.addresses, self.file.state, self.rollout.limits)
+        self.agreed = ConsensusDriver(own.name, own.life, node, fleet.seed, fleet.log, fleet.links, self.face)
         await self.agreed.start()
 
-    def heard(self, sender, message):
+    def on_message(self, sender, message):
         if self.agreed is not None:
             self.agreed.heard(message)
 
-    def viewed(self, view):
+    def on_view_changed(self, view):
         if self.agreed is not None:
-            self.agreed.speaks = view.own_does(OwnAction.SPEAK)
+            self.agreed.speaks = view.allows_own(OwnAction.SPEAK)
 
-    def renamed(self, name, life):
+    def on_identity_changed(self, name, life):
         if self.agreed is not None:
             self.agreed.renamed(name, life)
 
-    def forwarded(self, cache, outcome, found, took, asked):
+    def on_attempt_ended(self, cache, outcome, found, took, asked):
         if self.face is not None:
-            self.face.forwarded(cache, outcome, found, took, self.fleet.driver.router.objective(asked))
+            self.face.forwarded(
+                cache, outcome, found, took, self.fleet.driver.router.latency_objective(asked)
+            )
 
-    def leaves(self):
+    def on_leaving(self):
         if self.agreed is not None:
             self.agreed.leaves()
 
@@ -326,7 +330,7 @@
 _AWAY = {"ok": False, "error": "this front has not begun to follow the log yet"}
 
 
-class Agreed:
+class ConsensusDriver:
     """What a process has of the agreed log. `face` is a front's side (see `Face` in service.py), None for a keeper."""
 
     def __init__(self, name, life, node, seed, log, links, face=None, disk=None, **trusted):
@@ -342,7 +346,7 @@
             Voting(name, node, seed, log, self._send, disk, **trusted) if name in node.addresses else None
         )
         self.machine = Rollout()
-        chance = Chance(f"{name}/follows", seed ^ life)
+        chance = RandomSource(f"{name}/follows", seed ^ life)
         self.follower = (
             Follower(list(node.addresses), life, chance, time.monotonic_ns(), front_lease())
             if face is not None
@@ -397,16 +401,16 @@
         number, data = codec.packed(message)
         process = base(to)
         if process == self.name:
-            self.loop.call_soon(self.heard, Routed(sender, to, number, data))
+            self.loop.call_soon(self.heard, ConsensusFrame(sender, to, number, data))
         else:
             self.links.send(
-                process, self.node.addresses.get(process, ""), Routed(sender, to, number, data), False
+                process, self.node.addresses.get(process, ""), ConsensusFrame(sender, to, number, data), False
             )
 
     def heard(self, routed):
         try:
             message = codec.unpacked(routed.number, routed.data)
-        except codec.Unreadable as fault:
+        except codec.ConsensusMessageError as fault:
             return self.log("agreed_refused", peer=routed.sender, error=str(fault))
         if isinstance(message, log_follower.Entries | log_follower.State | log_follower.Proposed):
             if self.follower is not None:
--- a/sprucegate/fleet/consensus/storage.py
+++ b/sprucegate/fleet/consensus/storage.py
@@ -13,10 +13,11 @@
 
 import msgspec
 
+from sprucegate.errors import StorageError
 from sprucegate.fleet.consensus.raft_node import CONFIG, Config, Entry
-from sprucegate.storage.disk import replace
-from sprucegate.storage.log import Log
-from sprucegate.storage.snapshots import Snapshots
+from sprucegate.storage.disk import replace_file
+from sprucegate.storage.log import AppendLog
+from sprucegate.storage.snapshots import SnapshotStore
 
 _encode = msgspec.msgpack.Encoder().encode
 _record = msgspec.msgpack.Decoder(tuple[int, str, int, list[tuple[int, int, str, object]]]).decode
@@ -27,7 +28,7 @@
 LOG_MOST = 64 << 20
 
 
-class Unreadable(Exception):
+class ConsensusStorageError(StorageError):
     """The folder can't be used; the text says why."""
 
 
@@ -51,7 +52,7 @@
             "",
             0,
         )
-        self.snapshots = Snapshots(disk, folder, "agreed", keep=2)
+        self.snapshots = SnapshotStore(disk, folder, "agreed", keep=2)
         self.named = re.compile(r"agreed-([0-9]{16})\.log")
 
     def begin(self, name):
@@ -59,7 +60,7 @@
         self.disk.make_folder(self.folder)
         self.name, self.start = self._small("self", _self, (name, 0))
         self.start += 1
-        replace(self.disk, self.folder, "self", _encode((self.name, self.start)))
+        replace_file(self.disk, self.folder, "self", _encode((self.name, self.start)))
         return self.name, self.start
 
     def anew(self, name):
@@ -71,7 +72,7 @@
                 self.disk.rename(os.path.join(self.folder, at), os.path.join(self.folder, aside + at))
         self.log, self.generation = None, 0
         self.name, self.start = name, 1
-        replace(self.disk, self.folder, "self", _encode((name, 1)))
+        replace_file(self.disk, self.folder, "self", _encode((name, 1)))
         self.disk.sync_folder(self.folder)
 
     def known(self):
@@ -80,7 +81,7 @@
     def knows(self, known):
         """None once it is synced, or the fault as text."""
         try:
-            replace(self.disk, self.folder, "known", _encode(known))
+            replace_file(self.disk, self.folder, "known", _encode(known))
         except OSError as fault:
             return f"{type(fault).__name__}: {fault}"
         return None
@@ -93,7 +94,7 @@
         try:
             return decode(data)
         except msgspec.MsgspecError as fault:
-            raise Unreadable(f"{self.folder}/{name}: {fault}") from None
+            raise ConsensusStorageError(f"{self.folder}/{name}: {fault}") from None
 
     def open(self, now):
         """Kept: the newest whole snapshot and what was written since. Raises OSError or Unreadable."""
@@ -105,7 +106,7 @@
             kept.snapshot = index, term, Config(*map(tuple, config)), state
         logs = sorted(int(match[1]) for name in names if (match := self.named.fullmatch(name)))
         for number in [n for n in logs if taken is None or n >= taken.generation]:
-            log = Log(self.disk, self._path(number), LOG_MOST)
+            log = AppendLog(self.disk, self._path(number), LOG_MOST)
             scanned = log.recover()
             log.close()
             if scanned.fault:
@@ -119,7 +120,7 @@
         kept.entries = [e for e in kept.entries if e.index > base]
         if [e.index for e in kept.entries] != list(range(base + 1, base + 1 + len(kept.entries))):
             # A log with a hole would be voted by as if it were whole.
-            raise Unreadable(f"{self.folder}: entries are missing after {base}")
+            raise ConsensusStorageError(f"{self.folder}: entries are missing after {base}")
         self.generation = max([*logs, taken.generation if taken is not None else 0], default=0)
         self._next_log()
         return kept
@@ -148,7 +149,7 @@
         return _encode((one.term, one.vote, one.cut, one.entries))
 
     def _next_log(self):
-        log = Log(self.disk, self._path(self.generation + 1), LOG_MOST)
+        log = AppendLog(self.disk, self._path(self.generation + 1), LOG_MOST)
         log.recover()
         self.close()
         self.log, self.generation = log, self.generation + 1
--- a/sprucegate/fleet/failure_detector/swim.py
+++ b/sprucegate/fleet/failure_detector/swim.py
@@ -20,7 +20,7 @@
 HURRY = 30_000_000_000  # ns after the start
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     ALIVE = 0
     SUSPECT = 1
     GONE = 2
@@ -169,12 +169,12 @@
         return [
             m
             for _, m in sorted(self.known.items())
-            if m.standing <= Standing.SUSPECT and m.name != self.own.name
+            if m.standing <= MemberState.SUSPECT and m.name != self.own.name
         ]
 
     def size(self):
         return 1 + sum(
-            [m.standing <= Standing.SUSPECT for m in self.known.values() if m.name != self.own.name]
+            [m.standing <= MemberState.SUSPECT for m in self.known.values() if m.name != self.own.name]
         )
 
     def next_due(self):
@@ -253,7 +253,7 @@
         if (
             member is None
             or name == self.own.name
-            or member.standing > Standing.SUSPECT
+            or member.standing > MemberState.SUSPECT
             or now - self.looked.get(name, -HURRY) < self.pace.look
         ):
             return []
@@ -268,7 +268,7 @@
 
     def leaves(self, now):
         """This front goes for good, or until it is started again: told to all it can bear it to."""
-        self._own(standing=int(Standing.LEFT))
+        self._own(standing=int(MemberState.LEFT))
         word = All([self.own], False)
         return [Send(m.name, "", word) for m in self.chance.pick("leave", self.alive(), self.pace.news)]
 
@@ -286,7 +286,7 @@
         if (
             member is None
             or member.life != life
-            or member.standing > Standing.SUSPECT
+            or member.standing > MemberState.SUSPECT
             or name == self.own.name
         ):
             return []
@@ -298,7 +298,7 @@
         done = []
         if by == self.own.name:
             self._arm(now + self.pace.look, "retell", (name, life, 1))
-            others = [m for m in self.alive() if m.name != name and m.standing == Standing.ALIVE]
+            others = [m for m in self.alive() if m.name != name and m.standing == MemberState.ALIVE]
             done = [
                 Send(m.name, "", Refused(name, life))
                 for m in self.chance.pick("refused", others, self.pace.helpers)
@@ -308,7 +308,7 @@
         whose = self.refusals[name][1]
         if self.own.name in whose and len(whose) > 1:
             self.ended[name] = life
-            done += self._told(member._replace(standing=int(Standing.GONE), by=self.own.name), now)
+            done += self._told(member._replace(standing=int(MemberState.GONE), by=self.own.name), now)
         return done
 
     def _retell(self, given, now):
@@ -318,7 +318,7 @@
         if (
             member is None
             or member.life != life
-            or member.standing > Standing.SUSPECT
+            or member.standing > MemberState.SUSPECT
             or times > self.pace.retells
             or self.refusals.get(name, (0,))[0] != life
         ):
@@ -341,10 +341,10 @@
             # Helpers that say nothing at all speak against this front's own hearing.
             missed = asked - self.nacks if asked else 1
             self.health = min(self.pace.health_most, self.health + (1 if missed > 0 else 0))
-            if target is not None and target.life == was.life and target.standing <= Standing.SUSPECT:
-                done += self._told(target._replace(standing=int(Standing.SUSPECT), by=self.own.name), now)
+            if target is not None and target.life == was.life and target.standing <= MemberState.SUSPECT:
+                done += self._told(target._replace(standing=int(MemberState.SUSPECT), by=self.own.name), now)
         self.probe, self.nacks = None, 0
-        self.round = [n for n in self.round if (m := self.known.get(n)) and m.standing <= Standing.SUSPECT]
+        self.round = [n for n in self.round if (m := self.known.get(n)) and m.standing <= MemberState.SUSPECT]
         if not self.round:
             names = [m.name for m in self.alive()]
             self.round = self.chance.pick("round", names, len(names))
@@ -359,7 +359,7 @@
     def _helpers(self, number, now):
         if self.probe is None or self.probe.number != number:
             return []
-        others = [m for m in self.alive() if m.name != self.probe.target and m.standing == Standing.ALIVE]
+        others = [m for m in self.alive() if m.name != self.probe.target and m.standing == MemberState.ALIVE]
         return [
             Send(m.name, "", PingFor(number, self.probe.target, self._bear(m.name)))
             for m in self.chance.pick("helpers", others, self.pace.helpers)
@@ -379,7 +379,7 @@
         if times[1] > now:
             self._arm(times[1], "gone", name)
             return []
-        return self._told(member._replace(standing=int(Standing.GONE), by=self.own.name), now)
+        return self._told(member._replace(standing=int(MemberState.GONE), by=self.own.name), now)
 
     def _sync(self, _, now):
         self._arm(now + self.pace.sync, "sync", None)
@@ -391,7 +391,7 @@
         # Against fronts that start together and meet but each other: those of the file are tried at once, for a while.
         hurried = not self.met or unmet and now - self.begun < HURRY
         self._arm(now + self.pace.reach // (4 if hurried else 1), "reach", None)
-        lost = sorted([m.address for m in self.known.values() if m.standing == Standing.GONE] + unmet)
+        lost = sorted([m.address for m in self.known.values() if m.standing == MemberState.GONE] + unmet)
         tries = len(lost) if hurried else 1
         return [
             Send("", address, All(self._all(), True)) for address in self.chance.pick("reach", lost, tries)
@@ -408,10 +408,10 @@
         mine = self.known.get(word.name)
         if (
             mine is not None
-            and word.standing == Standing.SUSPECT
+            and word.standing == MemberState.SUSPECT
             and (word.life, word.turn) == (mine.life, mine.turn)
         ):
-            if mine.standing == Standing.SUSPECT:
+            if mine.standing == MemberState.SUSPECT:
                 return self._accused(word, now)
         if mine is not None and not word.over(mine):
             return []
@@ -421,10 +421,10 @@
         self.news[word.name] = 0
         self.accusers.pop(word.name, None)
         self.suspected.pop(word.name, None)
-        if word.standing == Standing.ALIVE and self.ended.get(word.name) == word.life:
+        if word.standing == MemberState.ALIVE and self.ended.get(word.name) == word.life:
             # Its port refused: what it said before its end may come after it, and it must not live again by that.
             return [Stands(word, mine), *self.reset(word.name, now)]
-        if word.standing == Standing.GONE and mine is not None and mine.standing <= Standing.SUSPECT:
+        if word.standing == MemberState.GONE and mine is not None and mine.standing <= MemberState.SUSPECT:
             # Told on at once, by each that hears it first: borne on probes it took seconds to reach all.
             self.refusals.pop(word.name, None)
             done = [
@@ -432,7 +432,7 @@
                 for m in self.chance.pick("gone", self.alive(), self.pace.helpers)
             ]
             return [Stands(word, mine), *done]
-        if word.standing == Standing.SUSPECT:
+        if word.standing == MemberState.SUSPECT:
             self.accusers[word.name] = {word.by: None}
             end = now + self.pace.suspicion(self.size(), 1)
             self.suspected[word.name] = now, end
@@ -455,14 +455,14 @@
     def _of_own(self, word):
         if word.life == self.own.life:
             if (
-                word.standing == Standing.ALIVE
-                or self.own.standing == Standing.LEFT
+                word.standing == MemberState.ALIVE
+                or self.own.standing == MemberState.LEFT
                 or word.turn < self.own.turn
             ):
                 return []
             self.health = min(self.pace.health_most, self.health + 1)
             self._own(turn=word.turn + 1)
-            return [Fenced()] if word.standing >= Standing.GONE else []
+            return [Fenced()] if word.standing >= MemberState.GONE else []
         if word.life < self.own.life:
             # A former life of this front, or a twin that has yet to hear of this one.
             self.news[self.own.name] = 0
@@ -481,7 +481,7 @@
 
     def _room(self):
         """One that left or is gone makes way; a member that is there never does."""
-        gone = [m for m in self.known.values() if m.standing >= Standing.GONE]
+        gone = [m for m in self.known.values() if m.standing >= MemberState.GONE]
         if gone:
             name = min(gone, key=lambda m: (-m.standing, m.life)).name
             del self.known[name]
@@ -500,7 +500,7 @@
         for name in [n for n, times in self.news.items() if times >= most]:
             del self.news[name]
         suspect = self.known.get(to)
-        borne = [suspect] if suspect is not None and suspect.standing != Standing.ALIVE else []
+        borne = [suspect] if suspect is not None and suspect.standing != MemberState.ALIVE else []
         # Its own as well: a twin of that member learns by it that there is a later life.
         names = sorted([n for n in self.news if n in self.known], key=lambda n: (self.news[n], n))
         for name in names[: self.pace.news - len(borne)]:
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -8,14 +8,15 @@
 
 import msgspec
 
+from sprucegate.errors import ProtocolError
 from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, State
-from sprucegate.routing.interface import Believed, Resting
+from sprucegate.routing.events import BeliefGossip, EjectionGossip
 from sprucegate.storage import records
 
 
-class Routed(NamedTuple):
+class ConsensusFrame(NamedTuple):
     """A word of the agreed log, as `links/agreed` packs it: by members' names."""
 
     sender: str
@@ -24,7 +25,7 @@
     data: bytes
 
 
-class Word(NamedTuple):
+class ComponentMessage(NamedTuple):
     """For a part of the fleet by its name: what it says is packed by itself, and known to nobody else."""
 
     part: str
@@ -50,14 +51,14 @@
     replica.Keys,
     replica.Repair,
     replica.Evidence,
-    Routed,
+    ConsensusFrame,
     swim.Refused,
-    Word,
+    ComponentMessage,
 )
 NUMBERS = {kind: number for number, kind in enumerate(KINDS) if kind}
 
 
-class Unreadable(Exception):
+class FrameError(ProtocolError):
     """The connection's bytes are no frames of ours; the text says why."""
 
 
@@ -96,10 +97,10 @@
     replica.Ranges: tuple[list[int]],
     replica.Keys: tuple[list[int], list[tuple[_Key, _Dot, int]], bool],
     replica.Repair: tuple[list[Fact]],
-    replica.Evidence: tuple[int, list[Believed], list[Resting]],
-    Routed: tuple[str, str, int, bytes],
+    replica.Evidence: tuple[int, list[BeliefGossip], list[EjectionGossip]],
+    ConsensusFrame: tuple[str, str, int, bytes],
     swim.Refused: tuple[str, int],
-    Word: tuple[str, bytes],
+    ComponentMessage: tuple[str, bytes],
 }
 _encode = msgspec.msgpack.Encoder().encode
 _number = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
@@ -127,17 +128,17 @@
     try:
         number, raw = _number(payload)
         if not 0 < number < len(KINDS):
-            raise Unreadable(f"a message of kind {number}, which format {VERSION} lacks")
+            raise FrameError(f"a message of kind {number}, which format {VERSION} lacks")
         made = KINDS[number](*_decoders[KINDS[number]](raw))
     except msgspec.MsgspecError as fault:
-        raise Unreadable(f"a message that can't be read: {fault}") from None
+        raise FrameError(f"a message that can't be read: {fault}") from None
     if isinstance(made, replica.Tell | replica.Repair):
         for fact in made.facts:
             _checked(fact)
     if isinstance(made, replica.Done | replica.Have | replica.Mark):
         for _, _, ends in made.claims if isinstance(made, replica.Done) else made.lives:
             if len(ends) % 2 or any(a >= b for a, b in zip(ends, ends[1:], strict=False)):
-                raise Unreadable("counters that are no intervals")
+                raise FrameError("counters that are no intervals")
     return made
 
 
@@ -145,14 +146,14 @@
     try:
         return _greeting(payload)
     except msgspec.MsgspecError as fault:
-        raise Unreadable(f"no greeting: {fault}") from None
+        raise FrameError(f"no greeting: {fault}") from None
 
 
 def asked(payload):
     try:
         return _question(payload)
     except msgspec.MsgspecError as fault:
-        raise Unreadable(f"no question: {fault}") from None
+        raise FrameError(f"no question: {fault}") from None
 
 
 def _checked(fact):
@@ -170,7 +171,7 @@
         or kind == replica.WORD
         and fact.value[2] not in list(State)
     ):
-        raise Unreadable(f"a fact of no known kind: {str(fact.key)[:80]}")
+        raise FrameError(f"a fact of no known kind: {str(fact.key)[:80]}")
 
 
 class Reader:
@@ -185,12 +186,12 @@
         while len(self.held) - at >= records.HEAD.size:
             length, _ = records.HEAD.unpack_from(self.held, at)
             if length > self.most:
-                raise Unreadable(f"a record of {length} bytes, more than {self.most}")
+                raise FrameError(f"a record of {length} bytes, more than {self.most}")
             if len(self.held) - at < records.HEAD.size + length:
                 break
             scanned = records.scan(memoryview(self.held)[at : at + records.HEAD.size + length])
             if scanned.fault:
-                raise Unreadable(scanned.fault)
+                raise FrameError(scanned.fault)
             found += scanned.records
             at += records.HEAD.size + length
             self.most = FRAME_MOST  # the greeting is short, whatever comes after it need not be
--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -14,8 +14,11 @@
 from sprucegate.fleet.links.outgoing import Outgoing
 from sprucegate.upstream.sockets import set_no_delay
 
-OUT_MOST, IN_MOST = 12, 64  # connections: those of this front's own choice, and those that chose it
-KEEPER_MOST = 1024  # and those of a keeper, whom every front follows
+OUTBOUND_CONNECTIONS_MAX, INBOUND_CONNECTIONS_MAX = (
+    12,
+    64,
+)  # connections: those of this front's own choice, and those that chose it
+VOTER_CONNECTIONS_MAX = 1024  # and those of a keeper, whom every front follows
 GREET = 2.0  # seconds for the greeting
 IDLE = 30.0  # seconds without a byte either way, after which one is closed
 READ = 256 << 10
@@ -54,8 +57,10 @@
                 self.links.bytes_out += len(data)
 
 
-class Links:
-    def __init__(self, listen, log, greeting, heard, asked, taken_most=IN_MOST, reset=None, other=None):
+class PeerLinks:
+    def __init__(
+        self, listen, log, greeting, heard, asked, taken_most=INBOUND_CONNECTIONS_MAX, reset=None, other=None
+    ):
         """`greeting()` gives this front's; `heard(name, message)` and the awaited `asked(question)` take what comes.
 
         `reset(name)`: a peer ended its link; `other(name)`: a peer speaks another format.
@@ -119,7 +124,7 @@
             connection.task.cancel()
 
     def _room(self):
-        if len(self.dialled) < OUT_MOST:
+        if len(self.dialled) < OUTBOUND_CONNECTIONS_MAX:
             return True
         idle = min([c for c in self.dialled.values() if not c.out], key=lambda c: c.used, default=None)
         if idle is None:
@@ -240,7 +245,7 @@
                             self.reading = None
                     else:
                         return await self.loop.sock_sendall(sock, await self.asked(codec.asked(payload)))
-        except codec.Unreadable as fault:
+        except codec.FrameError as fault:
             self.refused += 1
             self.log(
                 "fleet_peer_refused",
@@ -262,9 +267,9 @@
         own = self.greeting()
         if said.format != own.format:
             self.other(said.name)
-            raise codec.Unreadable(f"format {said.format}, not {own.format}")
+            raise codec.FrameError(f"format {said.format}, not {own.format}")
         if said.fleet != own.fleet:
-            raise codec.Unreadable(f"fleet {said.fleet[:60]!r}, not {own.fleet!r}")
+            raise codec.FrameError(f"fleet {said.fleet[:60]!r}, not {own.fleet!r}")
         if taken:
             await self.loop.sock_sendall(connection.sock, codec.greeting(own))
         if said.role != "front":
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -2,19 +2,19 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.membership_view.careful import Action, does
-from sprucegate.fleet.membership_view.standing import OF_WORD
+from sprucegate.fleet.membership_view.careful import PeerAction, allows
+from sprucegate.fleet.membership_view.standing import HEALTH_STATE_OF_MEMBER
 from sprucegate.fleet.rollout.gates import Limits
 from sprucegate.fleet.rollout.permits import Box, Step
-from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 
 SOURCE = "permit"  # whose word a drain by permit is, in the view
 MISSED = 3  # forwards in a row that did not reach a box, until it is told of
-HITS = (Found.HIT, Found.STALE_HIT, Found.JOINED)
+HITS = (CacheStatus.HIT, CacheStatus.STALE_HIT, CacheStatus.COLLAPSED)
 FORGOTTEN = 5000  # boxes that are counted
 
 
-class Node(NamedTuple):
+class ConsensusSettings(NamedTuple):
     """What the operator's file says: `addresses` of the keepers, this one's folder, limits by the settings' floor."""
 
     addresses: dict
@@ -23,7 +23,7 @@
     gate: Limits = Limits()
 
 
-class Face:
+class MaintenanceAgent:
     def __init__(self, driver, merged, members, views=None):
         """`members()`: {name: member} of the fronts; `views`: what hears of the fronts that the log counts."""
         self.driver, self.merged, self.members, self.views = driver, merged, members, views
@@ -38,11 +38,11 @@
         self.kinds = {value: name for name, value in driver.wanted.kinds.items()}
 
     def floor(self):
-        return self.driver.router.get("cold_share", 0.1)
+        return self.driver.router.settings.cold_share
 
     def _rows(self):
         """Caches and parents of the view by name; the origin never goes out by a permit."""
-        view, origin = self.merged.view, self.driver.router.get("origin_kind", -1)
+        view, origin = self.merged.view, self.driver.router.settings.origin_kind
         if (
             self.seen[0] != view.generation
         ):  # of 20,000 rows few change: all anew each time would hold up GETs
@@ -73,7 +73,7 @@
             for name, row in self._rows().items()
         }
         for name, member in self.members().items():
-            if does(Action.LISTED, OF_WORD[member.standing]):
+            if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.standing]):
                 found[name] = Box(name, "front", "", "front", "", 1)
         return found
 
@@ -141,18 +141,18 @@
     def forwarded(self, cache, outcome, found, took, objective):
         """One forward's end at a box, for the gates of releases."""
         place = self.driver.servers.places.get(cache)
-        if place is None or outcome is Outcome.CANCELLED:
+        if place is None or outcome is AttemptOutcome.CANCELLED:
             return
-        if outcome in (Outcome.UNREACHABLE, Outcome.NOT_SENT):
+        if outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT):
             self.missed[place.name] = self.missed.get(place.name, 0) + 1
             return
         self.missed.pop(place.name, None)
         row = self.counts.setdefault(place.name, [0, 0, 0, 0, 0])
         row[0] += 1
-        row[1] += outcome in (Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT)
-        row[2] += outcome is Outcome.FULL
-        row[3] += outcome is Outcome.RETURNED and took > objective
-        row[4] += outcome is Outcome.RETURNED and found not in HITS
+        row[1] += outcome in (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT)
+        row[2] += outcome is AttemptOutcome.FULL
+        row[3] += outcome is AttemptOutcome.RETURNED and took > objective
+        row[4] += outcome is AttemptOutcome.RETURNED and found not in HITS
         while len(self.counts) > FORGOTTEN:
             del self.counts[next(iter(self.counts))]
 
@@ -189,10 +189,10 @@
         place, router = self._place(box, rows), self.driver.router
         if place is None or rows[box].standing.name != "SERVING":
             return False
-        if rows[box].server.entry.kind == router.get("parent_kind", -1):
-            need = router.get("parent_warm_time", 0)
+        if rows[box].server.entry.kind == router.settings.parent_kind:
+            need = router.settings.parent_warm_time
         else:
-            need = router.get("warm_time", 0)
+            need = router.settings.warm_time
         answered = self.counts.get(box, [0])[0] > seen[2]
         if not answered and not place.transport.came_up(place, seen[1]):
             # No GET came that way: a connection says as much, once it is made. One that is being made, or was made to
--- a/sprucegate/fleet/membership_view/careful.py
+++ b/sprucegate/fleet/membership_view/careful.py
@@ -6,12 +6,12 @@
 
 from enum import Enum, auto
 
-from sprucegate.fleet.membership_view.standing import Standing
+from sprucegate.fleet.membership_view.standing import HealthState
 
-LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING, LEAVING, GONE, OTHER_BUILD = Standing
+LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING, LEAVING, GONE, OTHER_BUILD = HealthState
 
 
-class Own(Enum):
+class FleetState(Enum):
     """How this front stands in its fleet."""
 
     WHOLE = "whole"
@@ -21,7 +21,7 @@
     RETURNING = "returning"
 
 
-class Action(Enum):
+class PeerAction(Enum):
     TELL = auto()  # purges, drains and removals go to it at once
     BELIEVE = auto()  # its evidence (beliefs, rests) is taken
     LISTED = auto()  # it is one of the fronts that a permit may take out
@@ -36,14 +36,14 @@
 # out, after its lease), not to lend, to count what was lent, to count a floor, and for a steward to stay: each change
 # leaves places idle for a lease. One that goes needs nothing any more, but what it holds it holds to its end.
 IN_STANDING = {
-    Action.TELL: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
-    Action.BELIEVE: {LIVE, CUT_OFF},
-    Action.LISTED: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
-    Action.AWAITED: set(Standing),
-    Action.LEND: {LIVE, CUT_OFF},
-    Action.HOLDS: set(Standing),
-    Action.COUNTED: set(Standing),
-    Action.LENDS: {LIVE, SUSPECT},
+    PeerAction.TELL: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
+    PeerAction.BELIEVE: {LIVE, CUT_OFF},
+    PeerAction.LISTED: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
+    PeerAction.AWAITED: set(HealthState),
+    PeerAction.LEND: {LIVE, CUT_OFF},
+    PeerAction.HOLDS: set(HealthState),
+    PeerAction.COUNTED: set(HealthState),
+    PeerAction.LENDS: {LIVE, SUSPECT},
 }
 
 
@@ -59,18 +59,18 @@
 # One that stood still goes by nothing that may be over until it has looked again; one that returns knows too little
 # to speak for all; one that is alone has nobody to ask, and its floor.
 IN_STATE = {
-    OwnAction.TELL: set(Own),
-    OwnAction.BELIEVE: {Own.WHOLE, Own.PART, Own.RETURNING},
-    OwnAction.SPEAK: {Own.WHOLE, Own.PART, Own.ALONE},
-    OwnAction.LEND: {Own.WHOLE, Own.PART},
-    OwnAction.BORROW: {Own.WHOLE, Own.PART},
-    OwnAction.FLOOR: {Own.WHOLE, Own.PART, Own.ALONE},
+    OwnAction.TELL: set(FleetState),
+    OwnAction.BELIEVE: {FleetState.WHOLE, FleetState.PART, FleetState.RETURNING},
+    OwnAction.SPEAK: {FleetState.WHOLE, FleetState.PART, FleetState.ALONE},
+    OwnAction.LEND: {FleetState.WHOLE, FleetState.PART},
+    OwnAction.BORROW: {FleetState.WHOLE, FleetState.PART},
+    OwnAction.FLOOR: {FleetState.WHOLE, FleetState.PART, FleetState.ALONE},
 }
 
 
-def does(action, standing):
+def allows(action, standing):
     return standing in IN_STANDING[action]
 
 
-def own_does(action, state):
+def allows_own(action, state):
     return state in IN_STATE[action]
--- a/sprucegate/fleet/membership_view/standing.py
+++ b/sprucegate/fleet/membership_view/standing.py
@@ -8,7 +8,7 @@
 from math import log2
 from typing import NamedTuple
 
-from sprucegate.fleet.failure_detector.swim import Standing as Word
+from sprucegate.fleet.failure_detector.swim import MemberState
 
 MS, S = 1_000_000, 1_000_000_000
 HEARD = 1500 * MS  # a frame that came so lately: it is heard
@@ -19,7 +19,7 @@
 HALF, FLAPS, CALM, LOSSES_MOST = 30 * S, 2.5, 1.0, 6.0
 
 
-class Standing(IntEnum):
+class HealthState(IntEnum):
     LIVE = 0
     SUSPECT = 1  # accused, or seen for less than what makes bold
     ONE_WAY = 2  # it is heard, and hears not: accused or gone by its answers, and frames of it still come
@@ -30,42 +30,42 @@
     OTHER_BUILD = 7  # it speaks another format
 
 
-OF_WORD = {
-    Word.ALIVE: Standing.LIVE,
-    Word.SUSPECT: Standing.SUSPECT,
-    Word.GONE: Standing.GONE,
-    Word.LEFT: Standing.LEAVING,
+HEALTH_STATE_OF_MEMBER = {
+    MemberState.ALIVE: HealthState.LIVE,
+    MemberState.SUSPECT: HealthState.SUSPECT,
+    MemberState.GONE: HealthState.GONE,
+    MemberState.LEFT: HealthState.LEAVING,
 }
 
 
-class Row(NamedTuple):
+class ViewRow(NamedTuple):
     """`by`: whose word it rests on, a front's name, `keepers` or `links`."""
 
-    standing: Standing
+    standing: HealthState
     by: str
     since: int
     life: int
 
 
-class Known:
+class PeerHealth:
     """What is known of one front."""
 
     def __init__(self):
-        self.word, self.by, self.life, self.word_at, self.met_at = Standing.LIVE, "", 0, 0, 0
+        self.word, self.by, self.life, self.word_at, self.met_at = HealthState.LIVE, "", 0, 0, 0
         self.heard_at, self.indirect, self.format = -1 << 62, 0, False
         self.losses, self.losses_at, self.damped = 0.0, 0, False
 
     def told(self, member, now):
         """The members' word changed."""
-        word = OF_WORD[Word(member.standing)]
+        word = HEALTH_STATE_OF_MEMBER[MemberState(member.standing)]
         fresh = member.life != self.life
         if not self.life:
             self.met_at = now
         elif (
             fresh
-            and self.word not in (Standing.LEAVING, Standing.GONE)
-            or word is Standing.GONE
-            and (self.word is not Standing.GONE)
+            and self.word not in (HealthState.LEAVING, HealthState.GONE)
+            or word is HealthState.GONE
+            and (self.word is not HealthState.GONE)
         ):
             self.lost(now)  # a restart that was not announced, or a loss: not a planned one
         if fresh:
@@ -91,26 +91,26 @@
         if self.damped and now >= self.calm_at():
             self.damped = False
         if self.format:
-            return Standing.OTHER_BUILD, "links"
-        if self.word is Standing.LEAVING:
+            return HealthState.OTHER_BUILD, "links"
+        if self.word is HealthState.LEAVING:
             return self.word, self.by
-        if self.word in (Standing.SUSPECT, Standing.GONE):
+        if self.word in (HealthState.SUSPECT, HealthState.GONE):
             # Frames that left before the accusation say nothing against it.
             heard = self.heard_at > self.word_at + AFTER and now - self.heard_at < HEARD
-            return (Standing.ONE_WAY, "links") if heard else (self.word, self.by)
+            return (HealthState.ONE_WAY, "links") if heard else (self.word, self.by)
         if self.damped:
-            return Standing.FLAPPING, self.by
+            return HealthState.FLAPPING, self.by
         if self.indirect >= INDIRECT:
-            return Standing.CUT_OFF, "links"
+            return HealthState.CUT_OFF, "links"
         if agreed is False and now - self.met_at >= JOINING and now - self.word_at >= JOINING:
-            return Standing.CUT_OFF, "keepers"
-        return Standing.LIVE, self.by
+            return HealthState.CUT_OFF, "keepers"
+        return HealthState.LIVE, self.by
 
     def changes_at(self, agreed, now):
         """When time alone makes another standing of it; None: never."""
         times = [self.calm_at()] if self.damped else []
-        if self.word in (Standing.SUSPECT, Standing.GONE) and self.heard_at > self.word_at + AFTER:
+        if self.word in (HealthState.SUSPECT, HealthState.GONE) and self.heard_at > self.word_at + AFTER:
             times.append(self.heard_at + HEARD)
-        if agreed is False and self.word is Standing.LIVE:
+        if agreed is False and self.word is HealthState.LIVE:
             times.append(max(self.met_at, self.word_at) + JOINING)
         return min([at for at in times if at > now], default=None)
--- a/sprucegate/fleet/membership_view/views.py
+++ b/sprucegate/fleet/membership_view/views.py
@@ -9,8 +9,8 @@
 
 from sprucegate.fleet.failure_detector.swim import MEMBERS_MOST
 from sprucegate.fleet.membership_view import careful
-from sprucegate.fleet.membership_view.careful import Own
-from sprucegate.fleet.membership_view.standing import Known, Row, Standing
+from sprucegate.fleet.membership_view.careful import FleetState
+from sprucegate.fleet.membership_view.standing import HealthState, PeerHealth, ViewRow
 
 MS, S = 1_000_000, 1_000_000_000
 HOLD = 1 * S  # for which what makes bold has to hold
@@ -19,32 +19,32 @@
 LATER = 1 << 62
 
 
-class View(NamedTuple):
+class MembershipView(NamedTuple):
     number: int
     agreed: int
-    state: Own
+    state: FleetState
     share: float  # of the fleet's fronts that are with this one, itself counted
     rows: dict  # name -> Row, of the others
 
-    def does(self, action, name):
+    def allows(self, action, name):
         row = self.rows.get(name)
-        return row is not None and careful.does(action, row.standing)
+        return row is not None and careful.allows(action, row.standing)
 
     def names(self, action):
-        return sorted(name for name, row in self.rows.items() if careful.does(action, row.standing))
+        return sorted(name for name, row in self.rows.items() if careful.allows(action, row.standing))
 
-    def own_does(self, action):
-        return careful.own_does(action, self.state)
+    def allows_own(self, action):
+        return careful.allows_own(action, self.state)
 
 
-class Viewed(NamedTuple):
+class ViewChanged(NamedTuple):
     """A new view; `changed`: names whose standing is another."""
 
-    view: View
+    view: MembershipView
     changed: tuple
 
 
-class Views:
+class ViewTracker:
     def __init__(self, now):
         self.known, self.rows, self.bolder = {}, {}, {}
         self.set, self.index, self.fenced = (
@@ -53,14 +53,14 @@
             True,
         )  # the log's fronts by life, None without one; since when
         self.still_until, self.returning, self.at = 0, True, now
-        self.view = View(0, 0, Own.RETURNING, 1.0, {})
+        self.view = MembershipView(0, 0, FleetState.RETURNING, 1.0, {})
 
     # What happens: it is looked at by the next `due`, which is at once.
 
     def member(self, member, now):
         if member.name not in self.known and len(self.known) >= MEMBERS_MOST:
             return
-        self.known.setdefault(member.name, Known()).told(member, now)
+        self.known.setdefault(member.name, PeerHealth()).told(member, now)
         self.at = now
 
     def forgotten(self, name):
@@ -71,7 +71,7 @@
         """Any frame that came from that front itself."""
         if (one := self.known.get(name)) is not None:
             one.heard_at = now
-            if one.indirect or one.word is not Standing.LIVE:
+            if one.indirect or one.word is not HealthState.LIVE:
                 one.indirect, self.at = 0, now
 
     def answered(self, name, direct, now):
@@ -122,46 +122,46 @@
         was, index = self.view, self.index if log is not None else 0
         if not changed and (was.state, was.share, was.agreed) == (state, share, index):
             return []
-        self.view = View(was.number + 1, index, state, share, dict(self.rows))
-        return [Viewed(self.view, tuple(changed))]
+        self.view = MembershipView(was.number + 1, index, state, share, dict(self.rows))
+        return [ViewChanged(self.view, tuple(changed))]
 
     def _stands(self, name, one, standing, by, now):
         """Whether its row is another now: at once for what makes careful, after HOLD for what makes bold."""
         row = self.rows.get(name)
-        if standing is not Standing.LIVE:
+        if standing is not HealthState.LIVE:
             self.bolder.pop(name, None)
-        elif row is None or row.standing is not Standing.LIVE:
+        elif row is None or row.standing is not HealthState.LIVE:
             since = self.bolder.setdefault(name, now)
             if now - since < HOLD or now < self.still_until:
                 self.at = min(self.at, max(since + HOLD, self.still_until))
-                standing, by = (Standing.SUSPECT, by) if row is None or row.life != one.life else row[:2]
+                standing, by = (HealthState.SUSPECT, by) if row is None or row.life != one.life else row[:2]
             else:
                 del self.bolder[name]
         if row is not None and (row.standing, row.life) == (standing, one.life):
             return False
-        self.rows[name] = Row(standing, by, now, one.life)
+        self.rows[name] = ViewRow(standing, by, now, one.life)
         return True
 
     def _past(self, row, now):
-        gone = row.standing in (Standing.GONE, Standing.LEAVING)
+        gone = row.standing in (HealthState.GONE, HealthState.LEAVING)
         if gone and now - row.since < FORGET:
             self.at = min(self.at, row.since + FORGET)
         return gone and now - row.since >= FORGET
 
     def _own(self, now):
         """(state, share of the fleet's fronts)."""
-        there = 1 + sum(careful.does(careful.Action.TELL, row.standing) for row in self.rows.values())
+        there = 1 + sum(careful.allows(careful.PeerAction.TELL, row.standing) for row in self.rows.values())
         total = 1 + sum(self._counts(name, row) for name, row in self.rows.items())
         share = there / max(there, total)
         if now < self.still_until:
-            return Own.STOOD_STILL, share
+            return FleetState.STOOD_STILL, share
         if self.returning:
-            return Own.RETURNING, share
+            return FleetState.RETURNING, share
         if total > 1 and there == 1:
-            return Own.ALONE, share
-        return (Own.WHOLE if share == 1.0 else Own.PART), share
+            return FleetState.ALONE, share
+        return (FleetState.WHOLE if share == 1.0 else FleetState.PART), share
 
     def _counts(self, name, row):
         """One that left is no part any more, nor one that is gone and that the log has counted out."""
         out = self.set is not None and not self.fenced and name not in self.set
-        return row.standing is not Standing.LEAVING and not (row.standing is Standing.GONE and out)
+        return row.standing is not HealthState.LEAVING and not (row.standing is HealthState.GONE and out)
--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -5,24 +5,24 @@
 """
 
 from sprucegate.fleet.failure_detector import swim
-from sprucegate.fleet.failure_detector.swim import Member, Members, Standing
-from sprucegate.fleet.membership_view.careful import Action, does
-from sprucegate.fleet.membership_view.standing import OF_WORD
-from sprucegate.fleet.membership_view.views import Views
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.failure_detector.swim import Member, Members, MemberState
+from sprucegate.fleet.membership_view.careful import PeerAction, allows
+from sprucegate.fleet.membership_view.standing import HEALTH_STATE_OF_MEMBER
+from sprucegate.fleet.membership_view.views import ViewTracker
+from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.replica import Live, Phase, Replica
 
 MEMBER_WORDS = (swim.Ping, swim.Ack, swim.PingFor, swim.Nack, swim.All, swim.Refused)
 
 
-class Peer:
+class FleetNode:
     def __init__(self, name, address, life, seeds, seed, now, pace=None, **replicas):
         """`life`: start << 32 | being, its start kept on disk before anything is told; `replicas`: see Replica."""
-        chance = Chance(name, seed ^ life)
-        own = Member(name, address, life, 0, int(Standing.ALIVE), name)
+        chance = RandomSource(name, seed ^ life)
+        own = Member(name, address, life, 0, int(MemberState.ALIVE), name)
         self.members = Members(own, seeds, chance, now, pace)
-        self.replica, self.views = Replica(name, life, chance, now, **replicas), Views(now)
+        self.replica, self.views = Replica(name, life, chance, now, **replicas), ViewTracker(now)
 
     def loaded(self, facts, lives, now):
         self.replica.loaded(facts, lives, now)
@@ -96,7 +96,10 @@
             done.append(action)
             if isinstance(action, swim.Stands):
                 self.views.member(action.member, now)
-                there, before = does(Action.TELL, OF_WORD[action.member.standing]), action.before
+                there, before = (
+                    allows(PeerAction.TELL, HEALTH_STATE_OF_MEMBER[action.member.standing]),
+                    action.before,
+                )
                 if before is not None and before.life != action.member.life:
                     # Another life may have lost its disk: what the former one had seen counts no more.
                     done += self.replica.stands(before.name, False, now)
--- a/sprucegate/fleet/quotas/part.py
+++ b/sprucegate/fleet/quotas/part.py
@@ -1,26 +1,30 @@
 """The shares in a front: GETs that wait, words to and from stewards, timers. What is decided is in shares.py.
 
-The seam to the front is put in when the fleet is made: `driver.places`, and `router.shared`, the sources whose fills
-wait for a place. Nothing here is asked of another front on a GET's path.
+The seam to the front is put in when the fleet is made: `driver.places`, and `router.slot_limited_sources`, the sources
+whose fills wait for a place. Nothing here is asked of another front on a request's path.
 """
 
 import time
 
 import msgspec
 
-from sprucegate.fleet.components import Part
-from sprucegate.fleet.links.codec import Unreadable, Word
-from sprucegate.fleet.membership_view.careful import Action, OwnAction
+from sprucegate.fleet.components import FleetComponent
+from sprucegate.fleet.links.codec import ComponentMessage, FrameError
+from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
 from sprucegate.fleet.quotas import places
 from sprucegate.fleet.quotas.queue import tenant_of
 from sprucegate.fleet.quotas.shares import Shares
 from sprucegate.fleet.quotas.terms import Asks, GiveUp, Goes, Lent, Moved, Need, Send, Start, Terms
-from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 
 S = 1_000_000_000
 FACTORS = 0.5  # seconds between two looks at which sources have just started
-HITS = (Found.HIT, Found.STALE_HIT, Found.JOINED)
-GOES_ON = (Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.RESET)  # at the source, for all that is known here
+HITS = (CacheStatus.HIT, CacheStatus.STALE_HIT, CacheStatus.COLLAPSED)
+GOES_ON = (
+    AttemptOutcome.CANCELLED,
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.RESET,
+)  # at the source, for all that is known here
 
 _Count = msgspec.Meta(ge=0, le=1 << 20)
 _Time = msgspec.Meta(ge=0, le=1 << 62)
@@ -57,10 +61,10 @@
     try:
         kind, raw = _word(data)
         if not 0 < kind < len(KINDS):
-            raise Unreadable(f"a word on shares of kind {kind}, which is not known here")
+            raise FrameError(f"a word on shares of kind {kind}, which is not known here")
         made = KINDS[kind](*DECODERS[kind](raw))
     except msgspec.MsgspecError as fault:
-        raise Unreadable(f"a word on shares that can't be read: {fault}") from None
+        raise FrameError(f"a word on shares that can't be read: {fault}") from None
     if isinstance(made, Asks | Goes):
         return made
     if isinstance(made, Need):
@@ -71,9 +75,9 @@
         tenants = [t for row in made.rows for t, _ in row[2]]
         for source, spare, rows in made.rows:
             if spare + sum(n for _, n in rows) > terms.places.get(source, 1 << 20):
-                raise Unreadable(f"more places of {source:x} lent than there are: its file has other figures")
+                raise FrameError(f"more places of {source:x} lent than there are: its file has other figures")
     if any(n < 0 or n > 1 << 20 for n in counts) or any(not 0 <= t < len(terms.tenants) for t in tenants):
-        raise Unreadable("a word on shares with tenants or counts that can't be: its file has other figures")
+        raise FrameError("a word on shares with tenants or counts that can't be: its file has other figures")
     return made
 
 
@@ -86,8 +90,8 @@
         self.get, self.source, self.out, self.has = get, source, None, False
 
 
-class SharesPart(Part):
-    name, asked = "shares", "share"
+class QuotaComponent(FleetComponent):
+    name, question = "shares", "share"
 
     def __init__(self, fleet, node):
         self.fleet, self.node, self.driver, self.loop = fleet, node, fleet.driver, fleet.loop
@@ -99,15 +103,15 @@
             True  # until a view says otherwise, once no former life can have lent them
         )
         self.tokens, self.timer, self.names, self.up = {}, None, {}, False
-        self.driver.places, self.driver.router.shared = self, self.terms.places
+        self.driver.places, self.driver.router.slot_limited_sources = self, self.terms.places
 
     async def start(self):
         self.up = True
         own = self.fleet.peer.members.own
-        self.renamed(own.name, own.life)
+        self.on_identity_changed(own.name, own.life)
         self._ages()
 
-    def off(self):
+    def start_without_storage(self):
         # Without it what waits for a place would be neither filled nor answered.
         self.up = True
         self._ages()
@@ -120,7 +124,7 @@
 
     # What the fleet says.
 
-    def listed(self):
+    def on_endpoints_changed(self):
         """Sources that are listed, and how many fills each bears at once by the file: by its name, else by its kind."""
         router, kinds = self.driver.router, {value: name for name, value in self.driver.wanted.kinds.items()}
         found = {}
@@ -135,27 +139,30 @@
             self.terms.places.clear()
             self.terms.places.update(found)
 
-    def renamed(self, name, life):
+    def on_identity_changed(self, name, life):
         self._do(self.shares.renamed(name, life, time.monotonic_ns()))
 
-    def viewed(self, view):
+    def on_view_changed(self, view):
         own = self.fleet.peer.members.own
-        lenders = [(name, row.life) for name, row in view.rows.items() if view.does(Action.LENDS, name)]
-        lenders += [(own.name, own.life)] if view.own_does(OwnAction.LEND) else []
+        lenders = [(name, row.life) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)]
+        lenders += [(own.name, own.life)] if view.allows_own(OwnAction.LEND) else []
         self._do(
             self.shares.viewed(
-                lenders, view.own_does(OwnAction.BORROW), view.own_does(OwnAction.FLOOR), time.monotonic_ns()
+                lenders,
+                view.allows_own(OwnAction.BORROW),
+                view.allows_own(OwnAction.FLOOR),
+                time.monotonic_ns(),
             )
         )
 
-    def heard(self, sender, data):
+    def on_message(self, sender, data):
         self._do(self.shares.heard(sender, unpacked(data, self.terms), time.monotonic_ns()))
 
     def _ages(self):
         if not self.up:
             return
         router, now = self.driver.router, self.driver.clock()
-        warm, floor = router.get("parent_warm_time", 0), router.get("parent_cold_share", 0.1)
+        warm, floor = router.settings.parent_warm_time, router.settings.parent_cold_share
         self.shares.factors(
             {
                 node.id: places.cold(node.started and now - router.age(node, now), warm, floor, now)
@@ -178,7 +185,7 @@
         token, at = Token(get, source), time.monotonic_ns()
         self.tokens[get] = token
         self.driver.book.count("gets_slow")
-        self._do(self.shares.arrives(token, source, get.tenant, at + get.handle.due - now, at))
+        self._do(self.shares.arrives(token, source, get.tenant, at + get.handle.deadline - now, at))
 
     def sent(self, get, out, forward, now):
         """A forward goes out: by the GET's place, if it is the fill that the place is for."""
@@ -187,8 +194,8 @@
             token is not None
             and token.has
             and token.out is None
-            and forward.source == token.source
-            and (not forward.held_only)
+            and forward.fill_source == token.source
+            and (not forward.only_if_cached)
         ):
             token.out, out.place = out, token
             out.limit = min(out.limit, now + self.terms.longest)
@@ -204,10 +211,12 @@
         if outcome in GOES_ON:
             self.shares.lingers(token, at)
             return self._arm()
-        if outcome.never_ran or found in HITS:
+        if outcome.never_executed or found in HITS:
             return self._do(self.shares.unused(token, at))
         took = now - out.at
-        good = outcome is Outcome.RETURNED and took <= self.driver.router.objective(token.get.asked)
+        good = outcome is AttemptOutcome.RETURNED and took <= self.driver.router.latency_objective(
+            token.get.asked
+        )
         self._do(self.shares.ended(token, waited or took, good, at))
 
     def left(self, get):
@@ -244,9 +253,9 @@
 
     def _starts(self, token, source):
         get, now = token.get, self.driver.clock()
-        if self.tokens.get(get) is not token or get.handle.done:
+        if self.tokens.get(get) is not token or get.handle.finished:
             return self._do(self.shares.unused(token, time.monotonic_ns()))
-        token.has, get.handle.place = True, source
+        token.has, get.handle.slot_source = True, source
         self.driver.guarded(get, self._routes, get, now)
         if token.out is None:  # a sibling has it by now, or another source is to be asked
             if self.tokens.get(get) is token:
@@ -255,7 +264,7 @@
 
     def _routes(self, get, now):
         decided = get.handle.route(now)
-        get.handle.place = None  # for this forward alone
+        get.handle.slot_source = None  # for this forward alone
         self.driver.say(get, decided, now)
         self.driver.arm(now)
 
@@ -266,7 +275,7 @@
             return
         member = self.fleet.peer.members.known.get(to)
         if member is not None:
-            self.fleet.links.send(to, member.address, Word(self.name, packed(message)), False)
+            self.fleet.links.send(to, member.address, ComponentMessage(self.name, packed(message)), False)
 
     def _own(self, message):
         own = self.fleet.peer.members.own
@@ -289,7 +298,7 @@
 
     # Questions.
 
-    def why(self, given):
+    def explain(self, given):
         now, queue, borrower = time.monotonic_ns(), self.shares.queue, self.shares.borrower
         rows = []
         for source, count in sorted(self.terms.places.items()):
--- a/sprucegate/fleet/random_source.py
+++ b/sprucegate/fleet/random_source.py
@@ -1,16 +1,16 @@
 """Chance without a random generator: a hash over the instance, a text and a counter from the seed."""
 
-from sprucegate.routing.router import mixed
+from sprucegate.routing.hashing import hash32
 
 
-class Chance:
+class RandomSource:
     def __init__(self, instance, seed):
         self.instance, self.seed, self.draws = instance, seed % 2**32, 0
 
     def __call__(self, text):
         """A number from 0 to 1, another one at each call."""
         self.draws += 1
-        return mixed(f"{self.instance}/{text}/{self.draws}".encode(), self.seed) / 2**32
+        return hash32(f"{self.instance}/{text}/{self.draws}".encode(), self.seed) / 2**32
 
     def pick(self, text, several, count=1):
         """`count` of `several`, which stand in an order that is the same in any process."""
--- a/sprucegate/fleet/replica_storage.py
+++ b/sprucegate/fleet/replica_storage.py
@@ -12,10 +12,11 @@
 
 import msgspec
 
+from sprucegate.errors import StorageError
 from sprucegate.fleet.replica.facts import Fact
-from sprucegate.storage.disk import replace
-from sprucegate.storage.log import Log
-from sprucegate.storage.snapshots import Snapshots
+from sprucegate.storage.disk import replace_file
+from sprucegate.storage.log import AppendLog
+from sprucegate.storage.snapshots import SnapshotStore
 
 Span = tuple[str, int, int, int]
 Life = tuple[str, int, list[int]]
@@ -27,7 +28,7 @@
 START_MOST = 1 << 30
 
 
-class Unreadable(Exception):
+class ReplicaStorageError(StorageError):
     """The folder can't be used; the text says why."""
 
 
@@ -49,7 +50,7 @@
 class Keeping:
     def __init__(self, disk, folder):
         self.disk, self.folder, self.log, self.generation = disk, folder, None, 0
-        self.snapshots = Snapshots(disk, folder, "facts", keep=2)
+        self.snapshots = SnapshotStore(disk, folder, "facts", keep=2)
         self.named = re.compile(r"facts-([0-9]{16})\.log")
 
     def start(self, least=0):
@@ -60,11 +61,11 @@
         except FileNotFoundError:
             last = 0
         except ValueError:
-            raise Unreadable(f"{self.folder}/start: holds no number") from None
+            raise ReplicaStorageError(f"{self.folder}/start: holds no number") from None
         fresh = max(last, least) + 1
         if not 0 < fresh < START_MOST:
-            raise Unreadable(f"{self.folder}/start: {fresh} is past its bound")
-        replace(self.disk, self.folder, "start", str(fresh).encode())
+            raise ReplicaStorageError(f"{self.folder}/start: {fresh} is past its bound")
+        replace_file(self.disk, self.folder, "start", str(fresh).encode())
         return fresh
 
     def open(self, now):
@@ -80,7 +81,7 @@
                 kept.take(_facts(piece), [], [])
         logs = sorted(int(match[1]) for name in names if (match := self.named.fullmatch(name)))
         for number in [n for n in logs if taken is None or n >= taken.generation]:
-            log = Log(self.disk, self._path(number))
+            log = AppendLog(self.disk, self._path(number))
             scanned = log.recover()
             log.close()
             if scanned.fault:
@@ -118,7 +119,7 @@
             self.log.close()
 
     def _next_log(self):
-        log = Log(self.disk, self._path(self.generation + 1))
+        log = AppendLog(self.disk, self._path(self.generation + 1))
         log.recover()
         if self.log is not None:
             self.log.close()
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -14,12 +14,12 @@
 
 from sprucegate import clock
 from sprucegate.fleet import components
-from sprucegate.fleet.failure_detector.swim import Doubled, Fenced, Look, Standing, Stands
+from sprucegate.fleet.failure_detector.swim import Doubled, Fenced, Look, MemberState, Stands
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.links.links import IN_MOST, KEEPER_MOST, Links
-from sprucegate.fleet.membership_view.careful import Action, OwnAction
-from sprucegate.fleet.membership_view.views import Viewed
-from sprucegate.fleet.node import Peer, outgoing
+from sprucegate.fleet.links.links import INBOUND_CONNECTIONS_MAX, VOTER_CONNECTIONS_MAX, PeerLinks
+from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
+from sprucegate.fleet.membership_view.views import ViewChanged
+from sprucegate.fleet.node import FleetNode, outgoing
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import (
     HELD,
@@ -35,9 +35,9 @@
     Send,
     Write,
 )
-from sprucegate.fleet.replica_storage import PIECE, Keeping, Unreadable, packed
-from sprucegate.routing.interface import Believed, Resting
-from sprucegate.routing.interface import State as Listed
+from sprucegate.fleet.replica_storage import PIECE, Keeping, ReplicaStorageError, packed
+from sprucegate.routing.events import BeliefGossip, EjectionGossip
+from sprucegate.routing.events import EndpointState as Listed
 from sprucegate.storage.disk import Disk
 
 S = 1_000_000_000
@@ -52,7 +52,7 @@
 STATES = {Listed.DRAINING: State.DRAINING, Listed.SERVING: State.LIFTED, Listed.GONE: State.GONE}
 
 
-class Fleet:
+class FleetService:
     """What the driver calls: `purged` and `listed`. Neither waits, neither raises for what other fronts do."""
 
     def __init__(self, driver, node, name, seed, merged, agreement=None, disk=None, shares=None):
@@ -64,7 +64,7 @@
         self.tasks, self.snapping, self.stopped, self.waiting = set(), False, False, []
         self.rows_out, self.rows_in = 0, 0  # of evidence
         self.being = int.from_bytes(os.urandom(4), "big")
-        self.parts = components.wanted(self)
+        self.parts = components.configured_components(self)
         self.fresh = 0  # facts since the collector was told
         merged.view.news = []
 
@@ -74,7 +74,7 @@
         """What the disk has, in force before the first list of servers is taken."""
         try:
             start, kept = await self._disk(self._opened)
-        except (OSError, Unreadable, ValueError) as fault:
+        except (OSError, ReplicaStorageError, ValueError) as fault:
             # Without a count of starts it may not speak: it serves by what it hears itself, as without a fleet.
             self.log("fleet_off", error=f"{type(fault).__name__}: {fault}")
             return
@@ -82,7 +82,7 @@
             self.log("fleet_state_refused", error=why)
         now = time.monotonic_ns()
         address, life = self.node.advertise or self.node.listen, start << 32 | self.being
-        self.peer = Peer(
+        self.peer = FleetNode(
             self.name,
             address,
             life,
@@ -111,16 +111,16 @@
     def start(self):
         if self.peer is None:
             for part in self.parts:
-                part.off()
+                part.start_without_storage()
             return self.up.set()
         keeps = self.agreement is not None and self.name in self.agreement[0].addresses
-        self.links = Links(
+        self.links = PeerLinks(
             self.node.address,
             self.log,
             self._greeting,
             self._heard,
             self._asked,
-            KEEPER_MOST if keeps else IN_MOST,
+            VOTER_CONNECTIONS_MAX if keeps else INBOUND_CONNECTIONS_MAX,
             self._reset,
             self._other_build,
         )
@@ -140,13 +140,13 @@
         """SIGTERM: the others need not find out by themselves. This front hears and tells until its end."""
         if self.links is not None:
             for part in self.parts:
-                part.leaves()
+                part.on_leaving()
         if self.peer is not None and self.links is not None:
             self.do(self.peer.leaves(time.monotonic_ns()))
 
     def forwarded(self, cache, outcome, found, took, asked):
         for part in self.parts:
-            part.forwarded(cache, outcome, found, took, asked)
+            part.on_attempt_ended(cache, outcome, found, took, asked)
 
     async def stop(self):
         self.stopped = True
@@ -170,7 +170,7 @@
         """Drains and removals that a source of this front's own told since the last call."""
         news, self.merged.view.news = self.merged.view.news, []
         for part in self.parts:
-            part.listed()
+            part.on_endpoints_changed()
         if self.peer is None:
             return
         held = self.peer.replica.facts.held
@@ -241,15 +241,15 @@
                     self.log(action.event, **action.said)
                 case Look(name, address, life):
                     self.links.look(address, lambda name=name, life=life: self._refused(name, life))
-                case Viewed():
+                case ViewChanged():
                     self._viewed(action)
                 case Stands():
                     member, before = action.member, action.before
                     self.log(
                         "fleet_member",
                         member=member.name,
-                        standing=Standing(member.standing).name.lower(),
-                        before=Standing(before.standing).name.lower() if before else None,
+                        standing=MemberState(member.standing).name.lower(),
+                        before=MemberState(before.standing).name.lower() if before else None,
                         by=member.by,
                         life=f"{member.life:x}",
                         address=member.address,
@@ -289,12 +289,14 @@
         """What the rules find worth telling, to the neighbours that this front tells of purges."""
         while True:
             await asyncio.sleep(EVIDENCE_EVERY)
-            said = self.driver.router.tells(self.node.evidence // EVIDENCE_BYTES, self.driver.clock())
+            said = self.driver.router.gossip_to_send(
+                self.node.evidence // EVIDENCE_BYTES, self.driver.clock()
+            )
             if said:
                 message = Evidence(
                     clock.unix(),
-                    [one for one in said if isinstance(one, Believed)],
-                    [one for one in said if isinstance(one, Resting)],
+                    [one for one in said if isinstance(one, BeliefGossip)],
+                    [one for one in said if isinstance(one, EjectionGossip)],
                 )
                 self.rows_out += len(said)
                 self.do([Send(name, message) for name in self.peer.replica.to(time.monotonic_ns())])
@@ -324,32 +326,34 @@
             },
         )
         for part in self.parts:
-            part.viewed(view)
+            part.on_view_changed(view)
 
     def _hears(self, name, message):
         now = self.driver.clock()
         view = self.peer.views.view
-        if not view.does(Action.BELIEVE, name) or not view.own_does(OwnAction.BELIEVE):
+        if not view.allows(PeerAction.BELIEVE, name) or not view.allows_own(OwnAction.BELIEVE):
             return
         # Two machines' wall clocks: where either was stepped the words look too old, or come from the future.
         age = clock.unix() - message.at
         if abs(age) <= EVIDENCE_OLD:
             self.rows_in += len(message.resting) + len(message.believed)
-            self.driver.router.hears(message.resting + message.believed, max(0, age), now)
+            self.driver.router.receive_gossip(message.resting + message.believed, max(0, age), now)
 
     def _heard(self, name, message):
         try:
             if isinstance(message, Evidence):
                 self.peer.views.heard(name, time.monotonic_ns())
                 return self._hears(name, message)
-            if isinstance(message, codec.Word):
-                return [part.heard(name, message.data) for part in self.parts if part.name == message.part]
-            if taken := [part for part in self.parts if isinstance(message, part.takes)]:
-                return taken[0].heard(name, message)
-            if isinstance(message, codec.Routed):
+            if isinstance(message, codec.ComponentMessage):
+                return [
+                    part.on_message(name, message.data) for part in self.parts if part.name == message.part
+                ]
+            if taken := [part for part in self.parts if isinstance(message, part.message_types)]:
+                return taken[0].on_message(name, message)
+            if isinstance(message, codec.ConsensusFrame):
                 return None  # of a log that this front does not follow
             self.do(self.peer.heard(name, message, time.monotonic_ns()))
-        except codec.Unreadable:
+        except codec.FrameError:
             raise  # a part can't read it: the peer loses its connection
         except Exception as fault:  # one message is lost by it, and repaired as a lost one is
             self.driver.fault(fault)
@@ -362,7 +366,7 @@
         if fact.key[0] == PURGE:
             _, kind, at = fact.key
             obj, group = (at, -1) if kind == "object" else (-1, at)
-            self.driver.router.purged(obj, group, self.driver.platform.age(fact.value[0], now), now)
+            self.driver.router.invalidate(obj, group, self.driver.platform.age(fact.value[0], now), now)
         elif fact.key[0] == WORD:
             _, server, started, source, owner = fact.key
             own = owner == self.peer.replica.name
@@ -416,14 +420,14 @@
             try:
                 start = await self._disk(self.keeping.start, least)
                 break
-            except (OSError, Unreadable) as fault:
+            except (OSError, ReplicaStorageError) as fault:
                 self.log("fleet_not_kept", error=str(fault))
                 await asyncio.sleep(AGAIN)
         self.peer.renewed(start, alias)
         if alias:
             self.links.greet_again()
         for part in self.parts:
-            part.renamed(self.peer.members.own.name, self.peer.members.own.life)
+            part.on_identity_changed(self.peer.members.own.name, self.peer.members.own.life)
         self.log("fleet_renewed", name=self.peer.members.own.name, life=f"{self.peer.members.own.life:x}")
 
     def _later(self, action):
@@ -451,7 +455,7 @@
     async def _asked(self, question):
         answers = {"status": self._status, "facts": self._facts, "why": self._why}
         for part in self.parts:
-            answers |= part.answers
+            answers |= part.question_handlers
         if question.what not in answers:
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known"})
         said = await answers[question.what](question.given)
@@ -483,7 +487,7 @@
                 {
                     "name": m.name,
                     "address": m.address,
-                    "standing": Standing(m.standing).name.lower(),
+                    "standing": MemberState(m.standing).name.lower(),
                     "by": m.by,
                     "life": f"{m.life:x}",
                     "lag": lag.get(name),
@@ -523,7 +527,7 @@
                 "view": view,
             }
         for part in self.parts:
-            if given[:1] == [part.asked] and (rows := part.why(given[1:])) is not None:
+            if given[:1] == [part.question] and (rows := part.explain(given[1:])) is not None:
                 return {"facts": rows}
         wanted = set(given)
         return {"facts": (await self._found(lambda key: wanted <= set(map(str, key))))[1]}
--- a/sprucegate/front/admission.py
+++ b/sprucegate/front/admission.py
@@ -2,9 +2,9 @@
 
 import re
 
-from sprucegate.front.open_requests import OpenGet
+from sprucegate.front.open_requests import OpenRequest
 from sprucegate.front.protocol.http import Refusal
-from sprucegate.routing.interface import Asked
+from sprucegate.routing.events import Request
 
 MS = 1_000_000
 TARGET = re.compile(rb"/svc/([^/?]+)/([0-9a-f]{1,16})(?:/slice-([0-9]{1,9}))?")
@@ -73,18 +73,18 @@
         return Refusal(400, "X-Dedupe-Key: up to 64 letters, digits and _.- are wanted")
     have = headers.get(b"if-none-match")
     have = have and TAG.fullmatch(have)
-    asked = Asked(
+    asked = Request(
         id=call_id.decode(),
         object=int(thing, 16),
         part=int(part or 0),
         group=int(group),
-        ds=ds,
+        delivery_service=ds,
         size=int(size),
         write=request.method == b"PUT",
         repeat=False,
         ttl=min(int(patience * MS), longest) - waited,
     )
-    return OpenGet(
+    return OpenRequest(
         client,
         call_id,
         ds_name.decode(),
--- a/sprucegate/front/buffer_pool.py
+++ b/sprucegate/front/buffer_pool.py
@@ -3,7 +3,7 @@
 SIZE = 16_384
 
 
-class Pool:
+class BufferPool:
     def __init__(self, most):
         self.most, self.out, self.ready = most, 0, []
 
--- a/sprucegate/front/configuration.py
+++ b/sprucegate/front/configuration.py
@@ -6,6 +6,7 @@
 
 import orjson
 
+from sprucegate.errors import ConfigurationError
 from sprucegate.front import configuration_checks
 from sprucegate.front.protocol import bus
 from sprucegate.simulator.settings import settings_from
@@ -14,7 +15,7 @@
 KINDS = {str: "text", dict: "an object", list: "a list"}
 
 
-class Faulty(Exception):
+class FrontConfigurationError(ConfigurationError):
     """A message that names the key at fault."""
 
 
@@ -96,26 +97,28 @@
     if data.get(last) is not None:
         return _checked(data[last], key, kind)
     if default is REQUIRED:
-        raise Faulty(f"{key}: is missing")
+        raise FrontConfigurationError(f"{key}: is missing")
     return default
 
 
 def _checked(value, key, kind):
     if isinstance(value, bool) or not isinstance(value, kind):
-        raise Faulty(f"{key}: must be {KINDS.get(kind, 'a number')}, not {type(value).__name__}")
+        raise FrontConfigurationError(
+            f"{key}: must be {KINDS.get(kind, 'a number')}, not {type(value).__name__}"
+        )
     return value
 
 
 def _address(text, key):
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= 65_535:
-        raise Faulty(f"{key}: must be HOST:PORT, not {text[:60]!r}")
+        raise FrontConfigurationError(f"{key}: must be HOST:PORT, not {text[:60]!r}")
     return host, int(port)
 
 
 def _above(value, key, least):
     if not value >= least:
-        raise Faulty(f"{key}: must be at least {least}, not {value}")
+        raise FrontConfigurationError(f"{key}: must be at least {least}, not {value}")
     return value
 
 
@@ -150,7 +153,7 @@
     names = [item.get(field) if field and isinstance(item, dict) else item for item in items]
     for at, name in enumerate(names):
         if not isinstance(name, str) or not name:
-            raise Faulty(f"{key}[{at}]{'.' + field if field else ''}: must be a name")
+            raise FrontConfigurationError(f"{key}[{at}]{'.' + field if field else ''}: must be a name")
     return {name: at for at, name in enumerate(names)}
 
 
@@ -158,16 +161,18 @@
     """What the environment and the file it names ask for; raises Faulty."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise Faulty("BALANCER_CONFIG: is not set; it names the configuration file")
+        raise FrontConfigurationError("BALANCER_CONFIG: is not set; it names the configuration file")
     try:
         with open(path, "rb") as file:
             data = orjson.loads(file.read())
     except OSError as fault:
-        raise Faulty(f"BALANCER_CONFIG: {path} can't be read: {os.strerror(fault.errno or 0)}") from None
+        raise FrontConfigurationError(
+            f"BALANCER_CONFIG: {path} can't be read: {os.strerror(fault.errno or 0)}"
+        ) from None
     except orjson.JSONDecodeError as fault:
-        raise Faulty(f"BALANCER_CONFIG: {path} is not JSON: {fault}") from None
+        raise FrontConfigurationError(f"BALANCER_CONFIG: {path} is not JSON: {fault}") from None
     if not isinstance(data, dict):
-        raise Faulty(f"BALANCER_CONFIG: {path} holds no object")
+        raise FrontConfigurationError(f"BALANCER_CONFIG: {path} holds no object")
     for key, variable in (("name", "BALANCER_NAME"), ("listen", "BALANCER_LISTEN")):
         data.setdefault(key, environ.get(variable))
     return wanted(data)
@@ -180,22 +185,23 @@
     for at, event in enumerate(_pick(data, "known.batch", list)):
         try:
             known.append(bus.read(event, locations, kinds))
-        except bus.Malformed as fault:
-            raise Faulty(f"known.batch[{at}]: {fault}") from None
+        except bus.MalformedEventError as fault:
+            raise FrontConfigurationError(f"known.batch[{at}]: {fault}") from None
     seed = _pick(data, "seed", str)
     try:
         seed = int(seed, 16)
     except ValueError:
-        raise Faulty(f"seed: must be hex digits, not {seed[:60]!r}") from None
+        raise FrontConfigurationError(f"seed: must be hex digits, not {seed[:60]!r}") from None
     settings = settings_from(
-        _flat(_pick(data, "settings", dict), "", {}), lambda text: Faulty(f"settings: {text}")
+        _flat(_pick(data, "settings", dict), "", {}),
+        lambda text: FrontConfigurationError(f"settings: {text}"),
     )
     for name, path in (("connect_timeout", "allowed.connectTimeout"), ("keepalive", "allowed.keepalive")):
         # Without them a front would go by another deployment's: connections would be used as their caches close them.
         if name not in settings:
-            raise Faulty(f"settings.{path}: is missing")
+            raise FrontConfigurationError(f"settings.{path}: is missing")
     if found := configuration_checks.fault(settings, len(locations)):
-        raise Faulty(f"settings.{found[0]}: {found[1]}")
+        raise FrontConfigurationError(f"settings.{found[0]}: {found[1]}")
     return Wanted(
         name=_pick(data, "name", str),
         listen=_address(_pick(data, "listen", str), "listen"),
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -11,7 +11,7 @@
 PAUSE = 0.02  # seconds for which the listener rests where nobody can be taken: the rest wait in its queue
 
 
-class TakeIn:
+class ConnectionReader:
     def __init__(self, driver, pool, most, times, repeatable=frozenset()):
         """`most` connections at a time; `times` are the bounds of the configuration, in nanoseconds."""
         self.driver, self.pool, self.most, self.times, self.repeatable = driver, pool, most, times, repeatable
--- a/sprucegate/front/counters.py
+++ b/sprucegate/front/counters.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 
-class Book:
+class Counters:
     def __init__(self):
         self.counts = Counter()
 
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -7,16 +7,18 @@
 
 from sprucegate import clock as system
 from sprucegate.front.admission import LIVE, admit
-from sprucegate.front.counters import Book
+from sprucegate.front.counters import Counters
 from sprucegate.front.invariants import Invariants
-from sprucegate.front.open_requests import OpenForward
+from sprucegate.front.open_requests import OpenAttempt
 from sprucegate.front.protocol.http import Refusal, tagged
-from sprucegate.front.response_cache import Copies, Copy
-from sprucegate.front.response_writer import Relay
+from sprucegate.front.response_cache import CachedResponse, ResponseCache
+from sprucegate.front.response_writer import ResponseWriter
 from sprucegate.front.route import route
-from sprucegate.routing.interface import Cancel, Errored, Forward, Found, Outcome, Shed, State, Wait
+from sprucegate.routing.actions import AwaitSlot, CancelAttempt, FailRequest, RejectRequest, SendAttempt
+from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
 from sprucegate.routing.router import OWN_BYTES, Router
-from sprucegate.upstream.hosts import Hosts
+from sprucegate.routing.settings import RoutingSettings
+from sprucegate.upstream.hosts import EndpointList
 from sprucegate.upstream.sending import Sending
 from sprucegate.upstream.servers import Servers
 
@@ -29,8 +31,8 @@
     def __init__(self, wanted, pool, log, clock=system.now):
         self.wanted, self.log, self.clock, self.loop = wanted, log, clock, asyncio.get_running_loop()
         self.platform = system.PlatformTime()
-        self.router = Router(wanted.settings, wanted.seed, clock())
-        self.relay, self.book, self.ready, self.aside = Relay(self), Book(), False, False
+        self.router = Router(RoutingSettings.from_mapping(wanted.settings), wanted.seed, clock())
+        self.relay, self.book, self.ready, self.aside = ResponseWriter(self), Counters(), False, False
         self.invariants = Invariants(wanted.settings, self.book.count, log)
         self.sending = Sending(self.book.count, self.invariants.began)
         self.servers = Servers(self, pool, wanted.settings, wanted.descriptors // 3, wanted.servers)
@@ -39,7 +41,7 @@
         self.compacts_at = COMPACTED
         self.timer, self.armed, self.membership, self.fleet = None, None, None, None
         self.places = None  # who shares out places for slow fills; None: each starts at once
-        self.copies = Copies(min(OWN_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link)
+        self.copies = ResponseCache(min(OWN_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link)
 
     # What happens.
 
@@ -64,7 +66,7 @@
             get.tenant = self.places.tenant(request.headers)
         if len(self.open) >= self.most:
             self.book.count("shed_over_bound")
-            get.handle = self.router.take(get.asked, now)
+            get.handle = self.router.start_request(get.asked, now)
             self.guarded(get, self.say, get, get.handle.give_up(now), now)
             return
         self.guarded(get, self._taken, get, now)
@@ -83,7 +85,9 @@
         if (
             copy is None
             or get.asked.write
-            or not self.router.owns(get.asked, copy.made, copy.since, self.copies.wait(now), now)
+            or not self.router.may_answer_from_own_copy(
+                get.asked, copy.made, copy.since, self.copies.wait(now), now
+            )
         ):
             return False
         same = copy.tag and get.have == copy.tag
@@ -99,18 +103,20 @@
 
     def _ended(self, out, outcome, found, waited, load, at):
         now, get = at or self.clock(), out.get
-        out.ended, out.outcome, out.may_have_run = True, outcome, not outcome.never_ran
+        out.ended, out.outcome, out.may_have_run = True, outcome, not outcome.never_executed
         get.story.append((now, f"attempt {out.number} {outcome.name.lower()}"))
         self.book.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
             self.fleet.forwarded(out.cache, outcome, found, now - out.at, get.asked)
         finished = get.answered or get.client.get is not get
-        decided = get.handle.ended(out.number, outcome, found, now - out.at, waited, load, finished, now)
+        decided = get.handle.attempt_ended(
+            out.number, outcome, found, now - out.at, waited, load, finished, now
+        )
         if out.place is not None:
             self.places.ended(out, outcome, found, waited, now)
         if decided:
             self.say(get, decided, now)
-        elif get.handle.settled():
+        elif get.handle.is_settled():
             self.forget(get)
 
     def forget(self, get):
@@ -128,11 +134,13 @@
         """A forward's server and the source of a fill, by name."""
         names = [
             place.name if place is not None else f"{at:x}"
-            for at in (forward.cache, forward.source)
+            for at in (forward.cache, forward.fill_source)
             for place in [self.servers.places.get(at)]
         ]
         return (
-            f"to {names[0]}" if forward.source == forward.cache else f"to {names[0]}, filled from {names[1]}"
+            f"to {names[0]}"
+            if forward.fill_source == forward.cache
+            else f"to {names[0]}, filled from {names[1]}"
         )
 
     def _log(self, get):
@@ -155,8 +163,8 @@
             self.relay.answer(out.get, 200, said.body, tagged(said.tag))
             get, now = out.get, self.clock()
             made = self._made(out, said, now)
-            if made is not None and self.router.keeps(get.asked, made, now):
-                self.copies.put((get.ds, get.thing, get.part), Copy(said.body, said.tag, made, now))
+            if made is not None and self.router.should_store_own_copy(get.asked, made, now):
+                self.copies.put((get.ds, get.thing, get.part), CachedResponse(said.body, said.tag, made, now))
         self.book.count("gets_returned")
 
     def _made(self, out, said, now):
@@ -164,7 +172,7 @@
         if said.age is not None:
             return out.at - said.age
         self.platform.copy_stamped(said.made, out.cache, now)
-        self.router.platform_offset = self.platform.least_offset
+        self.router.platform_clock_offset = self.platform.least_offset
         age = self.platform.copy_age(said.made, now) if said.made else None
         return None if age is None else now - age
 
@@ -176,7 +184,7 @@
         if self.places is not None:
             self.places.left(get)
         self.take_back(get)
-        self.say(get, get.handle.left(now), now)
+        self.say(get, get.handle.client_disconnected(now), now)
 
     def take_back(self, get, overtaken=lambda out: True):
         """Forwards of which nothing has left yet, and that are no longer to be sent, never are.
@@ -185,7 +193,7 @@
         """
         for out in list(get.forwards.values()):
             if not out.ended and overtaken(out) and self.servers.withdraw(out):
-                self.loop.call_soon(self.ended, out, Outcome.NOT_SENT, Found.UNTOLD, 0, {})
+                self.loop.call_soon(self.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
 
     def take_back_all(self, overtaken):
         """What was decided before the news just told and not begun is decided anew: it would be sent after them."""
@@ -196,7 +204,7 @@
         """A list or a purge, from the bus or from what was known at the start."""
         now = self.clock()
         self.stamped(news, now)
-        if isinstance(news, Hosts):
+        if isinstance(news, EndpointList):
             if self.membership is not None:
                 news = self.membership.merged(news, now)
             if news is not None:
@@ -206,7 +214,7 @@
         elif news is not None:
             if self.fleet is not None:
                 self.fleet.purged(news.object, news.group, news.at)
-            self.router.purged(news.object, news.group, self.platform.age(news.at, now), now)
+            self.router.invalidate(news.object, news.group, self.platform.age(news.at, now), now)
             # The oldest copy that a forward takes was worked out before the purge.
             self.take_back_all(
                 lambda out: news.group == out.get.asked.group
@@ -217,18 +225,18 @@
 
     def stamped(self, news, now):
         """What news of discovery shows of the platform's clock; known before, their ages are told apart."""
-        if isinstance(news, Hosts):
+        if isinstance(news, EndpointList):
             for entry in news.entries:
                 self.platform.stamped(entry.started, now)
         elif news is not None:
             self.platform.stamped(news.at, now)
-        self.router.platform_offset = self.platform.least_offset
+        self.router.platform_clock_offset = self.platform.least_offset
 
     def apply(self, hosts):
         """A list as it now holds: from the bus alone, or merged from all sources."""
         self.servers.listed(hosts)
-        self.router.listed(hosts.entries, hosts.whole, self.clock())
-        serves = {entry.id for entry in hosts.entries if entry.state is State.SERVING}
+        self.router.update_endpoints(hosts.entries, hosts.whole, self.clock())
+        serves = {entry.id for entry in hosts.entries if entry.state is EndpointState.SERVING}
         named = hosts.names.keys()
         self.invariants.listed(serves, named, hosts.whole)
         self.take_back_all(
@@ -246,22 +254,24 @@
                 self.guarded(get, self.say, get, get.handle.give_up(now), now)
 
     def list_failed(self):
-        self.router.list_failed(self.clock())
+        self.router.endpoint_list_failed(self.clock())
 
     # What is decided.
 
     def say(self, get, decided, now):
         for one in decided:
             match one:
-                case Forward():
-                    out = get.forwards[one.number] = OpenForward(
-                        get, one.number, one.cache, one.source, now, now + one.timeout
+                case SendAttempt():
+                    out = get.forwards[one.number] = OpenAttempt(
+                        get, one.number, one.cache, one.fill_source, now, now + one.timeout
                     )
                     if self.wanted.log_gets:
                         get.story.append((now, f"attempt {one.number} {self._where(one)}"))
                     if get.client.left():
                         # Its end stands behind what this turn of the loop still does: nobody waits any more.
-                        self.loop.call_soon(self.ended, out, Outcome.NOT_SENT, Found.UNTOLD, 0, {})
+                        self.loop.call_soon(
+                            self.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                        )
                         self.left(get)
                         continue
                     if (
@@ -273,23 +283,23 @@
                     self.servers.forward(out, one)
                     self._limit(out)
                     self.armed_by(out.limit)
-                case Wait():
-                    self.places.waits(get, one.source, now)
-                case Shed():
+                case AwaitSlot():
+                    self.places.waits(get, one.fill_source, now)
+                case RejectRequest():
                     self.book.count("gets_shed")
                     self.book.count("gets_shed_after_attempts" if get.forwards else "gets_shed_unsent")
                     self.take_back(get)
                     wait = b"X-Come-Back-Ms: %d\r\n" % (one.retry_after // MS) if one.retry_after else b""
                     self.relay.answer(get, 503, headers=wait)
-                case Errored():
+                case FailRequest():
                     self.book.count("gets_errored")
                     self.take_back(get)
                     self.relay.answer(get, 502)
-                case Cancel():
+                case CancelAttempt():
                     out = get.forwards[one.number]
                     self.servers.cancel(out)
-                    self.loop.call_soon(self.ended, out, Outcome.CANCELLED, Found.UNTOLD, 0, {})
-        if get.handle.settled():
+                    self.loop.call_soon(self.ended, out, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, {})
+        if get.handle.is_settled():
             self.forget(get)
 
     def _limit(self, out):
@@ -308,7 +318,7 @@
         """One timer, for what the module or a forward's time-out is due at first."""
         while self.limits and self.limits[0][2].ended:
             heapq.heappop(self.limits)
-        due = self.router.next_due()
+        due = self.router.next_deadline()
         if self.limits and (due is None or self.limits[0][0] < due):
             due = self.limits[0][0]
         theirs = self.servers.next_due()
@@ -340,11 +350,11 @@
                 self.guarded(out.get, self._timed_out, out)
 
     def _timed_out(self, out):
-        never_ran = self.servers.cancel(out, timed_out=True)
-        self.ended(out, never_ran or Outcome.TIMED_OUT, Found.UNTOLD, 0, {})
+        never_executed = self.servers.cancel(out, timed_out=True)
+        self.ended(out, never_executed or AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, 0, {})
 
     def _given_up(self, now):
-        for handle, decided in self.router.due(now):
+        for handle, decided in self.router.on_timer(now):
             if handle in self.open:
                 self.guarded(self.open[handle], self.say, self.open[handle], decided, now)
 
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -97,7 +97,7 @@
             self.log("invariant_broken", rule="left_over", ids=ids, buffers=buffers)
 
     def _effect(self, get):
-        ds = get.asked.ds
+        ds = get.asked.delivery_service
         return self.effects[ds] if ds < len(self.effects) and self.effects[ds] is not None else "idempotent"
 
     @staticmethod
--- a/sprucegate/front/open_requests.py
+++ b/sprucegate/front/open_requests.py
@@ -3,7 +3,7 @@
 from sprucegate.upstream.progress import Progress
 
 
-class OpenForward:
+class OpenAttempt:
     __slots__ = (
         "get",
         "number",
@@ -37,7 +37,7 @@
         self.place = None  # by which its fill may run, where places are shared out
 
 
-class OpenGet:
+class OpenRequest:
     __slots__ = (
         "client",
         "id",
--- a/sprucegate/front/protocol/bus.py
+++ b/sprucegate/front/protocol/bus.py
@@ -7,15 +7,16 @@
 import httptools
 import orjson
 
-from sprucegate.routing.interface import Listed, State
-from sprucegate.upstream.hosts import Hosts, number_of
+from sprucegate.errors import ProtocolError
+from sprucegate.routing.events import Endpoint, EndpointState
+from sprucegate.upstream.hosts import EndpointList, endpoint_id
 
 MS = 1_000_000
 EVENT_MOST = 4 << 20  # bytes of one event; the whole list is the largest
-STATES = {"up": State.SERVING, "draining": State.DRAINING, "removed": State.GONE}
+STATES = {"up": EndpointState.SERVING, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
 
 
-class Malformed(ValueError):
+class MalformedEventError(ProtocolError, ValueError):
     """An event that lacks what it needs."""
 
 
@@ -34,7 +35,7 @@
     def feed(self, chunk):
         self.held += chunk
         if len(self.held) + sum(map(len, self.data)) > EVENT_MOST:
-            raise Malformed("an event longer than its bound")
+            raise MalformedEventError("an event longer than its bound")
         *lines, self.held = re.split(rb"\r\n|\n|\r(?!\Z)", self.held)
         events = []
         for line in lines:
@@ -65,9 +66,9 @@
         try:
             self.parser.feed_data(chunk)
         except httptools.HttpParserError as fault:
-            raise Malformed(f"no readable answer: {fault}") from None
+            raise MalformedEventError(f"no readable answer: {fault}") from None
         if self.parser.get_status_code() not in (0, 200):
-            raise Malformed(f"answered {self.parser.get_status_code()}")
+            raise MalformedEventError(f"answered {self.parser.get_status_code()}")
         found, self.found = self.found, []
         return found
 
@@ -83,19 +84,19 @@
             for listed, entry in hosts:
                 _checked(listed, entry.get("dial", ""))
             names = {listed.id: (entry["host"], entry.get("dial", "")) for listed, entry in hosts}
-            return offset, Hosts(bool(said.get("whole")), [listed for listed, _ in hosts], names)
+            return offset, EndpointList(bool(said.get("whole")), [listed for listed, _ in hosts], names)
         if "ban" in event:
             said = event["ban"]
             obj = int(said["url"], 16) if "url" in said else -1
             return offset, Purge(obj, int(said.get("tag", -1)) if obj < 0 else -1, int(said["ts"]) * MS)
         return offset, None
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError, OverflowError) as fault:
-        raise Malformed(f"event that can't be read ({type(fault).__name__}: {fault})") from None
+        raise MalformedEventError(f"event that can't be read ({type(fault).__name__}: {fault})") from None
 
 
 def _listed(entry, locations, kinds):
-    return Listed(
-        id=number_of(entry["host"]),
+    return Endpoint(
+        id=endpoint_id(entry["host"]),
         location=locations.get(entry.get("site"), -1),
         kind=kinds.get(entry.get("class"), -1),
         cell=int(entry.get("block", 0)),
@@ -110,6 +111,6 @@
     if not (isfinite(listed.weight) and listed.weight > 0):
         raise ValueError(f"share {listed.weight}")
     host, _, port = address.rpartition(":")
-    if address or listed.state is not State.GONE:  # where one was that has gone is no longer wanted
+    if address or listed.state is not EndpointState.GONE:  # where one was that has gone is no longer wanted
         if not host or not port.isdecimal() or not 0 < int(port) < 65536:
             raise ValueError(f"dial {address[:60]!r}")
--- a/sprucegate/front/response_cache.py
+++ b/sprucegate/front/response_cache.py
@@ -4,14 +4,14 @@
 from typing import NamedTuple
 
 
-class Copy(NamedTuple):
+class CachedResponse(NamedTuple):
     body: bytes
     tag: str
     made: int  # when the origin gave it out, at the earliest, on this front's clock (ns)
     since: int  # when it came here, on that clock
 
 
-class Copies:
+class ResponseCache:
     def __init__(self, most, link):
         self.most, self.link, self.held, self.kept = most, link, 0, OrderedDict()
         self.free_at = 0
--- a/sprucegate/front/response_writer.py
+++ b/sprucegate/front/response_writer.py
@@ -7,7 +7,7 @@
 from sprucegate.upstream.sockets import PendingWrite, send
 
 
-class Relay:
+class ResponseWriter:
     def __init__(self, driver):
         self.driver, self.loop = driver, asyncio.get_running_loop()
         self.ending = False  # the front stops: each answer is its connection's last
--- a/sprucegate/front/route.py
+++ b/sprucegate/front/route.py
@@ -2,5 +2,5 @@
 
 
 def route(router, get, now):
-    get.handle = router.take(get.asked, now)
+    get.handle = router.start_request(get.asked, now)
     return get.handle.route(now)
--- a/sprucegate/front/subscription.py
+++ b/sprucegate/front/subscription.py
@@ -66,7 +66,7 @@
                     self._event(data)
         except TimeoutError:
             return "silent"
-        except (OSError, bus.Malformed) as fault:
+        except (OSError, bus.MalformedEventError) as fault:
             return str(fault)
         finally:
             if sock is not None:
@@ -79,17 +79,17 @@
             if offset == self.last + 1:  # past a gap, what lies between would never be asked for
                 try:
                     self._apply(offset, news)
-                except bus.Malformed:
+                except bus.MalformedEventError:
                     break  # the bus is asked for it
         self.start()
 
     def _event(self, data):
         try:
             offset, news = bus.read(data, self.wanted.locations, self.wanted.kinds)
-        except bus.Malformed as fault:
+        except bus.MalformedEventError as fault:
             return self._doubt(fault)
         if offset > self.last + 1:
-            self._doubt(bus.Malformed(f"event {offset} follows {self.last}"))
+            self._doubt(bus.MalformedEventError(f"event {offset} follows {self.last}"))
         self._apply(offset, news)
 
     def _doubt(self, fault):
@@ -106,6 +106,6 @@
             self.driver.told(news)
         except Exception as fault:  # half applied: asked for again, and applied whole if it can be
             self.driver.fault(fault)
-            self._doubt(bus.Malformed(f"event {offset} could not be applied"))
+            self._doubt(bus.MalformedEventError(f"event {offset} could not be applied"))
         self.last = offset
         self.driver.log("told", offset=offset, what=type(news).__name__)
--- /dev/null
+++ b/sprucegate/routing/actions.py
@@ -0,0 +1,63 @@
+"""What the router asks its driver to do. Times are whole nanoseconds."""
+
+from typing import NamedTuple
+
+
+class SendAttempt(NamedTuple):
+    """Send the request to a cache.
+
+    `fill_source` is the server that a miss is filled from; the cache's own id there means that it must not fill.
+    `rank` tells the cache how readily to keep the object; `max_age` is the oldest copy that will do, 0 for the
+    freshness lifetime; `timeout` bounds the attempt; `collapse` lets it join a fill under way; `only_if_cached`
+    forbids a fetch from the origin; `bypass_parent` and `revalidate` are passed on to the cache.
+    """
+
+    number: int
+    cache: int
+    fill_source: int
+    rank: int
+    max_age: int
+    timeout: int
+    collapse: bool
+    only_if_cached: bool
+    bypass_parent: bool
+    revalidate: bool
+
+
+class AwaitSlot(NamedTuple):
+    """Nothing was sent: route the request again once it holds a concurrency slot of this fill source."""
+
+    fill_source: int
+
+
+class RejectRequest(NamedTuple):
+    """Final answer: load is shed, a retry is harmless, best after `retry_after` nanoseconds (0: no advice)."""
+
+    retry_after: int
+
+
+class FailRequest(NamedTuple):
+    """Final answer: the request failed and may have been executed."""
+
+
+class CancelAttempt(NamedTuple):
+    """Stop waiting for one attempt."""
+
+    number: int
+
+
+class HealthCheck(NamedTuple):
+    """Ask a cache for its load report."""
+
+    cache: int
+
+
+class SendGossip(NamedTuple):
+    """Send bytes to one peer, or to all with peer -1."""
+
+    peer: int
+    payload: bytes
+
+
+class SubscribeToEndpoints(NamedTuple):
+    """Ask service discovery for the endpoint list and its changes."""
--- a/sprucegate/routing/rendezvous.py
+++ b/sprucegate/routing/rendezvous.py
@@ -17,22 +17,15 @@
 from typing import NamedTuple
 from zlib import crc32
 
+from sprucegate.routing.hashing import LOW_32_BITS, hash32
+
 LABEL = 8  # bytes of a node's id
 LANE = 8  # bytes of a lane: a hash of 32 bits, and room above it for a product
 SPAN = 2**32  # of a hash
 FEW = 32  # nodes that are scored and sorted one by one, which is quicker then
-WORD = 0xFFFFFFFF
 ZEROS = bytes(LABEL)
 
 
-def mixed(text, start=0):
-    """A hash of 32 bits. CRC is linear: unmixed, the ranks of two keys would differ by a constant."""
-    h = crc32(text, start)
-    h = (h ^ (h >> 16)) * 0x85EBCA6B & WORD
-    h = (h ^ (h >> 13)) * 0xC2B2AE35 & WORD
-    return h ^ (h >> 16)
-
-
 def label_of(node_id):
     return node_id.to_bytes(LABEL, "big")
 
@@ -52,7 +45,7 @@
 @lru_cache(8)
 def _lanes(count):
     ones = int.from_bytes(b"\1\0\0\0\0\0\0\0" * count, "little")
-    return _Lanes(ones, ones * WORD, int.from_bytes(array("Q", range(count)).tobytes(), "little"))
+    return _Lanes(ones, ones * LOW_32_BITS, int.from_bytes(array("Q", range(count)).tobytes(), "little"))
 
 
 def lane_of(label):
@@ -86,10 +79,10 @@
 
     def best(self, key, most):
         """The first `most` nodes for a key (bytes), or all where there are fewer."""
-        start = mixed(key)
+        start = hash32(key)
         if len(self.nodes) <= FEW or 2 * most >= len(self.nodes):
             scored = [
-                (score(weight, mixed(node.label, start)), node.id, node)
+                (score(weight, hash32(node.label, start)), node.id, node)
                 for node, weight in zip(self.nodes, self.weights, strict=True)
             ]
         else:
@@ -102,14 +95,14 @@
         first = nlargest(most, hashed)
         if len(self.counted) > 1:
             # A heavier one may come before these by a lower hash, though not by one under this.
-            worst = max(score(self.weights[h & WORD], h >> 32) for h in first)
+            worst = max(score(self.weights[h & LOW_32_BITS], h >> 32) for h in first)
             least = max(0, int(exp(max(self.counted) / worst) * SPAN) - 2) << 32
             first = [h for h in hashed if h >= least]
-        pairs = [(h & WORD, h >> 32) for h in first]
+        pairs = [(h & LOW_32_BITS, h >> 32) for h in first]
         return [(score(self.weights[at], h), self.nodes[at].id, self.nodes[at]) for at, h in pairs]
 
     def _hashes(self, start):
-        """Of each node, its hash above its place in the group: `mixed(label, start)` of all at once."""
+        """Of each node, its hash above its place in the group: `hash32(label, start)` of all at once."""
         count = len(self.nodes)
         ones, words, places = _lanes(count)
         # crc32(label, start) is crc32(label) xor a term of `start` alone, as CRC is affine.
