--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -10,19 +10,17 @@
 from math import ceil, sqrt
 from statistics import median, median_low
 
-from sprucegate.routing import interface
-from sprucegate.routing.interface import (
-    Cancel,
-    Errored,
-    Forward,
-    Found,
-    Outcome,
-    Shed,
-    State,
-    Subscribe,
-    Wait,
+from sprucegate.routing.actions import (
+    AwaitSlot,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SubscribeToEndpoints,
 )
-from sprucegate.routing.rendezvous import Ranking, Rendezvous, label_of, lane_of, mixed
+from sprucegate.routing.events import AttemptOutcome, BeliefGossip, CacheStatus, EjectionGossip, EndpointState
+from sprucegate.routing.hashing import hash32
+from sprucegate.routing.rendezvous import Ranking, Rendezvous, label_of, lane_of
 
 MS, S, NEVER = 1_000_000, 1_000_000_000, -1 << 62
 
@@ -68,8 +66,8 @@
 HEARD = 0.5  # of what is left of another front's belief or rest: it saw another part of the GETs
 ANSWER_MARGIN = 20 * MS  # kept before the end of a viewer's time
 
-SOURCE_FAULTS = (Found.SOURCE_REFUSED, Found.SOURCE_BROKEN, Found.ORIGIN_FAILED)
-HITS, FILLS = (Found.HIT, Found.STALE_HIT), (Found.FILLED, Found.FILLED_BY_ORIGIN)
+SOURCE_FAULTS = (CacheStatus.FILL_SOURCE_REFUSED, CacheStatus.FILL_SOURCE_BROKEN, CacheStatus.ORIGIN_FAILED)
+HITS, FILLS = (CacheStatus.HIT, CacheStatus.STALE_HIT), (CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN)
 
 
 class Standing:
@@ -188,55 +186,58 @@
 
 class Get:
     def __init__(self, router, asked, now):
-        self.router, self.asked, self.limit = router, asked, now + router.objective(asked)
-        self.due, self.forwards = now + asked.ttl - ANSWER_MARGIN, []
-        self.done = self.streaming = self.missed = self.hopeless = False
+        self.router, self.request, self.limit = router, asked, now + router.latency_objective(asked)
+        self.deadline, self.forwards = now + asked.ttl - ANSWER_MARGIN, []
+        self.finished = self.streaming = self.missed = self.hopeless = False
         self.lost = set()  # indices of nodes that did not serve or fill it
-        self.place = None  # the source at which it has a place, where places are shared out
+        self.slot_source = None  # the source at which it has a place, where places are shared out
 
     def open(self):
         return [n for n, f in enumerate(self.forwards) if f.open]
 
-    settled = lambda self: self.done and not self.open()  # noqa: E731
+    def is_settled(self):
+        return self.finished and not self.open()
 
     def route(self, now):
-        if self.done or self.streaming:
+        if self.finished or self.streaming:
             return []
         return [forward] if (forward := self.router.plan(self, now)) else self.give_up(now)
 
     def risky(self):
-        return next((f for f in self.forwards if f.open or not f.outcome.never_ran), None)
+        return next((f for f in self.forwards if f.open or not f.outcome.never_executed), None)
 
     def give_up(self, now):
-        self.done, router, ds = True, self.router, self.asked.ds
-        router.memory(self.asked, now).failed_at = now
-        harmless = router.of_ds("effect", ds, "idempotent") == "idempotent" or self.risky() is None
-        later = router.get("max_retry_after", 0) if router.get("retry_after") else 0
-        return [Shed(later) if harmless else Errored(), *self.cancel_open()]
+        self.finished, router, ds = True, self.router, self.request.delivery_service
+        router.memory(self.request, now).failed_at = now
+        harmless = (
+            router.settings.of_service("effect", ds, "idempotent") == "idempotent" or self.risky() is None
+        )
+        later = router.settings.max_retry_after if router.settings.retry_after else 0
+        return [RejectRequest(later) if harmless else FailRequest(), *self.cancel_open()]
 
     def cancel_open(self):
-        return [Cancel(n) for n in self.open() if self.router.get("cancel")]
+        return [CancelAttempt(n) for n in self.open() if self.router.settings.cancel]
 
-    def ended(self, number, outcome, found, spent, waited, load, finished, now):
+    def attempt_ended(self, number, outcome, found, spent, waited, load, finished, now):
         sent = self.forwards[number]
         sent.open, sent.outcome = False, outcome
         self.router.learn(self, sent, outcome, found, spent, waited, load, now)
-        if finished or outcome is Outcome.RETURNED:
-            return self.left(now)
+        if finished or outcome is AttemptOutcome.RETURNED:
+            return self.client_disconnected(now)
         return [] if self.open() else self.route(now)
 
-    def answering(self, number, now):
+    def response_started(self, number, now):
         self.streaming = True  # from here on nothing is owed or may be sent
         return []
 
-    def left(self, now):
-        self.done, over = True, self.done
+    def client_disconnected(self, now):
+        self.finished, over = True, self.finished
         return [] if over else self.cancel_open()
 
 
 class Router:
     def __init__(self, settings, seed, now):
-        self.get, self.seed, self.draws, self.now = settings.get, seed, 0, now
+        self.settings, self.seed, self.draws, self.now = settings, seed, 0, now
         self.nodes, self.index_of, self.indices = {}, {}, count()
         self.hashing = defaultdict(Rendezvous)  # role -> its group in the order of indices
         self.widest = Counter()  # most weight that a role's group has had
@@ -247,7 +248,7 @@
         self.table, self.slot_of, self.purges = [], OrderedDict(), {}  # purges by ("object" or "group", id)
         self.purge_order = []  # (time, key), the oldest first
         self.told_at = NEVER  # other fronts of this one's beliefs
-        self.platform_offset = 0  # how far the clock of listed starts is ahead, at the least
+        self.platform_clock_offset = 0  # how far the clock of listed starts is ahead, at the least
         self.compacts_at = COMPACTED  # entries of `waiting` at which those of GETs that are done are let go
         self.waiting, self.order = [], count()  # (due, order, Get or None for a list to ask for)
         self.carried, self.further = deque(maxlen=256), deque(maxlen=100)  # (time, work) returned; if so
@@ -256,32 +257,36 @@
         self.misses = deque(maxlen=64)  # of the last answers to unbelieved GETs, which were no hits
         self.fills = deque(maxlen=256)  # [source, time, when late, came in time] of the last fills
         self.tally, self.rated, self.found = (NEVER, Counter(), Counter()), (NEVER, 0), deque(maxlen=64)
-        self.top = max([r for r in self.get("revenue", ()) if r], default=1)
-        self.shared = ()  # sources whose places another module shares out
-        self.asks = [Subscribe()] if self.get("discovery") == "ask" else []
-
-    def of_ds(self, name, ds, default):
-        values = self.get(name) or ()
-        return values[ds] if 0 <= ds < len(values) and values[ds] is not None else default
+        self.top = max([r for r in self.settings.revenue if r], default=1)
+        self.slot_limited_sources = ()  # sources whose places another module shares out
+        self.asks = [SubscribeToEndpoints()] if self.settings.discovery == "ask" else []
 
     def chance(self, text):
         self.draws += 1
-        return mixed(f"{self.get('my_number', 0)}/{text}/{self.draws}".encode(), self.seed % 2**32) / 2**32
+        return hash32(f"{self.settings.my_number}/{text}/{self.draws}".encode(), self.seed % 2**32) / 2**32
 
     def mean_work(self, ds):
         seen = self.spents.get(ds)
-        return sum(seen) // len(seen) if seen else self.of_ds("latency_objective", ds, 400 * MS)
+        return sum(seen) // len(seen) if seen else self.settings.of_service("latency_objective", ds, 400 * MS)
 
     def work(self, asked):
         """Sending time: by the told size, else the object's quickest, else its delivery service's middle."""
-        if asked.size and (rate := self.get("client_kb_per_s", 0)):
+        if asked.size and (rate := self.settings.client_kb_per_s):
             return int(asked.size / rate * S)
         own = self.memory(asked, self.now).spents
-        return min(own) if own else int(median(self.spents.get(asked.ds) or [self.mean_work(asked.ds)]))
+        return (
+            min(own)
+            if own
+            else int(
+                median(self.spents.get(asked.delivery_service) or [self.mean_work(asked.delivery_service)])
+            )
+        )
 
-    def objective(self, asked):
-        extra = int(self.of_ds("objective_stretch", asked.ds, 0) * self.work(asked))
-        return self.of_ds("latency_objective", asked.ds, -NEVER) + extra
+    def latency_objective(self, asked):
+        extra = int(
+            self.settings.of_service("objective_stretch", asked.delivery_service, 0) * self.work(asked)
+        )
+        return self.settings.of_service("latency_objective", asked.delivery_service, -NEVER) + extra
 
     def in_time(self, sources, now):
         """Share of each source's last fills that came in time; few of them lean on those of all sources."""
@@ -296,9 +301,9 @@
         shared = (good_of.total() + 1) / (all_of.total() + 1)
         return [(good_of[n.index] + LEAN * shared) / (all_of[n.index] + LEAN) for n in sources]
 
-    def listed(self, entries, whole, now):
+    def update_endpoints(self, entries, whole, now):
         seen = dict.fromkeys([entry.id for entry in entries])
-        roles = {self.get("parent_kind", -1): "parent", self.get("origin_kind", -1): "origin"}
+        roles = {self.settings.parent_kind: "parent", self.settings.origin_kind: "origin"}
         for entry in entries:
             if entry.id not in self.index_of:
                 at = self.index_of[entry.id] = next(self.indices)
@@ -307,17 +312,17 @@
             if entry.started > node.started:
                 node.renewed(entry.started)
             node.entry = entry
-        here = self.get("my_location", 0)
+        here = self.settings.my_location
         nodes = list(self.nodes.values()) if whole else [self.nodes[self.index_of[at]] for at in seen]
         for node in nodes:
             # By index, and only those that the list names: of 20,000 few change, and grouping all takes long.
             group = self.hashing[node.role]
-            gone = whole and node.id not in seen or node.entry.state is State.GONE
+            gone = whole and node.id not in seen or node.entry.state is EndpointState.GONE
             near = node.role != "cache" or node.entry.location == here
             at = bisect_left(group.nodes, node.index, key=lambda n: n.index)
             if at < len(group.nodes) and group.nodes[at] is node:
                 group.remove(at)
-            if not gone and node.entry.state is State.SERVING and near:
+            if not gone and node.entry.state is EndpointState.SERVING and near:
                 group.insert(at, node, node.entry.weight)
             if gone:
                 del self.nodes[node.index], self.index_of[node.id]  # its index is never given again
@@ -327,22 +332,22 @@
             self.versions[role] += 1  # rankings of before are void
             self.widest[role] = max(self.widest[role], self.hashing[role].weight())
 
-    def list_failed(self, now):
-        if self.get("discovery") == "ask":
+    def endpoint_list_failed(self, now):
+        if self.settings.discovery == "ask":
             self.remind(now + S, None)  # later, so that a busy discovery can recover
 
     def remind(self, when, get):
         if len(self.waiting) >= self.compacts_at:
             # What is done need not stand there until its time: GETs may be patient for an hour.
-            self.waiting = [one for one in self.waiting if one[2] is None or not one[2].done]
+            self.waiting = [one for one in self.waiting if one[2] is None or not one[2].finished]
             heapq.heapify(self.waiting)
             self.compacts_at = max(COMPACTED, 2 * len(self.waiting))
         heapq.heappush(self.waiting, (when, next(self.order), get))
 
-    def purged(self, obj, group, age, now):
+    def invalidate(self, obj, group, age, now):
         # Beliefs and own copies from before a purge are void too, and may outlive the old copies at caches.
         for _ in range(4):  # 100,000 told at once are old at once: all in one call took 1 s
-            if not self.purge_order or now - self.purge_order[0][0] <= self.get("purge_done", 0) + OWN_AGE:
+            if not self.purge_order or now - self.purge_order[0][0] <= self.settings.purge_done + OWN_AGE:
                 break
             at, key = heapq.heappop(self.purge_order)
             if self.purges.get(key) == at:
@@ -356,21 +361,33 @@
 
     def oldest(self, asked, stale, now):
         """Oldest copy that will do; 0 is the fresh time. A tick is given away against rounding."""
-        fresh = self.of_ds("fresh_time", asked.ds, 0)
-        limit = fresh + self.of_ds("grace_time", asked.ds, 0) if stale and fresh else 0
+        fresh = self.settings.of_service("fresh_time", asked.delivery_service, 0)
+        limit = (
+            fresh + self.settings.of_service("grace_time", asked.delivery_service, 0)
+            if stale and fresh
+            else 0
+        )
         if (purge := self.purge_time(asked)) > NEVER:
-            young = max(1000, now - purge - self.get("tick", MS))
+            young = max(1000, now - purge - self.settings.tick)
             limit = min(young, limit or fresh or young)
         return limit
 
-    def owns(self, asked, made, since, wait, now):
+    def may_answer_from_own_copy(self, asked, made, since, wait, now):
         """May an own copy answer? As young as a cache's; the link's queue short, more so for large ones."""
-        limit = self.oldest(asked, False, now) or self.of_ds("fresh_time", asked.ds, 0) or 1 << 62
+        limit = (
+            self.oldest(asked, False, now)
+            or self.settings.of_service("fresh_time", asked.delivery_service, 0)
+            or 1 << 62
+        )
         return now - since < OWN_AGE and now - made < limit and wait * self.work(asked) <= OWN_WAIT
 
-    def keeps(self, asked, made, now):
-        often = sum(self.memory(asked, now).counts) > 1 and not self.of_ds("runs_at_origin", asked.ds, False)
-        return often and self.owns(asked, made, now, 0, now)  # one-off objects would push out the rest
+    def should_store_own_copy(self, asked, made, now):
+        often = sum(self.memory(asked, now).counts) > 1 and not self.settings.of_service(
+            "runs_at_origin", asked.delivery_service, False
+        )
+        return often and self.may_answer_from_own_copy(
+            asked, made, now, 0, now
+        )  # one-off objects would push out the rest
 
     def memory(self, asked, now):
         key = (asked.object, asked.part)
@@ -400,7 +417,7 @@
                 return
             kept.nodes = self.hashing[role].best(key, 4 * at)
 
-    def warm_first(self, most):
+    def endpoints_to_connect(self, most):
         """Ids of servers to connect to at the start, where there may be `most` connections.
 
         All of them where they are so few. Else, with room left for what GETs need, those that all GETs go
@@ -426,8 +443,8 @@
 
     def in_group(self, node):
         """Whether GETs or fills may go to it: listed, serving, and near where that counts."""
-        near = node.role != "cache" or node.entry.location == self.get("my_location", 0)
-        return near and node.entry.state is State.SERVING and self.nodes.get(node.index) is node
+        near = node.role != "cache" or node.entry.location == self.settings.my_location
+        return near and node.entry.state is EndpointState.SERVING and self.nodes.get(node.index) is node
 
     def noted(self, node):
         """Its last end, or another front's word of it, is new."""
@@ -457,7 +474,7 @@
             and of > purge
             and (n := self.nodes.get(at))
             and start == n.started
-            and n.entry.state is State.SERVING
+            and n.entry.state is EndpointState.SERVING
         ]
         memory.holders = {at: memory.holders[at] for _, at in kept}
         return {self.nodes[at]: -expiry for expiry, at in sorted(kept)}
@@ -469,11 +486,11 @@
             found.update(recent)
         return found.items()
 
-    def tells(self, most, now):
+    def gossip_to_send(self, most, now):
         """What other fronts can use: who is set aside, then beliefs renewed since then, most asked first."""
         # With the age of what it rests on: told on as new, a pace would go round among fronts for good.
         said = [
-            interface.Resting(
+            EjectionGossip(
                 n.id,
                 n.started,
                 by is n.as_source,
@@ -495,51 +512,57 @@
             if held[1] > since and held[0] - now > 2 * MARGIN and at in self.nodes
         ]
         for _, (obj, part), at, (end, of, start) in heapq.nsmallest(max(0, most - len(said)), fresh):
-            said.append(interface.Believed(obj, part, self.nodes[at].id, start, end - now, now - of))
+            said.append(BeliefGossip(obj, part, self.nodes[at].id, start, end - now, now - of))
         return said[:most]
 
-    def hears(self, said, age, now):
+    def receive_gossip(self, said, age, now):
         """Another front's words, `age` ns old: nothing beside what was seen here, else part of the rest."""
         for one in said:
             node = self.nodes.get(self.index_of.get(one.cache))
-            left = int(HEARD * (one.left - age))
+            left = int(HEARD * (one.remaining - age))
             if node is None or node.started != one.started:
                 continue
-            if isinstance(one, interface.Resting):
+            if isinstance(one, EjectionGossip):
                 by = node.as_source if one.as_source else node.as_cache
-                if one.slow and not any(now - at < SAMPLE_AGE for at, *_ in by.speeds):
-                    by.speeds.extend([(now - age - one.ago, one.slow / 1000, 1)] * 3)  # as few as tell a pace
+                if one.slowness and not any(now - at < SAMPLE_AGE for at, *_ in by.speeds):
+                    by.speeds.extend(
+                        [(now - age - one.age, one.slowness / 1000, 1)] * 3
+                    )  # as few as tell a pace
                 if left > 0 and not any(now - at < SAMPLE_AGE for at, _ in by.ends):
                     by.until, by.trial = max(by.until, now + min(left, 8 * REST)), True
                 self.noted(node)
             elif left > 0 and ((one.object, one.part) in self.slot_of or len(self.table) < TABLE):
                 # One that a full table lacks is not what this front is asked for.
                 holders = self.memory(one, now).holders
-                holders.setdefault(node.index, (now + min(left, CAP), now - one.ago - age, node.started))
+                holders.setdefault(node.index, (now + min(left, CAP), now - one.age - age, node.started))
 
-    def take(self, asked, now):
+    def start_request(self, asked, now):
         self.now, memory = now, self.memory(asked, now)
         # Repeats stretch beliefs. Unmarked ones are told by how soon they follow a GET given up here.
         memory.counts[0] += not asked.repeat and now - memory.failed_at > 2 * S
-        self.spents[asked.ds].extend([self.work(asked)] if asked.size else [])
+        self.spents[asked.delivery_service].extend([self.work(asked)] if asked.size else [])
         memory.failed_at, get = NEVER, Get(self, asked, now)
-        self.remind(get.due, get)
+        self.remind(get.deadline, get)
         return get
 
-    def next_due(self):
-        while self.waiting and self.waiting[0][2] is not None and self.waiting[0][2].done:
+    def next_deadline(self):
+        while self.waiting and self.waiting[0][2] is not None and self.waiting[0][2].finished:
             heapq.heappop(self.waiting)
         return 0 if self.asks else self.waiting[0][0] if self.waiting else None
 
-    def due(self, now):
+    def on_timer(self, now):
         said, self.asks = [(None, self.asks)], []
         while self.waiting and self.waiting[0][0] <= now:
             get = heapq.heappop(self.waiting)[2]
-            if get is None or not get.done and not get.streaming:
-                said.append((get, get.give_up(now) if get else [Subscribe()]))
+            if get is None or not get.finished and not get.streaming:
+                said.append((get, get.give_up(now) if get else [SubscribeToEndpoints()]))
         return said
 
-    told = probed = lambda self, *_news: None  # fronts tell each other nothing and probe nothing yet
+    def receive_peer_message(self, peer, payload, now):
+        """Routers exchange nothing over the simulator's protocol."""
+
+    def receive_load_report(self, cache, outcome, elapsed, load, now):
+        """No health checks are sent, so no report is expected."""
 
     def rate(self, now):
         if now - self.rated[0] >= REFRESH and self.carried:
@@ -548,21 +571,21 @@
 
     def age(self, node, now):
         """Nanoseconds since it started, at most the true ones."""
-        return now - node.began if node.began is not None else now + self.platform_offset - node.started
+        return now - node.began if node.began is not None else now + self.platform_clock_offset - node.started
 
     def cold_room(self, node, ds, now):
         # Capacity is never told: what warm ones return is the guide, with the stated floor and slowest rise.
         role, kind = node.role, "parent_" if node.role == "parent" else ""
-        warm, age = self.get(f"{kind}warm_time", 0), self.age(node, now)
+        warm, age = getattr(self.settings, f"{kind}warm_time"), self.age(node, now)
         if role == "origin" or not node.started or age >= warm:
             return True
-        floor, window = self.get(f"{kind}cold_share", 0.1), self.get("fall_time", S)
+        floor, window = getattr(self.settings, f"{kind}cold_share"), self.settings.fall_time
         # Its part of all that ever stood: one that is left did not carry alone what is still in the rate.
         rate = self.rate(now) * node.entry.weight / (self.widest[role] or 1)
         fills = 8 + sum(f not in HITS for f in self.found)
         rate *= fills / (8 + len(self.found)) if role == "parent" else 1
         share = floor + (1 - floor) * max(0, age) / warm
-        whole = self.get(f"{kind}fall_multiple", 2) * share * rate * window
+        whole = getattr(self.settings, f"{kind}fall_multiple") * share * rate * window
         budget = min(COLD_MOST * share * rate * window, COLD_SAFETY * whole)
         need, spare = max(1, self.mean_work(ds)), max(0, COLD_SUM * whole - budget)
         if not self.carried:  # against a start among cold nodes alone: it would earn nothing, ever
@@ -606,15 +629,15 @@
         return 1 + (share > hot > 0) + (share > 2 * hot > 0)
 
     def pick(self, get, memory, now):
-        asked = get.asked
+        asked = get.request
         key = asked.object.to_bytes(8, "big") + asked.part.to_bytes(4, "big")
         avoided = self.avoided(now) if self.troubled else set()
-        order = self.takers(memory, key, avoided | get.lost, asked.ds, now)
+        order = self.takers(memory, key, avoided | get.lost, asked.delivery_service, now)
         first = self.ranking(memory, "cache", key).nodes[:WIDEST]
         if avoided or get.lost or any([n.started for n in first]):
             first = list(islice(order, WIDEST))
         if not first and get.lost:
-            order = self.takers(memory, key, avoided, asked.ds, now)
+            order = self.takers(memory, key, avoided, asked.delivery_service, now)
             first = list(islice(order, WIDEST))
         if not first:
             return None, False
@@ -638,48 +661,48 @@
                 yield node
 
     def sibling(self, get, memory, cache, now):
-        allowed = self.get("siblings", "none")
-        for node, expiry in self.holders(get.asked, memory, now).items():
+        allowed = self.settings.siblings
+        for node, expiry in self.holders(get.request, memory, now).items():
             near = allowed == "location" and node.entry.location == cache.entry.location
             if (
                 node is not cache
                 and node.index not in get.lost
                 and (near or allowed == "any")
                 and max(node.as_source.until, node.as_cache.until) <= now
-                and self.cold_room(node, get.asked.ds, now)
+                and self.cold_room(node, get.request.delivery_service, now)
             ):
                 return node, expiry - now <= MARGIN
         return None, False
 
     def upper(self, get, now):
         """A parent that does well by hash, or the origin; and if it may fetch: the origin's share in time."""
-        parents = self.ranked(self.memory(get.asked, now), "parent", get.asked.object.to_bytes(8, "big"))
+        parents = self.ranked(self.memory(get.request, now), "parent", get.request.object.to_bytes(8, "big"))
         parents = (
             n
             for n in parents
             if max(n.as_source.until, n.down) <= now
             and n.index not in get.lost
-            and self.cold_room(n, get.asked.ds, now)
+            and self.cold_room(n, get.request.delivery_service, now)
         )
         order = [*islice(parents, PARENTS), *self.group("origin")]
         shares = self.in_time(order, now) or [0]
         at = next((at for at, share in enumerate(shares) if share >= WELL), shares.index(max(shares)))
         # Where the origin does worst the parents are not at fault: another one would lack the object too.
         node = order[at if shares[at] >= WELL or shares[-1] > min(shares) else 0] if order else None
-        if node and self.chance(get.asked.id) < max(FLOOR, THROTTLE * shares[-1]):
+        if node and self.chance(get.request.id) < max(FLOOR, THROTTLE * shares[-1]):
             return node, True
         # The origin holds everything: asking it for what it holds would be the fetch that is to be spared.
         return next((n for n in [node, *order] if n and n.role != "origin"), None), False
 
     def may_forward(self, get, now):
-        asked, sent = get.asked, len(get.forwards)
-        if get.hopeless or now >= get.due or sent >= self.get("max_forwards", 1 << 30):
+        asked, sent = get.request, len(get.forwards)
+        if get.hopeless or now >= get.deadline or sent >= self.settings.max_forwards:
             return False
         # What is not idempotent, by a word unknown here as well, is never sent again once it may have run.
         if (
             get.risky() is not None
-            and self.of_ds("effect", asked.ds, "idempotent") != "idempotent"
-            or sent > 1 + int(2 * self.of_ds("revenue", asked.ds, 0) / self.top)
+            and self.settings.of_service("effect", asked.delivery_service, "idempotent") != "idempotent"
+            or sent > 1 + int(2 * self.settings.of_service("revenue", asked.delivery_service, 0) / self.top)
         ):
             return False
         # A plain miss, or what never left, asks nothing of anybody; all else sent again may feed a jam.
@@ -688,69 +711,81 @@
     def plan(self, get, now):
         if not self.may_forward(get, now):
             return None
-        asked, memory, held_only = get.asked, self.memory(get.asked, now), False
-        write = self.of_ds("runs_at_origin", asked.ds, False)
+        asked, memory, only_if_cached = get.request, self.memory(get.request, now), False
+        write = self.settings.of_service("runs_at_origin", asked.delivery_service, False)
         cache, in_time = self.pick(get, memory, now)
         if write:
             source = next(iter(self.group("origin")), None) or self.upper(get, now)[0]
-            cache = source if self.get("direct") else cache
+            cache = source if self.settings.direct else cache
         elif cache is None:
-            cache = self.upper(get, now)[0] if self.get("direct") else None
+            cache = self.upper(get, now)[0] if self.settings.direct else None
             source = next(iter(self.group("origin")), None)
             if self.late_fill(get, now):
                 return None  # past the caches it is as long on the link as a fill
         elif not in_time and self.chance(asked.id) >= PROBING:
             return None  # it would only crowd out what can still be in time
         else:
-            source, held_only = self.sibling(get, memory, cache, now)
+            source, only_if_cached = self.sibling(get, memory, cache, now)
             if source is None:
                 source, may_fetch = self.upper(get, now)
                 if source is None or cache.index not in memory.holders and self.late_fill(get, now):
                     source, may_fetch = cache, False
                 # Hits go on: a look at cache and parent costs next to nothing, and a miss is then given up.
-                held_only = get.hopeless = not may_fetch
+                only_if_cached = get.hopeless = not may_fetch
         if cache is None:
             return None
         fills = source is not None and source.role != "cache" and cache.index not in memory.holders
-        if fills and source.id in self.shared and not (write or held_only) and get.place != source.id:
-            return Wait(source.id)  # before anything is counted: it may go another way by then
-        return self.send(get, memory, cache, source or cache, held_only, now)
-
-    def send(self, get, memory, cache, source, held_only, now):
-        asked, number, write = get.asked, len(get.forwards), self.of_ds("runs_at_origin", get.asked.ds, False)
+        if (
+            fills
+            and source.id in self.slot_limited_sources
+            and not (write or only_if_cached)
+            and get.slot_source != source.id
+        ):
+            return AwaitSlot(source.id)  # before anything is counted: it may go another way by then
+        return self.send(get, memory, cache, source or cache, only_if_cached, now)
+
+    def send(self, get, memory, cache, source, only_if_cached, now):
+        asked, number, write = (
+            get.request,
+            len(get.forwards),
+            self.settings.of_service("runs_at_origin", get.request.delivery_service, False),
+        )
         for node in [cache, source][: 1 + (source is not cache)]:
-            node.credit = None if node.credit is None else node.credit - self.mean_work(asked.ds)
+            node.credit = (
+                None if node.credit is None else node.credit - self.mean_work(asked.delivery_service)
+            )
         cache.out += 1
         sent = Sent(cache, source, cache.out - cache.filling, cache.index in memory.holders)
         if source.role != "cache" and cache is not source and not sent.believed:
             sent.filling = self.filling = self.filling + 1
             cache.filling += 1
-            sent.fill = [source, now, now + self.objective(asked), None]
-            self.fills.extend([] if held_only else [sent.fill])
+            sent.fill = [source, now, now + self.latency_objective(asked), None]
+            self.fills.extend([] if only_if_cached else [sent.fill])
         get.forwards.append(sent)
         # What follows one that never left is the first to ask anything of anybody.
-        self.further.append(number > 0 and get.forwards[number - 1].outcome is not Outcome.NOT_SENT)
-        return Forward(
+        self.further.append(number > 0 and get.forwards[number - 1].outcome is not AttemptOutcome.NOT_SENT)
+        return SendAttempt(
             number,
             cache.id,
             source.id,
             rank=0 if write else 1 if sum(memory.counts) <= 1 else 2,
-            oldest=self.oldest(asked, number > 0 or get.hopeless, now),
-            timeout=max(MS, get.due - now),
-            join=bool(self.get("joins")),
-            held_only=held_only,
-            pass_parent=False,
-            renew=bool(self.of_ds("fresh_time", asked.ds, 0)) and not get.hopeless,
+            max_age=self.oldest(asked, number > 0 or get.hopeless, now),
+            timeout=max(MS, get.deadline - now),
+            collapse=bool(self.settings.joins),
+            only_if_cached=only_if_cached,
+            bypass_parent=False,
+            revalidate=bool(self.settings.of_service("fresh_time", asked.delivery_service, 0))
+            and not get.hopeless,
         )
 
     def link_pace(self, now):
         """Slowness that one more fill of this front has to expect of the link in."""
-        here, rate = self.get("my_location", 0), self.get("client_kb_per_s", 0)
-        told = self.get("link_in_kb_per_s") or ()
-        if self.get("tells", "all") == "none" and rate and here < len(told) and told[here]:
+        here, rate = self.settings.my_location, self.settings.client_kb_per_s
+        told = self.settings.link_in_kb_per_s
+        if self.settings.tells == "none" and rate and here < len(told) and told[here]:
             # Without the wait told a fill's pace doesn't show; the fronts' parts of a told link do.
             fills = 1 + self.filling * (1 + sum(self.misses)) / (2 + len(self.misses))
-            fronts = sum((self.get("fronts_by_location") or [])[here : here + 1]) or 1
+            fronts = sum(self.settings.fronts_by_location[here : here + 1]) or 1
             return max(1.0, fills * fronts * rate / told[here] / SHARE_ROOM)
         # Own fills are few of the link's: half a told load counts where higher, as told at fill pace.
         load = self.link_use[0] / 2 if now - self.link_use[1] < S else 0
@@ -758,31 +793,37 @@
 
     def late_fill(self, get, now):
         """Would it be late by the link in? Some go all the same, or no sample would show that it passed."""
-        late = self.work(get.asked) * self.link_pace(now) > get.limit - now
-        return late and self.chance(get.asked.id) >= PROBING
+        late = self.work(get.request) * self.link_pace(now) > get.limit - now
+        return late and self.chance(get.request.id) >= PROBING
 
     def resolved(self, sent, found, slow):
         """What an answer without a word on hits shows by its time; what stays open is neither."""
-        if found is not Found.UNTOLD or self.get("tells", "all") != "none" or sent.cache.role != "cache":
+        if found is not CacheStatus.UNKNOWN or self.settings.tells != "none" or sent.cache.role != "cache":
             return found
         if sent.source is sent.cache:
-            return Found.HIT
+            return CacheStatus.HIT
         # Against jams: fill waits read as crowded caches had hits shed, the link in was not seen at all.
         if slow <= CROWDED * max(1.0, sent.cache.as_cache.slowness(self.now)):
-            return Found.HIT
-        return Found.UNTOLD if sent.believed else Found.FILLED
+            return CacheStatus.HIT
+        return CacheStatus.UNKNOWN if sent.believed else CacheStatus.FILLED
 
     def learn(self, get, sent, outcome, found, spent, waited, load, now):
-        self.now, asked, cache, source = now, get.asked, sent.cache, sent.source
-        memory, write = self.memory(asked, now), self.of_ds("runs_at_origin", asked.ds, False)
-        good, get.missed = outcome is Outcome.RETURNED, outcome in (Outcome.MISS, Outcome.NOT_SENT)
+        self.now, asked, cache, source = now, get.request, sent.cache, sent.source
+        memory, write = (
+            self.memory(asked, now),
+            self.settings.of_service("runs_at_origin", asked.delivery_service, False),
+        )
+        good, get.missed = (
+            outcome is AttemptOutcome.RETURNED,
+            outcome in (AttemptOutcome.MISS, AttemptOutcome.NOT_SENT),
+        )
         cache.out, memory.returned = max(0, cache.out - 1), good or memory.returned
         # Bad clients make objects up: an error with no source told of, on one never returned, blames nobody.
-        bare = outcome is Outcome.ERROR and found is Found.UNTOLD
-        if outcome not in (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.NOT_SENT):
-            cache.heard(outcome is not Outcome.UNREACHABLE, now, now + self.platform_offset)
-        if found in FILLS or outcome.never_ran and found is Found.SOURCE_BROKEN:
-            source.heard(found in FILLS, now, now + self.platform_offset)
+        bare = outcome is AttemptOutcome.ERROR and found is CacheStatus.UNKNOWN
+        if outcome not in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT):
+            cache.heard(outcome is not AttemptOutcome.UNREACHABLE, now, now + self.platform_clock_offset)
+        if found in FILLS or outcome.never_executed and found is CacheStatus.FILL_SOURCE_BROKEN:
+            source.heard(found in FILLS, now, now + self.platform_clock_offset)
         cache.load, cache.load_at = (load, now) if load else (cache.load, cache.load_at)
         if cache.role == "cache" and "link_use" in load:
             self.link_use = load["link_use"], now
@@ -792,46 +833,48 @@
             self.filling, cache.filling = self.filling - 1, max(0, cache.filling - 1)
             self.misses.extend([found not in HITS] if good else [])
             sent.fill[3] = good and now <= sent.fill[2]
-            gone = outcome is Outcome.CANCELLED and now < sent.fill[2]
-            if found in HITS or bare or gone or outcome in (Outcome.RESET, Outcome.NOT_SENT):
+            gone = outcome is AttemptOutcome.CANCELLED and now < sent.fill[2]
+            if found in HITS or bare or gone or outcome in (AttemptOutcome.RESET, AttemptOutcome.NOT_SENT):
                 sent.fill[2:] = -NEVER, None  # tells of no fill: as one, it would hide how the sources do
-            elif found in (Found.FILLED_BY_ORIGIN, Found.ORIGIN_FAILED) and self.group("origin"):
+            elif found in (CacheStatus.FILLED_BY_ORIGIN, CacheStatus.ORIGIN_FAILED) and self.group("origin"):
                 # What was late for the origin's wait speaks against the origin, not against the parent.
                 sent.fill[0] = self.group("origin")[-1]
                 sent.fill[3] = good and now - spent + waited + self.work(asked) <= sent.fill[2]
         if good and not write and (asked.size or memory.spents):
             slow = (spent - waited) / max(20 * MS, self.work(asked))
-            cache.as_cache.note(now, good, slow if found in (*HITS, Found.UNTOLD) else 0, sent.crowd)
-            if sent.fill and found in (Found.FILLED, Found.JOINED):
+            cache.as_cache.note(now, good, slow if found in (*HITS, CacheStatus.UNKNOWN) else 0, sent.crowd)
+            if sent.fill and found in (CacheStatus.FILLED, CacheStatus.COLLAPSED):
                 # An ageing parent's slow fills are not laid to the link, which they would close.
                 speeds = [s for n in self.peers("parent")[0] if (s := n.as_source.slowness(now))] or [9]
                 if source.as_source.slowness(now) <= UNLIKE * median_low(speeds):
                     self.link.note(now, good, slow, sent.filling)
         if good:
-            self.found.extend([found] if found is not Found.UNTOLD else [])  # silence is no answer
+            self.found.extend([found] if found is not CacheStatus.UNKNOWN else [])  # silence is no answer
             self.carried.append((now, self.work(asked)))
             if not asked.size and not write:
                 memory.spents.append(spent - waited)
-                self.spents[asked.ds].append(spent - waited)
+                self.spents[asked.delivery_service].append(spent - waited)
             if not write and cache.role == "cache":
                 self.believe(memory, cache, now)
             if found in FILLS:
                 source.as_source.note(now, True, (spent - waited) / max(20 * MS, self.work(asked)))
                 if source.role == "cache":
                     self.believe(memory, source, now)
-        elif outcome is Outcome.MISS or found in SOURCE_FAULTS:
+        elif outcome is AttemptOutcome.MISS or found in SOURCE_FAULTS:
             memory.holders.pop(cache.index, None)  # either way the cache itself had no copy
             get.lost.add(source.index)
-            if outcome is Outcome.MISS:
+            if outcome is AttemptOutcome.MISS:
                 memory.holders.pop(source.index, None)
-            elif found is Found.ORIGIN_FAILED:
+            elif found is CacheStatus.ORIGIN_FAILED:
                 # Another way to the same origin asks more of it: only an ageing copy is worth a look.
-                get.hopeless = not self.of_ds("grace_time", asked.ds, 0)
+                get.hopeless = not self.settings.of_service("grace_time", asked.delivery_service, 0)
             else:
                 source.as_source.note(now, False, 0)
-        elif outcome is not Outcome.CANCELLED:
+        elif outcome is not AttemptOutcome.CANCELLED:
             get.lost.add(cache.index)
-            if outcome not in (Outcome.FULL, Outcome.NOT_SENT) and (memory.returned or not bare):
+            if outcome not in (AttemptOutcome.FULL, AttemptOutcome.NOT_SENT) and (
+                memory.returned or not bare
+            ):
                 cache.as_cache.note(now, False, 0)
         self.noted(cache)
         if source is not cache:
@@ -839,11 +882,11 @@
         # A time-out may be the source's fault: it tells of the cache where all end so and its peers' don't.
         if cache.as_cache.due(now):
             peers, quiet = self.peers("cache")
-            alone = outcome is not Outcome.TIMED_OUT
+            alone = outcome is not AttemptOutcome.TIMED_OUT
             cache.as_cache.judge([n.as_cache for n in peers], alone, now, quiet)
             self.noted(cache)
         if source is not cache and source.role != "origin" and source.as_source.due(now):
             # Parents fail alike where the origin or the load is at fault; one out of reach is down alone.
             peers, quiet = self.peers(source.role)
-            alone = outcome.never_ran and found is Found.SOURCE_BROKEN
+            alone = outcome.never_executed and found is CacheStatus.FILL_SOURCE_BROKEN
             source.as_source.judge([n.as_source for n in peers], alone, now, quiet)
--- a/sprucegate/simulator/codec.py
+++ b/sprucegate/simulator/codec.py
@@ -1,37 +1,38 @@
 """Lines of the wire to plain values and back. Malformed input is named, never guessed at."""
 
-from sprucegate.routing.interface import Found, Listed, Outcome, State
+from sprucegate.errors import ProtocolError
+from sprucegate.routing.events import AttemptOutcome, CacheStatus, Endpoint, EndpointState
 
 
-class Malformed(ValueError):
+class MalformedLineError(ProtocolError, ValueError):
     """A line that lacks a field it needs, or holds a value that cannot be read."""
 
 
 OUTCOMES = {
-    "Ok": Outcome.RETURNED,
-    "Failed": Outcome.ERROR,
-    "QueueFull": Outcome.FULL,
-    "TimedOut": Outcome.TIMED_OUT,
-    "ConnectError": Outcome.UNREACHABLE,
-    "ResetByPeer": Outcome.RESET,
-    "Canceled": Outcome.CANCELLED,
-    "Ignored": Outcome.NOT_SENT,
-    "Miss": Outcome.MISS,
+    "Ok": AttemptOutcome.RETURNED,
+    "Failed": AttemptOutcome.ERROR,
+    "QueueFull": AttemptOutcome.FULL,
+    "TimedOut": AttemptOutcome.TIMED_OUT,
+    "ConnectError": AttemptOutcome.UNREACHABLE,
+    "ResetByPeer": AttemptOutcome.RESET,
+    "Canceled": AttemptOutcome.CANCELLED,
+    "Ignored": AttemptOutcome.NOT_SENT,
+    "Miss": AttemptOutcome.MISS,
 }
 NOTES = (
-    Found.UNTOLD,
-    Found.HIT,
-    Found.FILLED,
-    Found.FILLED_BY_ORIGIN,
-    Found.JOINED,
-    Found.STALE_HIT,
-    Found.SOURCE_REFUSED,
-    Found.SOURCE_BROKEN,
-    Found.SOURCE_LACKS,
-    Found.NO_FILL_PLACE,
-    Found.ORIGIN_FAILED,
+    CacheStatus.UNKNOWN,
+    CacheStatus.HIT,
+    CacheStatus.FILLED,
+    CacheStatus.FILLED_BY_ORIGIN,
+    CacheStatus.COLLAPSED,
+    CacheStatus.STALE_HIT,
+    CacheStatus.FILL_SOURCE_REFUSED,
+    CacheStatus.FILL_SOURCE_BROKEN,
+    CacheStatus.FILL_SOURCE_MISS,
+    CacheStatus.FILL_SLOTS_EXHAUSTED,
+    CacheStatus.ORIGIN_FAILED,
 )
-STATES = {"SERVING": State.SERVING, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": EndpointState.SERVING, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 LOADS = {
     "outstanding": "inflight",
     "backlog": "queued",
@@ -59,7 +60,7 @@
         for at, part in enumerate(parts):
             name, mark, value = part.partition("=")
             if not mark:
-                raise Malformed(f"line {number}: '{head}' has a part without '=': {part[:60]!r}")
+                raise MalformedLineError(f"line {number}: '{head}' has a part without '=': {part[:60]!r}")
             if name in TEXT:
                 fields[name] = "\t".join([value, *parts[at + 1 :]])
                 break
@@ -67,7 +68,7 @@
         self.fields = fields
 
     def fault(self, text):
-        return Malformed(f"line {self.number}: '{self.name}' {text}")
+        return MalformedLineError(f"line {self.number}: '{self.name}' {text}")
 
     def need(self, name):
         try:
@@ -116,7 +117,7 @@
 
     def found(self):
         note = self.integer("note", 0)
-        return NOTES[note] if 0 <= note < len(NOTES) else Found.UNTOLD
+        return NOTES[note] if 0 <= note < len(NOTES) else CacheStatus.UNKNOWN
 
     def load(self):
         """The load report in our names; values under names that are not known are skipped."""
@@ -131,7 +132,7 @@
         return report
 
     def listed(self):
-        return Listed(
+        return Endpoint(
             id=self.integer("cache"),
             location=self.integer("campus", 0),
             kind=self.integer("machine", 0),
@@ -150,11 +151,13 @@
 
 def forward_line(instance, get_id, forward):
     """`deliver_via` says all that `deliver` does; a source equal to the cache is its 'no fill'."""
-    switches = forward.join + 2 * forward.held_only + 4 * forward.pass_parent + 8 * forward.renew
+    switches = (
+        forward.collapse + 2 * forward.only_if_cached + 4 * forward.bypass_parent + 8 * forward.revalidate
+    )
     line = (
         f"deliver_via\ti={instance}\ttxn={get_id}\tcache={forward.cache}\tcap={forward.timeout // 1000}"
-        f"\tsupplier={forward.source}\tkeep={forward.rank}"
+        f"\tsupplier={forward.fill_source}\tkeep={forward.rank}"
     )
-    if forward.oldest:
-        line += f"\tcopyAge={max(1, forward.oldest // 1000)}"
+    if forward.max_age:
+        line += f"\tcopyAge={max(1, forward.max_age // 1000)}"
     return f"{line}\tswitches={switches}" if switches else line
--- a/sprucegate/simulator/host.py
+++ b/sprucegate/simulator/host.py
@@ -1,7 +1,8 @@
 """Batches of the wire as calls on routers, one a front, and their results as actions."""
 
-from sprucegate.routing import interface
+from sprucegate.routing import actions, events
 from sprucegate.routing.router import Router
+from sprucegate.routing.settings import RoutingSettings
 from sprucegate.simulator import codec
 from sprucegate.simulator.settings import settings_from
 
@@ -11,14 +12,14 @@
 
     def __init__(self, instance, settings, seed, now):
         self.instance = instance
-        self.router = Router(settings, seed, now)
+        self.router = Router(RoutingSettings.from_mapping(settings), seed, now)
         self.gets = {}
         self.armed = None
         self.out = []
 
     def arm(self, now):
         """Keep one timer, for the next due time. The wire has no un-setting: an older one is passed over."""
-        due = self.router.next_due()
+        due = self.router.next_deadline()
         if due is None or (self.armed is not None and self.armed <= max(due, now)):
             return
         # The wire counts whole microseconds: rounding down would wake the router before it is due.
@@ -29,27 +30,27 @@
     def say(self, handle, decided):
         """Encode what was decided; a GET of which nothing more can come is let go."""
         instance = self.instance
-        key = handle.asked.id if handle is not None else None
+        key = handle.request.id if handle is not None else None
         for one in decided:
             match one:
-                case interface.Forward():
+                case actions.SendAttempt():
                     line = codec.forward_line(instance, key, one)
-                case interface.Shed():
+                case actions.RejectRequest():
                     advice = f"\tretryAfter={one.retry_after // 1000}" if one.retry_after else ""
                     line = f"not_now\ti={instance}\ttxn={key}{advice}"
-                case interface.Errored():
+                case actions.FailRequest():
                     line = f"report_failure\ti={instance}\ttxn={key}"
-                case interface.Cancel():
+                case actions.CancelAttempt():
                     line = f"cancel\ti={instance}\ttxn={key}\tshot={one.number}"
-                case interface.Probe():
+                case actions.HealthCheck():
                     line = f"check\ti={instance}\tcache={one.cache}"
-                case interface.Tell():
+                case actions.SendGossip():
                     blob = one.payload.hex() or "-"
                     line = f"broadcast_to\ti={instance}\tneighbourId={one.peer}\tblob={blob}"
-                case interface.Subscribe():
+                case actions.SubscribeToEndpoints():
                     line = f"track\ti={instance}\ton=1"
             self.out.append(line)
-        if handle is not None and handle.settled():
+        if handle is not None and handle.is_settled():
             self.gets.pop(key, None)
 
 
@@ -108,26 +109,26 @@
             entries.append(entry.listed())
         how = line.need("how")
         if how == "broken":
-            front.router.list_failed(now)
+            front.router.endpoint_list_failed(now)
         elif how in ("patch", "whole", "stale_copy"):
-            front.router.listed(entries, how != "patch", now)
+            front.router.update_endpoints(entries, how != "patch", now)
         else:
             return
         self._due(front, now)
 
     def _due(self, front, now):
-        for handle, decided in front.router.due(now):
+        for handle, decided in front.router.on_timer(now):
             front.say(handle, decided)
 
     def _incoming(self, line, front, now, _lines):
         key = line.need("txn")
-        handle = front.router.take(
-            interface.Asked(
+        handle = front.router.start_request(
+            events.Request(
                 id=key,
                 object=line.hexadecimal("resource", 0),
                 part=line.integer("segment", 0),
                 group=line.integer("batchId", -1),
-                ds=line.integer("grade", 0),
+                delivery_service=line.integer("grade", 0),
                 size=int(line.number_of("volumeKb", 0.0)),
                 write=line.flag("mutates"),
                 repeat=line.flag("repeat"),
@@ -145,23 +146,23 @@
         found, load, done = line.found(), line.load(), line.flag("finished")
         handle = front.gets.get(key)
         if handle is not None:
-            decided = handle.ended(number, outcome, found, spent, waited, load, done, now)
+            decided = handle.attempt_ended(number, outcome, found, spent, waited, load, done, now)
             front.say(handle, decided)
 
     def _headers(self, line, front, now, _lines):
         key, number = line.need("txn"), line.integer("shot")
         handle = front.gets.get(key)
         if handle is not None:
-            front.say(handle, handle.answering(number, now))
+            front.say(handle, handle.response_started(number, now))
 
     def _left(self, line, front, now, _lines):
         key = line.need("txn")
         handle = front.gets.get(key)
         if handle is not None:
-            front.say(handle, handle.left(now))
+            front.say(handle, handle.client_disconnected(now))
 
     def _purged(self, line, front, now, _lines):
-        front.router.purged(
+        front.router.invalidate(
             line.hexadecimal("resource", -1), line.integer("batchId", -1), line.time("copyAge", 0), now
         )
 
@@ -171,7 +172,7 @@
             self._due(front, now)
 
     def _health(self, line, front, now, _lines):
-        front.router.probed(
+        front.router.receive_load_report(
             line.integer("cache"),
             line.choice("result", codec.OUTCOMES),
             line.time("spent", 0),
@@ -180,7 +181,7 @@
         )
 
     def _note_from(self, line, front, now, _lines):
-        front.router.told(line.integer("neighbour"), line.payload("blob"), now)
+        front.router.receive_peer_message(line.integer("neighbour"), line.payload("blob"), now)
 
     def _power_off(self, _line, front, _now, _lines):
         del self.fronts[front.instance]
--- a/sprucegate/simulator/process.py
+++ b/sprucegate/simulator/process.py
@@ -3,7 +3,7 @@
 import sys
 import traceback
 
-from sprucegate.simulator.codec import Line, Malformed
+from sprucegate.simulator.codec import Line, MalformedLineError
 from sprucegate.simulator.host import Host
 
 
@@ -14,7 +14,7 @@
         try:
             text = raw.decode("utf-8").rstrip("\r\n")
         except UnicodeDecodeError:
-            raise Malformed(f"line {number}: is not UTF-8") from None
+            raise MalformedLineError(f"line {number}: is not UTF-8") from None
         if not text:
             continue
         if now is None:
@@ -25,7 +25,7 @@
         elif text == "eob":
             try:
                 actions = host.reply(now, lines)
-            except Malformed:
+            except MalformedLineError:
                 raise
             except Exception as fault:
                 # A fault in the decisions is for the operators to see: where it arose goes out with it.
@@ -41,13 +41,13 @@
         else:
             lines.append(Line(text, number))
     if now is not None:
-        raise Malformed("input ended inside a batch")
+        raise MalformedLineError("input ended inside a batch")
 
 
 def main():
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as fault:
+    except MalformedLineError as fault:
         print(f"sprucegate: {fault}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/sprucegate/storage/disk.py
+++ b/sprucegate/storage/disk.py
@@ -64,7 +64,7 @@
         data = data[size:]
 
 
-def replace(disk, folder, name, data):
+def replace_file(disk, folder, name, data):
     """The whole file or the former one, whatever happens in between: new name, sync, rename, sync of the folder."""
     path, fresh = os.path.join(folder, name), os.path.join(folder, name + ".new")
     handle = disk.create(fresh)
--- a/sprucegate/storage/log.py
+++ b/sprucegate/storage/log.py
@@ -6,7 +6,7 @@
 from sprucegate.storage.disk import write_all
 
 
-class Log:
+class AppendLog:
     """One writer a file. After a failed append nothing more is written: what follows a torn record is lost."""
 
     def __init__(self, disk, path, most=256 << 20):
--- a/sprucegate/storage/snapshots.py
+++ b/sprucegate/storage/snapshots.py
@@ -7,7 +7,7 @@
 import orjson
 
 from sprucegate.storage import records
-from sprucegate.storage.disk import replace
+from sprucegate.storage.disk import replace_file
 
 VERSION = 1
 SIZE_MOST = 32 << 20  # bytes of one snapshot
@@ -25,7 +25,7 @@
     why: str
 
 
-class Snapshots:
+class SnapshotStore:
     def __init__(self, disk, folder, kind, keep=3):
         self.disk, self.folder, self.kind, self.keep = disk, folder, kind, keep
         self.named = re.compile(re.escape(kind) + r"-([0-9]{16})\.snap")
@@ -35,7 +35,7 @@
         head = orjson.dumps({"kind": self.kind, "version": VERSION, "generation": generation, "at": at})
         try:
             self.disk.make_folder(self.folder)
-            replace(
+            replace_file(
                 self.disk,
                 self.folder,
                 f"{self.kind}-{generation:016d}.snap",
--- a/sprucegate/upstream/hosts.py
+++ b/sprucegate/upstream/hosts.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 
-class Hosts(NamedTuple):
+class EndpointList(NamedTuple):
     """A list, whole or what changed of it, with each entry's name and address."""
 
     whole: bool
@@ -13,7 +13,7 @@
     names: dict  # id -> (name, address)
 
 
-def number_of(name):
+def endpoint_id(name):
     """A cache's id from its name: the same at all fronts, and the number in it where it has one."""
     if match := re.fullmatch(r"[a-z]+-([0-9a-f]{1,15})", name):
         return int(match[1], 16)
--- a/sprucegate/upstream/http2/evidence.py
+++ b/sprucegate/upstream/http2/evidence.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 
 REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM, HTTP_1_1_REQUIRED = 0x7, 0x8, 0xB, 0xD
 
@@ -25,24 +25,26 @@
     """FULL where another server should be asked; both it and NOT_SENT tell the rules that nothing ran."""
 
     name: str
-    outcome: Outcome
+    outcome: AttemptOutcome
     source: str  # where it is written
 
 
-NOT_WRITTEN = Row("not written", Outcome.NOT_SENT, "RFC 9113 4.3")
-IN_PART = Row("written in part", Outcome.NOT_SENT, "RFC 9113 4.3")
-ABOVE_LAST = Row("above the last stream of a GOAWAY", Outcome.NOT_SENT, "RFC 9113 6.8, 8.7")
-REFUSED = Row("REFUSED_STREAM", Outcome.NOT_SENT, "RFC 9113 8.7")
-OTHER_RESET = Row("other reset", Outcome.RESET, "RFC 9113 5.4.2, 8.7")
-NEEDS_HTTP_1_1 = Row("HTTP_1_1_REQUIRED", Outcome.RESET, "RFC 9113 7")
-CALM = Row("ENHANCE_YOUR_CALM", Outcome.RESET, "RFC 9113 7")
-ENDED_AFTER_GOAWAY = Row("end after a GOAWAY, not above its last stream", Outcome.RESET, "RFC 9113 6.8")
-ENDED = Row("end without a GOAWAY", Outcome.RESET, "RFC 9113 5.4.1, RFC 9110 9.2.2")
-TIMED_OUT = Row("time-out", Outcome.TIMED_OUT, "RFC 9110 9.2.2")
-MISDIRECTED = Row("421", Outcome.FULL, "RFC 9110 15.5.20")
-BUSY = Row("429 or 503", Outcome.ERROR, "RFC 6585 4, RFC 9110 15.6.4")
-BUSY_NEVER_RAN = Row("429 or 503 with Spruce-Ran: ?0", Outcome.FULL, "docs/http2.md")
-NOT_HELD = Row("504 to only-if-cached", Outcome.MISS, "RFC 9111 5.2.1.7")
+NOT_WRITTEN = Row("not written", AttemptOutcome.NOT_SENT, "RFC 9113 4.3")
+IN_PART = Row("written in part", AttemptOutcome.NOT_SENT, "RFC 9113 4.3")
+ABOVE_LAST = Row("above the last stream of a GOAWAY", AttemptOutcome.NOT_SENT, "RFC 9113 6.8, 8.7")
+REFUSED = Row("REFUSED_STREAM", AttemptOutcome.NOT_SENT, "RFC 9113 8.7")
+OTHER_RESET = Row("other reset", AttemptOutcome.RESET, "RFC 9113 5.4.2, 8.7")
+NEEDS_HTTP_1_1 = Row("HTTP_1_1_REQUIRED", AttemptOutcome.RESET, "RFC 9113 7")
+CALM = Row("ENHANCE_YOUR_CALM", AttemptOutcome.RESET, "RFC 9113 7")
+ENDED_AFTER_GOAWAY = Row(
+    "end after a GOAWAY, not above its last stream", AttemptOutcome.RESET, "RFC 9113 6.8"
+)
+ENDED = Row("end without a GOAWAY", AttemptOutcome.RESET, "RFC 9113 5.4.1, RFC 9110 9.2.2")
+TIMED_OUT = Row("time-out", AttemptOutcome.TIMED_OUT, "RFC 9110 9.2.2")
+MISDIRECTED = Row("421", AttemptOutcome.FULL, "RFC 9110 15.5.20")
+BUSY = Row("429 or 503", AttemptOutcome.ERROR, "RFC 6585 4, RFC 9110 15.6.4")
+BUSY_NEVER_RAN = Row("429 or 503 with Spruce-Ran: ?0", AttemptOutcome.FULL, "docs/http2.md")
+NOT_HELD = Row("504 to only-if-cached", AttemptOutcome.MISS, "RFC 9111 5.2.1.7")
 
 ROWS = (
     NOT_WRITTEN,
--- a/sprucegate/upstream/http2/mapping.py
+++ b/sprucegate/upstream/http2/mapping.py
@@ -12,7 +12,7 @@
 from http_sfv import Dictionary, List
 from http_sfv.string import ser_string
 
-from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.upstream.http2 import evidence
 from sprucegate.upstream.place import Returned
 
@@ -21,11 +21,11 @@
 FIELD_MOST = 1000  # bytes of a structured field that is read at all
 KEPT = 512  # structured fields whose reading is remembered: a server sends few different ones
 DETAILS = {
-    "source-refused": Found.SOURCE_REFUSED,
-    "source-broken": Found.SOURCE_BROKEN,
-    "source-lacks": Found.SOURCE_LACKS,
-    "no-fill-place": Found.NO_FILL_PLACE,
-    "origin-failed": Found.ORIGIN_FAILED,
+    "source-refused": CacheStatus.FILL_SOURCE_REFUSED,
+    "source-broken": CacheStatus.FILL_SOURCE_BROKEN,
+    "source-lacks": CacheStatus.FILL_SOURCE_MISS,
+    "no-fill-place": CacheStatus.FILL_SLOTS_EXHAUSTED,
+    "origin-failed": CacheStatus.ORIGIN_FAILED,
 }
 LOADS = (
     "inflight",
@@ -40,8 +40,8 @@
 
 
 class Meaning(NamedTuple):
-    outcome: Outcome
-    found: Found
+    outcome: AttemptOutcome
+    found: CacheStatus
     waited: int  # for the source, nanoseconds
     load: dict
     returned: Returned | None
@@ -65,9 +65,9 @@
         Once(b"spruce-wait", b"%d" % max(1, min(left, said.timeout) // MS)),
     ]
     control = []
-    if said.oldest:
+    if said.max_age:
         # Both: as old as that may be, and stale is as good as fresh up to it (RFC 9111 section 5.2.1).
-        control += [f"max-age={said.oldest // S}", f"max-stale={said.oldest // S}"]
+        control += [f"max-age={said.max_age // S}", f"max-stale={said.max_age // S}"]
     if only_if_cached(said):
         control.append("only-if-cached")
     if control:
@@ -86,10 +86,10 @@
     fill += [
         word
         for word, on in (
-            ("join", said.join),
-            ("held", said.held_only),
-            ("pass", said.pass_parent),
-            ("renew", said.renew),
+            ("join", said.collapse),
+            ("held", said.only_if_cached),
+            ("pass", said.bypass_parent),
+            ("renew", said.revalidate),
         )
         if on
     ]
@@ -102,7 +102,7 @@
 
 def only_if_cached(said):
     """The server's own id as the source means that it is not to fill a miss."""
-    return said.source == said.cache
+    return said.fill_source == said.cache
 
 
 @lru_cache(KEPT)
@@ -111,18 +111,20 @@
     members = List()
     members.parse(text)
     if not members:
-        return Found.UNTOLD
+        return CacheStatus.UNKNOWN
     here, behind = members[-1].params, list(members)[:-1]
     if here.get("hit"):
-        return Found.STALE_HIT if isinstance(ttl := here.get("ttl"), int) and ttl < 0 else Found.HIT
+        return (
+            CacheStatus.STALE_HIT if isinstance(ttl := here.get("ttl"), int) and ttl < 0 else CacheStatus.HIT
+        )
     if (detail := here.get("detail")) is not None and str(detail) in DETAILS:
         return DETAILS[str(detail)]
     if "fwd" not in here:
-        return Found.UNTOLD
+        return CacheStatus.UNKNOWN
     if here.get("collapsed"):
-        return Found.JOINED
+        return CacheStatus.COLLAPSED
     # A member behind that forwarded as well had the object from the origin.
-    return Found.FILLED_BY_ORIGIN if any("fwd" in one.params for one in behind) else Found.FILLED
+    return CacheStatus.FILLED_BY_ORIGIN if any("fwd" in one.params for one in behind) else CacheStatus.FILLED
 
 
 @lru_cache(KEPT)
@@ -175,7 +177,7 @@
 
     `have` is the tag of the client's copy that was sent along, "" for none.
     """
-    found = _read(_found, fields.get(b"cache-status"), Found.UNTOLD)
+    found = _read(_found, fields.get(b"cache-status"), CacheStatus.UNKNOWN)
     waited = _read(_timed, fields.get(b"server-timing"), 0)
     load = _read(_loads, fields.get(b"spruce-load"), {})
     row = evidence.of_status(status, fields.get(b"spruce-ran") == b"?0", cached_only)
@@ -183,5 +185,5 @@
     # A 304 that names no copy of the client's is not passed on: it would be shown one that no cache has named.
     if status == 200 or status == 304 and have and tag == have:
         returned = Returned(status == 304, tag, 0, body if status == 200 else b"", _age(fields))
-        return Meaning(Outcome.RETURNED, found, waited, load, returned, None)
-    return Meaning(row.outcome if row else Outcome.ERROR, found, waited, load, None, row)
+        return Meaning(AttemptOutcome.RETURNED, found, waited, load, returned, None)
+    return Meaning(row.outcome if row else AttemptOutcome.ERROR, found, waited, load, None, row)
--- a/sprucegate/upstream/http2/pool.py
+++ b/sprucegate/upstream/http2/pool.py
@@ -9,7 +9,7 @@
 from enum import IntEnum
 from zlib import crc32
 
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 
 LACKING = 10_000_000  # nanoseconds until a connection is tried again that this side could not begin
 
@@ -38,7 +38,7 @@
     not be connected to, NOT_SENT where the cause lies here or a connection was lost."""
 
     forward: object
-    outcome: Outcome
+    outcome: AttemptOutcome
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
     def ask(self, forward, now):
         """A forward wants a stream."""
         if self.left_for_good:
-            return [Refuse(forward, Outcome.NOT_SENT)]
+            return [Refuse(forward, AttemptOutcome.NOT_SENT)]
         serving = any(c.phase is not Phase.DRAINING for c in self.connections.values())
         if not serving and now < self.again and not self.lacking:
             # At once: a server that is known not to be had is not waited for.
@@ -100,7 +100,7 @@
         if not self.waiting and (best := self._best()) is not None:
             return [self._give(best, forward, now), *self._grow(now)]
         if len(self.waiting) >= self.limits.waiting:
-            return [Refuse(forward, Outcome.FULL)]
+            return [Refuse(forward, AttemptOutcome.FULL)]
         self.waiting[forward] = now + self.limits.wait
         return self._grow(now)
 
@@ -178,7 +178,10 @@
 
     def leave(self, now):
         """The server has gone from the list: what is open there may yet be answered."""
-        self.left_for_good, said = True, [Refuse(forward, Outcome.NOT_SENT) for forward in self.waiting]
+        self.left_for_good, said = (
+            True,
+            [Refuse(forward, AttemptOutcome.NOT_SENT) for forward in self.waiting],
+        )
         self.waiting.clear()
         for at in list(self.connections.values()):
             said += self._drain(at, now)
@@ -191,7 +194,7 @@
     def due(self, now):
         said, limits = [], self.limits
         while self.waiting and next(iter(self.waiting.values())) <= now:
-            said.append(Refuse(self.waiting.popitem(last=False)[0], Outcome.FULL))
+            said.append(Refuse(self.waiting.popitem(last=False)[0], AttemptOutcome.FULL))
         for at in list(self.connections.values()):
             if at.phase is Phase.OPENING:
                 continue  # the transport bounds its time
@@ -309,7 +312,7 @@
         self.again = now + int(most * (0.5 + 0.5 * self._chance()))
 
     def _away(self):
-        return Outcome.NOT_SENT if self.in_reach else Outcome.UNREACHABLE
+        return AttemptOutcome.NOT_SENT if self.in_reach else AttemptOutcome.UNREACHABLE
 
     def _after_loss(self, now):
         said = self._grow(now) if self.waiting else []
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -8,7 +8,7 @@
 import errno
 import socket
 
-from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.upstream.http2 import evidence, mapping
 from sprucegate.upstream.http2.pool import Close, Open, Ping, Pool, Refuse, Send
 from sprucegate.upstream.http2.session import (
@@ -122,7 +122,7 @@
         connection, stream = waiting.connection, waiting.stream
         if connection is None:  # it waits, or its refusal is on the way to the driver
             self.withdraw(out)
-            return Outcome.NOT_SENT
+            return AttemptOutcome.NOT_SENT
         if not connection.closed and stream.id in connection.session.streams:
             connection.session.cancel(stream)
             self._want_flush(connection)
@@ -176,7 +176,9 @@
                 case Open():
                     self._open(place, one.connection)
                 case Refuse():
-                    self.loop.call_soon(self.driver.ended, one.forward.out, one.outcome, Found.UNTOLD, 0, {})
+                    self.loop.call_soon(
+                        self.driver.ended, one.forward.out, one.outcome, CacheStatus.UNKNOWN, 0, {}
+                    )
                 case Ping():
                     connection = place.held.connections[one.connection]
                     connection.session.ping()
@@ -194,14 +196,14 @@
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
         left = self.driver.sending.left(out, self.driver.clock())
         if left is None:
-            self.loop.call_soon(self.driver.ended, out, Outcome.NOT_SENT, Found.UNTOLD, 0, {})
+            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
         fields = mapping.request(place.held.authority, out.get, waiting.said, waiting.source, left)
         stream = connection.session.request(
             waiting, fields, out.get.body, mapping.only_if_cached(waiting.said)
         )
         if stream is None:
-            self.loop.call_soon(self.driver.ended, out, Outcome.NOT_SENT, Found.UNTOLD, 0, {})
+            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
         waiting.connection, waiting.stream, out.progress = connection, stream, Progress.PARTLY
         self.driver.sending.began(out, self.driver.clock())
@@ -314,7 +316,7 @@
                     cache=connection.place.name,
                     code=event.code,
                     last=event.last,
-                    never_ran=len(event.above),
+                    never_executed=len(event.above),
                     open=len(connection.session.streams),
                 )
                 # First, or what these free would be filled again on a connection that takes nothing more.
@@ -343,7 +345,7 @@
     def _tell(self, out, row, now):
         if not out.ended:
             self.driver.book.count(f"evidence {row.name}")
-            self.driver.ended(out, row.outcome, Found.UNTOLD, 0, {}, now)
+            self.driver.ended(out, row.outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
     def _want_flush(self, connection):
         """Once a turn of the loop: requests that begin together go out together."""
--- a/sprucegate/upstream/lines/codec.py
+++ b/sprucegate/upstream/lines/codec.py
@@ -3,31 +3,32 @@
 from math import isfinite
 from typing import NamedTuple
 
-from sprucegate.routing.interface import Found, Outcome
+from sprucegate.errors import ProtocolError
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.upstream.place import Returned
 
 LINE_MOST = 4096  # bytes of an answer's line
 BODY_MOST = 240_000  # bytes of an object
 MS = 1_000_000
 OUTCOMES = {
-    b"served": Outcome.RETURNED,
-    b"still_good": Outcome.RETURNED,
-    b"not_here": Outcome.MISS,
-    b"overload": Outcome.FULL,
-    b"crashed": Outcome.ERROR,
-    b"nobody": Outcome.NOT_SENT,
+    b"served": AttemptOutcome.RETURNED,
+    b"still_good": AttemptOutcome.RETURNED,
+    b"not_here": AttemptOutcome.MISS,
+    b"overload": AttemptOutcome.FULL,
+    b"crashed": AttemptOutcome.ERROR,
+    b"nobody": AttemptOutcome.NOT_SENT,
 }
 REMARKS = {
-    "cached": Found.HIT,
-    "fetched": Found.FILLED,
-    "fetched_root": Found.FILLED_BY_ORIGIN,
-    "merged": Found.JOINED,
-    "past_fresh": Found.STALE_HIT,
-    "up_refused": Found.SOURCE_REFUSED,
-    "up_lost": Found.SOURCE_BROKEN,
-    "up_empty": Found.SOURCE_LACKS,
-    "fills_full": Found.NO_FILL_PLACE,
-    "root_failed": Found.ORIGIN_FAILED,
+    "cached": CacheStatus.HIT,
+    "fetched": CacheStatus.FILLED,
+    "fetched_root": CacheStatus.FILLED_BY_ORIGIN,
+    "merged": CacheStatus.COLLAPSED,
+    "past_fresh": CacheStatus.STALE_HIT,
+    "up_refused": CacheStatus.FILL_SOURCE_REFUSED,
+    "up_lost": CacheStatus.FILL_SOURCE_BROKEN,
+    "up_empty": CacheStatus.FILL_SOURCE_MISS,
+    "fills_full": CacheStatus.FILL_SLOTS_EXHAUSTED,
+    "root_failed": CacheStatus.ORIGIN_FAILED,
 }
 LOADS = {
     "inflight": "inflight",
@@ -41,7 +42,7 @@
 }
 
 
-class Unreadable(ValueError):
+class MalformedAnswerError(ProtocolError, ValueError):
     """What a cache sent can't be read: nothing after it on that connection can be trusted."""
 
 
@@ -63,15 +64,15 @@
         fields += f",src={source}"
     if forward.rank:
         fields += f",keep={forward.rank}"
-    if forward.oldest:
-        fields += f",maxage={max(1, forward.oldest // MS)}"
+    if forward.max_age:
+        fields += f",maxage={max(1, forward.max_age // MS)}"
     flags = [
         flag
         for flag, on in (
-            ("j", forward.join),
-            ("h", forward.held_only),
-            ("n", forward.pass_parent),
-            ("r", forward.renew),
+            ("j", forward.collapse),
+            ("h", forward.only_if_cached),
+            ("n", forward.bypass_parent),
+            ("r", forward.revalidate),
         )
         if on
     ]
@@ -103,7 +104,7 @@
         self.held += data
         try:
             self._cut(self.held, whole)
-        except Unreadable as fault:
+        except MalformedAnswerError as fault:
             self.fault = str(fault)
         return whole
 
@@ -114,14 +115,14 @@
                 end = held.find(b"\r\n", at)
                 if end < 0:
                     if len(held) - at > LINE_MOST:
-                        raise Unreadable("a line without an end")
+                        raise MalformedAnswerError("a line without an end")
                     break
                 self.head, at = read_head(bytes(held[at:end])), end + 2
             length = self.head[3]
             if len(held) - at < length + 2:
                 break
             if held[at + length : at + length + 2] != b"\r\n":
-                raise Unreadable("a body without its end")
+                raise MalformedAnswerError("a body without its end")
             whole.append(Answer(*self.head[:3], bytes(held[at : at + length])))
             self.head, at = None, at + length + 2
         del held[:at]
@@ -130,17 +131,17 @@
 def read_head(line):
     words = line.split(b" ")
     if len(words) != 4 or not words[3].isdigit() or int(words[3]) > BODY_MOST:
-        raise Unreadable(f"no answer: {line[:60]!r}")
+        raise MalformedAnswerError(f"no answer: {line[:60]!r}")
     fields = {}
     if words[2] != b"-":
         try:
             text = words[2].decode()
         except UnicodeDecodeError:
-            raise Unreadable(f"fields are not text: {line[:60]!r}") from None
+            raise MalformedAnswerError(f"fields are not text: {line[:60]!r}") from None
         for pair in text.split(","):
             name, mark, value = pair.partition("=")
             if not mark:
-                raise Unreadable(f"a field without '=': {line[:60]!r}")
+                raise MalformedAnswerError(f"a field without '=': {line[:60]!r}")
             fields[name] = value
     return words[0], words[1], fields, int(words[3])
 
@@ -152,10 +153,12 @@
     """
     fields, outcome, report = answer.fields, OUTCOMES.get(answer.word), {}
     if outcome is None:
-        raise Unreadable(f"an unknown word {answer.word[:30]!r}")
+        raise MalformedAnswerError(f"an unknown word {answer.word[:30]!r}")
     if answer.word == b"still_good" and (not have or fields.get("etag") != have):
         # Passed on, it would tell a client to show a copy that no cache has named.
-        raise Unreadable(f"still_good of another copy: {fields.get('etag', '')[:30]!r}, asked {have!r}")
+        raise MalformedAnswerError(
+            f"still_good of another copy: {fields.get('etag', '')[:30]!r}, asked {have!r}"
+        )
     try:
         for pair in filter(None, fields.get("report", "").split(";")):
             name, _, value = pair.partition(":")
@@ -163,8 +166,8 @@
                 report[LOADS[name]] = _figure(value)
         waited = int(_figure(fields.get("ttfb", 0)) * MS)
     except ValueError:
-        raise Unreadable(f"no number where one belongs: {fields}"[:200]) from None
-    return outcome, REMARKS.get(fields.get("remark"), Found.UNTOLD), waited, report
+        raise MalformedAnswerError(f"no number where one belongs: {fields}"[:200]) from None
+    return outcome, REMARKS.get(fields.get("remark"), CacheStatus.UNKNOWN), waited, report
 
 
 def _figure(text):
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -4,7 +4,7 @@
 import socket
 from collections import OrderedDict, deque
 
-from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.routing.router import CONNECTIONS, STALLED
 from sprucegate.upstream.lines import codec
 from sprucegate.upstream.lines.connection import LineConnection
@@ -52,7 +52,7 @@
         get = out.get
         connection = self._connection(place, get, out.at)
         if connection is None:  # no room here: nothing is known of the cache
-            self.loop.call_soon(self.driver.ended, out, Outcome.NOT_SENT, Found.UNTOLD, 0, {})
+            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
             return
         # Never again on this one: a late answer, or a second copy of one, would bear the same id.
         get.left_on.append(connection)
@@ -83,7 +83,7 @@
         """The front's side ends at once: NOT_SENT where no byte had left, else nothing is proved."""
         self.withdraw(out)
         if out.progress is Progress.NOT_SENT:  # also where news took it back, and its end is on the way
-            return Outcome.NOT_SENT
+            return AttemptOutcome.NOT_SENT
         connection = out.connection
         if connection is None or connection.open.get(out.get.id) is not out:
             return None
@@ -202,7 +202,7 @@
         if connection.open.get(out.get.id) is out:
             del connection.open[out.get.id]
         self._rests(connection)
-        self.loop.call_soon(self.driver.ended, out, Outcome.NOT_SENT, Found.UNTOLD, 0, {})
+        self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
 
     def _send_later(self, connection, sent):
         if sent or not connection.writing:
@@ -302,9 +302,11 @@
         now = self.driver.clock()  # one end for all of them, however long telling it takes
         for out in forwards:
             # What was up and broke shows a cache in reach, unlike one that can't be connected to.
-            never_ran = Outcome.NOT_SENT if was_up or connection.in_reach else Outcome.UNREACHABLE
-            outcome = Outcome.RESET if out.progress is Progress.WHOLE else never_ran
-            self.driver.ended(out, outcome, Found.UNTOLD, 0, {}, now)
+            never_executed = (
+                AttemptOutcome.NOT_SENT if was_up or connection.in_reach else AttemptOutcome.UNREACHABLE
+            )
+            outcome = AttemptOutcome.RESET if out.progress is Progress.WHOLE else never_executed
+            self.driver.ended(out, outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
     def _answered(self, connection, answer):
         connection.used = connection.answered = connection.heard
@@ -313,12 +315,12 @@
             return  # late: its forward has ended already
         try:
             outcome, found, waited, load = codec.meaning(answer, out.get.have)
-        except codec.Unreadable as fault:
+        except codec.MalformedAnswerError as fault:
             connection.reader.fault = connection.reader.fault or str(fault)
             return
         del connection.open[answer.id]
         self._rests(connection)
-        if outcome is Outcome.RETURNED:
+        if outcome is AttemptOutcome.RETURNED:
             self.driver.returned(out, codec.returned(answer))
         self.driver.ended(out, outcome, found, waited, load)
         if connection.place.gone and not connection.open:
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -6,7 +6,7 @@
 come is in the outcome.
 """
 
-from sprucegate.routing.interface import Found, Outcome, State
+from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
 from sprucegate.upstream.lines.transport import Lines
 from sprucegate.upstream.place import Place
 
@@ -27,7 +27,7 @@
             name, address = hosts.names[entry.id]
             host, _, port = address.rpartition(":")
             place = self.places.get(entry.id)
-            gone = entry.state is State.GONE
+            gone = entry.state is EndpointState.GONE
             if place is None:
                 if not gone:
                     speaks = self.wanted.transport(name, address, entry.kind) if self.wanted else "lines"
@@ -67,9 +67,11 @@
         """Sends it or has its end told soon; never told from within this call."""
         place = self.places.get(said.cache)
         if place is None:  # nothing is known of the cache
-            self.driver.loop.call_soon(self.driver.ended, out, Outcome.NOT_SENT, Found.UNTOLD, 0, {})
+            self.driver.loop.call_soon(
+                self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+            )
             return
-        source = self.places.get(said.source) if said.source != said.cache else None
+        source = self.places.get(said.fill_source) if said.fill_source != said.cache else None
         out.transport = place.transport
         place.transport.forward(place, out, said, source and source.name)
 
@@ -79,7 +81,7 @@
 
     def cancel(self, out, timed_out=False):
         """The front's side ends at once; the outcome where the forward provably never ran, else None."""
-        return out.transport.cancel(out, timed_out) if out.transport is not None else Outcome.NOT_SENT
+        return out.transport.cancel(out, timed_out) if out.transport is not None else AttemptOutcome.NOT_SENT
 
     def room(self):
         """Whether another connection may be opened; one idle anywhere makes way, the longest first."""
--- a/standins/driver.py
+++ b/standins/driver.py
@@ -7,37 +7,42 @@
 import time
 from types import SimpleNamespace
 
-from sprucegate.front.buffer_pool import Pool
-from sprucegate.front.counters import Book
-from sprucegate.front.open_requests import OpenForward, OpenGet
-from sprucegate.routing.interface import Asked, Forward, Listed, State
-from sprucegate.upstream.hosts import Hosts
+from sprucegate.front.buffer_pool import BufferPool
+from sprucegate.front.counters import Counters
+from sprucegate.front.open_requests import OpenAttempt, OpenRequest
+from sprucegate.routing.actions import SendAttempt
+from sprucegate.routing.events import Endpoint, EndpointState, Request
+from sprucegate.upstream.hosts import EndpointList
 from sprucegate.upstream.sending import Sending
 from sprucegate.upstream.servers import Servers
 
 
 class Recorder:
     def __init__(self, addresses, speaks="http2", limits=None, most=341, **settings):
-        self.loop, self.wanted, self.book = asyncio.get_running_loop(), SimpleNamespace(name="n0"), Book()
+        self.loop, self.wanted, self.book = asyncio.get_running_loop(), SimpleNamespace(name="n0"), Counters()
         self.sending = Sending(self.book.count)
         self.ends, self.answers, self.logged, self.waiting = {}, {}, [], {}
         wanted = SimpleNamespace(
             http2=limits, speaks=lambda name: name == speaks, transport=lambda *_: speaks
         )
-        self.servers = Servers(self, Pool(256), settings, most, wanted if speaks != "lines" else None)
+        self.servers = Servers(self, BufferPool(256), settings, most, wanted if speaks != "lines" else None)
         self.list(addresses)
 
-    def list(self, addresses, whole=True, state=State.SERVING):
-        entries = [Listed(at, 0, 0, 0, state, 1.0, 0) for at in addresses]
-        self.servers.listed(Hosts(whole, entries, {at: (f"s-{at:02x}", a) for at, a in addresses.items()}))
+    def list(self, addresses, whole=True, state=EndpointState.SERVING):
+        entries = [Endpoint(at, 0, 0, 0, state, 1.0, 0) for at in addresses]
+        self.servers.listed(
+            EndpointList(whole, entries, {at: (f"s-{at:02x}", a) for at, a in addresses.items()})
+        )
 
     def send(self, place, call_id, body=b"", timeout=5_000_000_000, number=0, write=False):
-        asked = Asked(call_id, 1, 0, 0, 0, 1, write or bool(body), False, timeout)
-        get = OpenGet(None, call_id.encode(), "media", "7f3a", 0, "", body, asked)
+        asked = Request(call_id, 1, 0, 0, 0, 1, write or bool(body), False, timeout)
+        get = OpenRequest(None, call_id.encode(), "media", "7f3a", 0, "", body, asked)
         now = self.clock()
-        out = OpenForward(get, number, place, place, now, now + timeout)
+        out = OpenAttempt(get, number, place, place, now, now + timeout)
         self.waiting[out] = self.loop.create_future()
-        self.servers.forward(out, Forward(number, place, place, 0, 0, timeout, False, False, False, False))
+        self.servers.forward(
+            out, SendAttempt(number, place, place, 0, 0, timeout, False, False, False, False)
+        )
         return out
 
     async def end(self, out, patience=10):
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -15,7 +15,7 @@
 import sys
 import time
 
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import Have, Replica, Send, Write
 
@@ -43,7 +43,7 @@
 
     def start(self, name):
         self.lives += 1
-        made = self.fronts[name] = Replica(name, self.lives, Chance(name, 1), 0, rate=1 << 40)
+        made = self.fronts[name] = Replica(name, self.lives, RandomSource(name, 1), 0, rate=1 << 40)
         made.neighbours, made.timers = [], {}
         facts, lives = {}, []
         for taken, spans, _ in self.disks[name]:
--- a/standins/fleet/explore_fitness.py
+++ b/standins/fleet/explore_fitness.py
@@ -49,16 +49,16 @@
         for _ in range(ASKS + 1):
             if name in self.up:
                 now = max(now, self.up[name].at)
-                self.does(name, self.up[name].due(now))
+                self.allows(name, self.up[name].due(now))
 
     def does(self, name, actions):
         for action in actions:
             match action:
                 case Send(to, message) if self.reaches(name, base(to)):
-                    self.does(base(to), self.up[base(to)].heard(self.disks[name][0], message, 0))
+                    self.allows(base(to), self.up[base(to)].heard(self.disks[name][0], message, 0))
                 case Keep():
                     self.disks[name][2] = dict(action.known)
-                    self.does(name, self.up[name].kept(action.number, 0))
+                    self.allows(name, self.up[name].kept(action.number, 0))
                 case PutBack(other, _):
                     self.disks[name] = [other, 0, {}, True]
                     self.start(name)
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -29,7 +29,7 @@
     VoteAnswer,
     Write,
 )
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from standins.fleet.schedules import reported
 
 MS, S = 1_000_000, 1_000_000_000
@@ -77,7 +77,7 @@
         self.fitness = Fitness(
             self.known_as, self.starts, being, others, self.known, self.clock(), green=term == 0
         )
-        chance = Chance(self.name, self.world.seed + self.generation)
+        chance = RandomSource(self.name, self.world.seed + self.generation)
         config = self.config if self.known_as == self.name else Config((), ())
         self.keeper = Keeper(self.known_as, config, chance, self.clock())
         self.keeper.loaded(term, vote, snapshot, entries)
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -14,7 +14,7 @@
 from sprucegate.fleet.consensus.durability_check import base
 from sprucegate.fleet.consensus.log_follower import Follow, Follower, Propose, Serving, State
 from sprucegate.fleet.consensus.raft_node import Send
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.leader import Leading, front_lease
 from sprucegate.fleet.rollout.permits import Box as Listed
@@ -104,7 +104,7 @@
         self.follower = Follower(
             self.world.keepers,
             life,
-            Chance(self.name, self.world.seed + self.generation),
+            RandomSource(self.name, self.world.seed + self.generation),
             self.clock(),
             front_lease(),
         )
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -8,8 +8,8 @@
 from itertools import count
 
 from sprucegate.fleet.failure_detector.swim import Doubled, Look, Stands
-from sprucegate.fleet.membership_view.views import Viewed
-from sprucegate.fleet.node import Peer, outgoing
+from sprucegate.fleet.membership_view.views import ViewChanged
+from sprucegate.fleet.node import FleetNode, outgoing
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import Act, Done, Doubted, Have, LetGo, Live, Mark, Note, Tell, Write
 from sprucegate.fleet.replica_storage import PIECE, Keeping, packed
@@ -70,7 +70,7 @@
             self.up = False  # without a start on disk it may not tell anything: it tries again
             return fleet.at(now + S, self._again)
         fleet.note(self.name, "life", life)
-        self.peer = Peer(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
+        self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
         self.peer.loaded(kept.facts.values(), kept.lives, now)
         fleet.note(self.name, "loaded", self.peer.replica.facts.seen.told(), self.holds())
         self.done(self.peer.starts(now))
@@ -153,7 +153,7 @@
                 fleet.note(self.name, "note", action.event)
             case Look(name, _, life):
                 fleet.later(2 * MS, self, self._looked, name, life)
-            case Viewed(view):
+            case ViewChanged(view):
                 fleet.note(
                     self.name,
                     "view",
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -272,7 +272,7 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     tasks = set()
     while line := await lines.readline():
-        task = asyncio.ensure_future(world.does(json.loads(line)))
+        task = asyncio.ensure_future(world.allows(json.loads(line)))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     world.records.file.close()
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -79,7 +79,7 @@
 )
 def test_a_fault_is_one_message_with_file_line_and_key(old, new, line, key):
     assert old in GOOD
-    with pytest.raises(operator_file.Faulty) as caught:
+    with pytest.raises(operator_file.OperatorFileError) as caught:
         operator_file.parse(GOOD.replace(old, new, 1), "f.kdl")
     said = caught.value
     assert (said.file, said.line, said.key) == ("f.kdl", line, key), str(said)
@@ -235,7 +235,7 @@
     ],
 )
 def test_a_fault_in_a_fleet_is_told_with_its_line_and_key(old, new, line, key):
-    with pytest.raises(operator_file.Faulty) as fault:
+    with pytest.raises(operator_file.OperatorFileError) as fault:
         operator_file.parse(FLEET.replace(old, new), "f")
     assert (fault.value.line, fault.value.key) == (line, key)
 
@@ -283,7 +283,7 @@
 )
 def test_a_fault_in_keepers_or_budgets_is_told_with_its_key(old, new, key, text):
     assert old in AGREED
-    with pytest.raises(operator_file.Faulty) as caught:
+    with pytest.raises(operator_file.OperatorFileError) as caught:
         operator_file.parse(AGREED.replace(old, new), "f")
     assert caught.value.key == key and text in caught.value.text
 
@@ -327,5 +327,5 @@
         operator_file.parse("", "f").log.gets is False
         and operator_file.parse("log {\n    gets #true\n}\n", "f").log.gets is True
     )
-    with pytest.raises(operator_file.Faulty, match="log.gets"):
+    with pytest.raises(operator_file.OperatorFileError, match="log.gets"):
         operator_file.parse('log {\n    gets "yes"\n}\n', "f")
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -8,25 +8,26 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
+from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.discovery import listfile, reading
 from sprucegate.discovery.gate import Gate
-from sprucegate.discovery.listfile import Faulty, parse, render
-from sprucegate.discovery.reading import Unsettled, read
+from sprucegate.discovery.listfile import parse, render
+from sprucegate.discovery.reading import FileIncompleteError, read
 from sprucegate.discovery.view import Server, Standing, View
-from sprucegate.routing.interface import Listed, State
-from sprucegate.upstream.hosts import number_of
+from sprucegate.routing.events import Endpoint, EndpointState
+from sprucegate.upstream.hosts import endpoint_id
 
 S = 1_000_000_000
 NOW = 1000 * S
 LOCATIONS, KINDS = {"east": 0, "west": 1}, {"std": 0, "parent": 1}
-UP, DRAIN, GONE = State.SERVING, State.DRAINING, State.GONE
+UP, DRAIN, GONE = EndpointState.SERVING, EndpointState.DRAINING, EndpointState.GONE
 
 
 def server(name, state=UP, weight=1.0, started=0, address="", location=0, held=False):
     return Server(
-        Listed(number_of(name), location, 0, 0, state, weight, started),
+        Endpoint(endpoint_id(name), location, 0, 0, state, weight, started),
         name,
-        address or f"127.0.0.1:{4000 + number_of(name) % 1000}",
+        address or f"127.0.0.1:{4000 + endpoint_id(name) % 1000}",
         held,
     )
 
@@ -42,7 +43,7 @@
 
 
 def standing(made, name):
-    return made.rows[number_of(name)].standing if number_of(name) in made.rows else Standing.GONE
+    return made.rows[endpoint_id(name)].standing if endpoint_id(name) in made.rows else Standing.GONE
 
 
 def test_the_bus_alone_tells_what_it_tells():
@@ -62,7 +63,7 @@
     made.told(first, [server("s-1", DRAIN)], first == "file", NOW)
     assert standing(made, "s-1") is Standing.DRAINING
     assert made.told(second, [server("s-1")], False, NOW + S) is None
-    assert standing(made, "s-1") is Standing.DRAINING and f"by {first}" in made.rows[number_of("s-1")].why
+    assert standing(made, "s-1") is Standing.DRAINING and f"by {first}" in made.rows[endpoint_id("s-1")].why
     made.told(first, [server("s-1", GONE)], False, NOW + S)  # gone from its source: the other brings it back
     made.told(second, [server("s-1")], False, NOW + 2 * S)
     assert standing(made, "s-1") is Standing.DRAINING
@@ -81,10 +82,10 @@
 def test_a_server_goes_when_no_source_lists_it_and_the_first_sources_word_counts():
     made = view()
     made.told("file", [server("s-1", weight=3.0), server("s-3")], True, NOW)
-    assert made.rows[number_of("s-1")].server.entry.weight == 3.0
+    assert made.rows[endpoint_id("s-1")].server.entry.weight == 3.0
     assert said(made.told("file", [server("s-1", weight=3.0)], True, NOW)) == [("s-3", GONE)]
     made.told("bus", [server("s-1", weight=7.0)], False, NOW)
-    assert made.rows[number_of("s-1")].server.entry.weight == 3.0
+    assert made.rows[endpoint_id("s-1")].server.entry.weight == 3.0
     change = made.told("file", [server("s-2")], True, NOW)
     assert [(s.name, s.entry.weight) for s in change.servers] == [("s-1", 7.0)]  # the bus still has it
 
@@ -97,7 +98,7 @@
     assert standing(made, "s-5") is Standing.HELD
     assert said(made.told("file", [server("s-5")], True, NOW + S)) == [("s-2", UP), ("s-5", UP)]
     made.told("file", [server("s-5", weight=2.0)], True, NOW + 2 * S)
-    assert made.rows[number_of("s-5")].since == NOW + S
+    assert made.rows[endpoint_id("s-5")].since == NOW + S
 
 
 def test_a_server_that_comes_back_gets_its_weight_in_steps_and_a_first_one_at_once():
@@ -204,7 +205,7 @@
 
 @pytest.mark.parametrize("cut", range(len(GOOD) - 2))
 def test_a_file_cut_at_any_byte_is_no_list(cut):
-    with pytest.raises(Faulty):
+    with pytest.raises(OperatorFileError):
         parse([("f", GOOD[:cut])], LOCATIONS, KINDS)
 
 
@@ -232,7 +233,7 @@
 )
 def test_a_faulty_entry_is_told_with_line_and_key(old, new, line, key):
     assert old in GOOD
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(OperatorFileError) as caught:
         parse([("f.kdl", GOOD.replace(old, new, 1))], LOCATIONS, KINDS)
     assert (caught.value.file, caught.value.line, caught.value.key) == ("f.kdl", line, key)
 
@@ -248,13 +249,13 @@
     ],
 )
 def test_no_servers_or_no_weight_is_a_mistake(text):
-    with pytest.raises(Faulty):
+    with pytest.raises(OperatorFileError):
         parse([("f", text)], LOCATIONS, KINDS)
 
 
 def test_more_entries_than_the_bound_are_refused(monkeypatch):
     monkeypatch.setattr(listfile, "ENTRIES_MOST", 2)
-    with pytest.raises(Faulty, match="more than 2"):
+    with pytest.raises(OperatorFileError, match="more than 2"):
         parse([("f", GOOD)], LOCATIONS, KINDS)
 
 
@@ -264,30 +265,30 @@
     first = read(str(path))
     assert first.texts[0][1] == GOOD and first.digest == hashlib.sha256(GOOD.encode()).hexdigest()
     (tmp_path / "list.kdl.sha256").write_text("0" * 64 + "  list.kdl\n")
-    with pytest.raises(Unsettled):
+    with pytest.raises(FileIncompleteError):
         read(str(path))
     (tmp_path / "list.kdl.sha256").write_text(first.digest + "  list.kdl\n")
     assert read(str(path), settle=60) == first  # no waiting where the digest says it
     (tmp_path / "list.kdl.sha256").unlink()
     monkeypatch.setattr(reading.time, "sleep", lambda _: path.write_text(GOOD + "\n"))
-    with pytest.raises(Unsettled):
+    with pytest.raises(FileIncompleteError):
         read(str(path))
 
 
 def test_a_file_that_goes_or_may_not_be_read_or_is_too_large(tmp_path, monkeypatch):
-    with pytest.raises(Unsettled):
+    with pytest.raises(FileIncompleteError):
         read(str(tmp_path / "none"))
     path = tmp_path / "list.kdl"
     path.write_bytes(b"\xff\n")
-    with pytest.raises(Faulty, match="UTF-8"):
+    with pytest.raises(OperatorFileError, match="UTF-8"):
         read(str(path))
     monkeypatch.setattr(reading, "SIZE_MOST", 1)
-    with pytest.raises(Faulty, match="larger"):
+    with pytest.raises(OperatorFileError, match="larger"):
         read(str(path))
     monkeypatch.setattr(
         reading, "open", lambda *_: (_ for _ in ()).throw(PermissionError(13, "denied")), raising=False
     )
-    with pytest.raises(Faulty, match="denied"):
+    with pytest.raises(OperatorFileError, match="denied"):
         read(str(path))
 
 
@@ -309,18 +310,18 @@
     found = read(str(tmp_path / "list"))
     assert [s.name for s in parse(found.texts, LOCATIONS, KINDS)] == ["s-1", "s-2"]
     (tmp_path / "list" / "b.kdl").write_text(render([server("s-3")], LOCATIONS, KINDS))
-    with pytest.raises(Unsettled, match="b.kdl"):
+    with pytest.raises(FileIncompleteError, match="b.kdl"):
         read(str(tmp_path / "list"))
     folder(tmp_path / "next", {"a.kdl": two})
     os.rename(tmp_path / "list", tmp_path / "old")
     os.rename(tmp_path / "next", tmp_path / "list")
     assert len(read(str(tmp_path / "list")).texts) == 1
     (tmp_path / "list" / "manifest.kdl").write_text('part "../old/a.kdl" sha256="x"\n')
-    with pytest.raises(Faulty):
+    with pytest.raises(OperatorFileError):
         read(str(tmp_path / "list"))
 
 
 def test_parts_that_name_a_server_twice_are_no_list(tmp_path):
     one = render([server("s-1")], LOCATIONS, KINDS)
-    with pytest.raises(Faulty, match="stands on entry 1 of a"):
+    with pytest.raises(OperatorFileError, match="stands on entry 1 of a"):
         parse([("a", one), ("b", one)], LOCATIONS, KINDS)
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -13,7 +13,7 @@
 import pytest
 
 from sprucegate.fleet.consensus.driver import Voting
-from sprucegate.fleet.maintenance_agent import Face, Node
+from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
 from sprucegate.storage.disk import Disk
 from standins.fleet.agent import Agent
 from standins.fleet.rig import Rig
@@ -417,7 +417,7 @@
 
     async def played():
         disk = Fickle()
-        node = Node({"k0": "127.0.0.1:1"}, str(tmp_path / "k0"), None)
+        node = ConsensusSettings({"k0": "127.0.0.1:1"}, str(tmp_path / "k0"), None)
         one = Voting("k0", node, 7, lambda event, **said: events.append(event), lambda *_: None, disk)
         await one.begins()
 
@@ -468,7 +468,7 @@
 @pytest.mark.parametrize("made, warm", [(None, False), (5, False), (15, True)])
 def test_a_box_is_warm_by_a_connection_made_to_that_very_start(made, warm):
     # By one that was only begun, and refused a moment later, a front said `warm` of a box that had never come back.
-    face = Face.__new__(Face)
+    face = MaintenanceAgent.__new__(MaintenanceAgent)
     place, entry = NS(transport=Half(made), name="s-10"), NS(kind=0, id=1, started=1)
     row = NS(server=NS(name="s-10", entry=entry), standing=NS(name="SERVING"))
     face.driver = NS(
--- a/tests/fleet/test_fleet_agreement.py
+++ b/tests/fleet/test_fleet_agreement.py
@@ -26,7 +26,7 @@
     Write,
 )
 from sprucegate.fleet.consensus.storage import Ledger
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from standins.disk import Crashed, FaultyDisk
 from standins.fleet import explore_fitness, explore_keepers, keepers
 from standins.fleet.keepers import broken, played
@@ -438,15 +438,15 @@
 
 
 def test_a_newcomer_takes_the_place_of_its_former_self_in_three_steps():
-    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), Chance("k1", 1), 0)
-    raft_node.role, steps = Role.LEADER, []
+    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
+    keeper.role, steps = Role.LEADER, []
     for _ in range(6):
         step = takes_in(keeper, {"k0^9": 0, "stranger": 0}, ("k0", "k1", "k2"), 0)
         if step is None:
             break
         steps.append(step)
-        raft_node.base_config = Config(*step)
-        raft_node.match["k0^9"] = raft_node.committed
+        keeper.base_config = Config(*step)
+        keeper.match["k0^9"] = keeper.committed
     assert steps == [
         (("k0", "k1", "k2"), ("k0^9",)),
         (("k0", "k1", "k2", "k0^9"), ()),
@@ -455,16 +455,16 @@
 
 
 def test_voters_follow_the_names_of_the_file_one_at_a_time():
-    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), Chance("k1", 1), 0)
-    raft_node.role = Role.LEADER
+    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
+    keeper.role = Role.LEADER
     assert takes_in(keeper, {}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ())
-    raft_node.base_config = Config(("k1", "k2"), ())
+    keeper.base_config = Config(("k1", "k2"), ())
     assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ("k3",))
     assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 9 * 10**9) is None  # it is not there any more
 
 
 def test_one_that_is_left_goes_on_alone_by_an_operators_word():
-    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), Chance("k1", 1), 0)
+    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
     keeper.loaded(3, "k2", None, entries(1, 4, term=3))
     writes = keeper.alone()
     assert keeper.config() == Config(("k1",), ()) and keeper.term == 4 and keeper.last() == 4
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -6,11 +6,11 @@
 from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.outgoing import FACTS_MOST, PIECES_MOST, SAID_MOST, Outgoing
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, Facts, Joined
 from sprucegate.fleet.replica_storage import Keeping, packed
-from sprucegate.routing.interface import Believed, Resting
+from sprucegate.routing.events import BeliefGossip, EjectionGossip
 from sprucegate.storage import records
 from standins.disk import Crashed, FaultyDisk
 
@@ -34,10 +34,10 @@
     replica.Ranges([0] * 256),
     replica.Keys([3], [(FACTS[0].key, FACTS[0].dot, 11)], False),
     replica.Repair(FACTS),
-    replica.Evidence(5, [Believed(1, 0, 12, 0, 7, 8)], [Resting(12, 0, True, 9, 1500, 5)]),
-    codec.Routed("k0", "k1^a", 1, b"x"),
+    replica.Evidence(5, [BeliefGossip(1, 0, 12, 0, 7, 8)], [EjectionGossip(12, 0, True, 9, 1500, 5)]),
+    codec.ConsensusFrame("k0", "k1^a", 1, b"x"),
     swim.Refused("n1", 7),
-    codec.Word("shares", b""),
+    codec.ComponentMessage("shares", b""),
 ]
 
 
@@ -55,9 +55,9 @@
     data = codec.frame(MESSAGES[5])
     for at in range(len(data)):
         reader = codec.Reader()
-        with pytest.raises(codec.Unreadable):
+        with pytest.raises(codec.FrameError):
             reader.feed(data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1 :])
-            raise codec.Unreadable("more is waited for") if at < 4 else AssertionError(at)
+            raise codec.FrameError("more is waited for") if at < 4 else AssertionError(at)
 
 
 @pytest.mark.parametrize(
@@ -74,13 +74,13 @@
 )
 def test_a_fact_that_is_none_is_unreadable(fact):
     payload = msgspec.msgpack.encode((codec.NUMBERS[replica.Tell], ([fact], 0, 0)))
-    with pytest.raises(codec.Unreadable):
+    with pytest.raises(codec.FrameError):
         codec.message(payload)
 
 
 def test_counters_that_are_no_intervals_are_unreadable():
     for ends in ([1], [3, 2], [1, 1]):
-        with pytest.raises(codec.Unreadable):
+        with pytest.raises(codec.FrameError):
             codec.message(codec.frame(replica.Done(1, 1, [("a", 1, ends)]))[records.HEAD.size :])
 
 
@@ -119,7 +119,7 @@
 
 
 def test_a_front_with_a_full_table_obeys_what_it_is_told_and_passes_it_on_to_nobody():
-    made = replica.Replica("n1", 1, Chance("n1", 1), 0, most=1)
+    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0, most=1)
     made.stands("n0", True, 0)
     made.stands("n2", True, 0)
     done = made.heard("n0", replica.Tell([FACTS[0]], 0, 0), 0)
@@ -186,14 +186,14 @@
 def test_an_answer_tells_a_process_of_a_later_life_under_its_name():
     # Against two of one name: the one that others no longer took for it heard nothing of why.
     own = swim.Member("n0", "127.0.0.1:1", 1 << 32, 0, 0, "n0")
-    members = swim.Members(own, [], Chance("n0", 1), 0)
+    members = swim.Members(own, [], RandomSource("n0", 1), 0)
     members.heard("n2", swim.All([MEMBER._replace(name="n2", life=2 << 32, standing=0)], False), 0)
     (answer,) = members.heard("n2", swim.Ping(7, "n0", 0, []), 0)
     assert answer.message.number == 7 and [m.life for m in answer.message.news if m.name == "n2"] == [2 << 32]
 
 
 def test_many_twins_in_one_message_are_one_note_and_one_repair_to_their_owner():
-    made = replica.Replica("n1", 1, Chance("n1", 1), 0)
+    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
     for name in ("n0", "n2"):
         made.stands(name, True, 0)
     ours = [Fact(("purge", "object", n), (5,), ("n2", 1, n + 1)) for n in range(150)]
@@ -216,7 +216,7 @@
 
 
 def test_facts_that_differ_go_in_pieces_that_hold_up_nobody():
-    one, other = (replica.Replica(name, 1, Chance(name, 1), 0) for name in ("n1", "n2"))
+    one, other = (replica.Replica(name, 1, RandomSource(name, 1), 0) for name in ("n1", "n2"))
     for made, value in ((one, 5), (other, 6)):
         facts = [Fact(("purge", "object", n), (value,), ("n0", 1, n + 1)) for n in range(700)]
         made.heard("n0", replica.Tell(facts, 0, 0), 0)
@@ -226,7 +226,7 @@
 
 
 def test_what_is_told_while_the_disk_fails_goes_out_and_is_not_said_to_have_been_seen():
-    made = replica.Replica("n1", 1, Chance("n1", 1), 0)
+    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
     made.stands("n0", True, 0)
     made.told(("purge", "object", 1), (5,), 0)
     made.not_kept(1, "no space left", 0)
--- a/tests/fleet/test_fleet_links_lack.py
+++ b/tests/fleet/test_fleet_links_lack.py
@@ -7,7 +7,7 @@
 
 from sprucegate.fleet.failure_detector.swim import Ping
 from sprucegate.fleet.links import codec, links
-from sprucegate.fleet.links.links import Links
+from sprucegate.fleet.links.links import PeerLinks
 from standins.ports import free_port
 
 
@@ -17,7 +17,7 @@
 
     host, _, port = address.rpartition(":")
     greeting = codec.Greeting(codec.VERSION, "fleet", "front", name, address, 1 << 32)
-    return Links(
+    return PeerLinks(
         (host, int(port)), lambda *_, **__: None, lambda: greeting, lambda *said: heard.append(said), asked
     )
 
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -30,7 +30,7 @@
     VoteAnswer,
     Whole,
 )
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout import gates
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.gates import Seen, Verdict
@@ -628,7 +628,7 @@
 
 
 def test_a_follower_finds_the_leader_and_its_lease_counts_from_its_question():
-    one = Follower(["k0", "k1", "k2"], 1, Chance("x", 1), 0, 5 * S)
+    one = Follower(["k0", "k1", "k2"], 1, RandomSource("x", 1), 0, 5 * S)
     asked = one.due(0)[0]
     other = next(k for k in one.keepers if k != asked.to)
     assert one.heard(asked.to, Entries(asked.message.number, 0, [], 0, False, other), S // 10) == []
@@ -641,7 +641,7 @@
 
 
 def test_a_request_ends_with_a_word_or_without_one_in_its_time():
-    one = Follower(["k0"], 1, Chance("x", 1), 0, 5 * S)
+    one = Follower(["k0"], 1, RandomSource("x", 1), 0, 5 * S)
     one.due(0)
     sent = one.propose(["ask"], "t1", S, 2 * S)
     assert [type(a.message) for a in sent] == [Propose]
@@ -651,7 +651,7 @@
 
 
 def serving(now=0):
-    keeper = Keeper("k0", Config(("k0",), ()), Chance("k0", 1), now)
+    keeper = Keeper("k0", Config(("k0",), ()), RandomSource("k0", 1), now)
     return keeper, Serving(keeper, Rollout())
 
 
@@ -706,13 +706,13 @@
     ],
 )
 def test_a_word_that_would_trip_all_is_refused_at_the_door(said):
-    with pytest.raises(codec.Unreadable):
+    with pytest.raises(codec.ConsensusMessageError):
         codec.unpacked(*codec.packed(said))
 
 
 @pytest.mark.parametrize("number, data", [(0, b""), (99, b""), (1, b"\xc1"), (1, b"\x90")])
 def test_bytes_that_are_no_word_are_refused(number, data):
-    with pytest.raises(codec.Unreadable):
+    with pytest.raises(codec.ConsensusMessageError):
         codec.unpacked(number, data)
 
 
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -11,9 +11,9 @@
 import pytest
 
 from sprucegate.cli import operator_file
-from sprucegate.config.source_locations import Faulty
+from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.links.codec import Unreadable
+from sprucegate.fleet.links.codec import FrameError
 from sprucegate.fleet.quotas import places
 from sprucegate.fleet.quotas.lease import Borrower
 from sprucegate.fleet.quotas.part import packed, unpacked
@@ -22,7 +22,7 @@
 from sprucegate.fleet.quotas.shares import Shares
 from sprucegate.fleet.quotas.steward import Steward
 from sprucegate.fleet.quotas.terms import LEASE, GiveUp, Lent, Moved, Need, Send, Start, Terms, later
-from sprucegate.routing.interface import Wait
+from sprucegate.routing.actions import AwaitSlot
 from standins.fleet import explore_shares, filling, sharing
 from standins.fleet.rig import Rig
 from tests.helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, router
@@ -37,21 +37,23 @@
 def test_a_slow_get_waits_before_anything_is_counted_and_a_hit_or_a_write_never_does():
     made = router()
     ask = asked()
-    made.shared = {PARENTS[0], PARENTS[1], ORIGIN}
-    get = made.take(ask, NOW)
+    made.slot_limited_sources = {PARENTS[0], PARENTS[1], ORIGIN}
+    get = made.start_request(ask, NOW)
     out = sum(n.out for n in made.nodes.values())
     [said] = get.route(NOW)
-    assert isinstance(said, Wait) and said.source in made.shared and not get.forwards
-    assert sum(n.out for n in made.nodes.values()) == out and not made.fills and not get.settled()
-    get.place = said.source
+    assert isinstance(said, AwaitSlot) and said.fill_source in made.slot_limited_sources and not get.forwards
+    assert sum(n.out for n in made.nodes.values()) == out and not made.fills and not get.is_settled()
+    get.slot_source = said.fill_source
     [sent] = get.route(NOW)
-    assert sent.source == said.source
+    assert sent.fill_source == said.fill_source
     for cache in CACHES:
         believed(made, ask, cache)
-    assert not isinstance(made.take(ask, NOW).route(NOW)[0], Wait)  # a sibling, or the cache itself, has it
-    assert not isinstance(made.take(asked(ds=2), NOW).route(NOW)[0], Wait)
-    made.shared = ()
-    assert not isinstance(made.take(asked(obj=5), NOW).route(NOW)[0], Wait)
+    assert not isinstance(
+        made.start_request(ask, NOW).route(NOW)[0], AwaitSlot
+    )  # a sibling, or the cache itself, has it
+    assert not isinstance(made.start_request(asked(ds=2), NOW).route(NOW)[0], AwaitSlot)
+    made.slot_limited_sources = ()
+    assert not isinstance(made.start_request(asked(obj=5), NOW).route(NOW)[0], AwaitSlot)
 
 
 # In one front.
@@ -272,10 +274,10 @@
         Lent(1, 2, 3, 4, [[21, -1, []]]),
         need(rows=[[21, -1, 0, 0, 0, []]]),
     ):
-        with pytest.raises(Unreadable):
+        with pytest.raises(FrameError):
             unpacked(packed(bad), TERMS)
     for data in (b"", b"\xc1", packed(said)[:-1]):
-        with pytest.raises(Unreadable):
+        with pytest.raises(FrameError):
             unpacked(data, TERMS)
 
 
@@ -398,7 +400,7 @@
     ],
 )
 def test_a_file_that_can_not_be_is_refused_with_file_line_and_key(old, new, line, key):
-    with pytest.raises(Faulty) as fault:
+    with pytest.raises(OperatorFileError) as fault:
         operator_file.parse(GOOD.replace(old, new), "f.kdl")
     assert str(fault.value).startswith(f"f.kdl:{line}: {key}")
 
@@ -672,7 +674,7 @@
     front = shared.fronts["n0"]
     with socket.create_connection(("127.0.0.1", front.fleet_port), 3) as sock:
         sock.sendall(codec.greeting(codec.Greeting(codec.VERSION, "rig", "front", "n9", "127.0.0.1:1", 5)))
-        sock.sendall(codec.frame(codec.Word("shares", packed(Lent(1, 1, 1, 1, [[0x13, 7, []]])))))
+        sock.sendall(codec.frame(codec.ComponentMessage("shares", packed(Lent(1, 1, 1, 1, [[0x13, 7, []]])))))
         sock.settimeout(5)
         while sock.recv(4096):
             pass  # its greeting, then the end
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -18,13 +18,13 @@
     Send,
     Stands,
 )
-from sprucegate.fleet.failure_detector.swim import Standing as Word
+from sprucegate.fleet.failure_detector.swim import MemberState as Word
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.membership_view import careful
-from sprucegate.fleet.membership_view.careful import Action, Own, OwnAction
-from sprucegate.fleet.membership_view.standing import Known, Standing
-from sprucegate.fleet.membership_view.views import HOLD, STILL, Views
-from sprucegate.fleet.random_source import Chance
+from sprucegate.fleet.membership_view.careful import FleetState, OwnAction, PeerAction
+from sprucegate.fleet.membership_view.standing import HealthState, PeerHealth
+from sprucegate.fleet.membership_view.views import HOLD, STILL, ViewTracker
+from sprucegate.fleet.random_source import RandomSource
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
 from standins.fleet.schedules import played
@@ -37,7 +37,7 @@
 
 
 def known(*words, at=0):
-    one = Known()
+    one = PeerHealth()
     for word in words:
         one.told(word, at)
     return one
@@ -46,16 +46,16 @@
 @pytest.mark.parametrize(
     "word, heard, indirect, agreed, said",
     [
-        (Word.ALIVE, 0, 0, None, Standing.LIVE),
-        (Word.ALIVE, 0, 0, True, Standing.LIVE),
-        (Word.ALIVE, 0, 0, False, Standing.CUT_OFF),  # probes reach it, and it follows no keeper
-        (Word.ALIVE, 0, 2, True, Standing.CUT_OFF),  # only others reach it
-        (Word.ALIVE, 0, 1, True, Standing.LIVE),
-        (Word.SUSPECT, 0, 0, True, Standing.SUSPECT),
-        (Word.SUSPECT, 9 * S, 0, True, Standing.ONE_WAY),
-        (Word.GONE, 9 * S, 0, True, Standing.ONE_WAY),  # its frames still come, so it hears nobody's
-        (Word.GONE, 5 * S, 0, True, Standing.GONE),  # what came last was long ago
-        (Word.LEFT, 9 * S, 2, False, Standing.LEAVING),
+        (Word.ALIVE, 0, 0, None, HealthState.LIVE),
+        (Word.ALIVE, 0, 0, True, HealthState.LIVE),
+        (Word.ALIVE, 0, 0, False, HealthState.CUT_OFF),  # probes reach it, and it follows no keeper
+        (Word.ALIVE, 0, 2, True, HealthState.CUT_OFF),  # only others reach it
+        (Word.ALIVE, 0, 1, True, HealthState.LIVE),
+        (Word.SUSPECT, 0, 0, True, HealthState.SUSPECT),
+        (Word.SUSPECT, 9 * S, 0, True, HealthState.ONE_WAY),
+        (Word.GONE, 9 * S, 0, True, HealthState.ONE_WAY),  # its frames still come, so it hears nobody's
+        (Word.GONE, 5 * S, 0, True, HealthState.GONE),  # what came last was long ago
+        (Word.LEFT, 9 * S, 2, False, HealthState.LEAVING),
     ],
 )
 def test_what_members_links_and_the_log_say_makes_one_standing(word, heard, indirect, agreed, said):
@@ -63,13 +63,13 @@
     one.heard_at, one.indirect = heard, indirect
     assert one.reads(agreed, 10 * S)[0] is said
     one.format = True
-    assert one.reads(agreed, 10 * S)[0] is Standing.OTHER_BUILD
+    assert one.reads(agreed, 10 * S)[0] is HealthState.OTHER_BUILD
 
 
 def test_a_frame_that_was_under_way_speaks_not_against_an_accusation():
     one = known(member(), member(word=Word.SUSPECT))
     one.heard_at = 50 * MS
-    assert one.reads(None, S)[0] is Standing.SUSPECT
+    assert one.reads(None, S)[0] is HealthState.SUSPECT
 
 
 def test_one_that_flaps_is_kept_out_for_a_rising_and_bounded_time():
@@ -77,16 +77,16 @@
     for life in range(2, 40):
         now = life * 2 * S
         one.told(member(life=life << 32), now)
-        if one.reads(True, now)[0] is Standing.FLAPPING:
+        if one.reads(True, now)[0] is HealthState.FLAPPING:
             out.append(one.calm_at() - now)
     assert out[0] < out[2] < out[3] and max(out) <= 78 * S
-    assert one.reads(True, now + max(out))[0] is Standing.LIVE
+    assert one.reads(True, now + max(out))[0] is HealthState.LIVE
     # One that said that it goes, as each release makes it, does not flap.
     planned = known(member())
     for life in range(2, 9):
         planned.told(member(word=Word.LEFT, life=(life - 1) << 32), life * S)
         planned.told(member(life=life << 32), life * S)
-    assert planned.reads(True, 30 * S)[0] is Standing.LIVE
+    assert planned.reads(True, 30 * S)[0] is HealthState.LIVE
 
 
 def seen(views, now):
@@ -97,39 +97,41 @@
 
 
 def test_what_makes_careful_is_at_once_and_what_makes_bold_has_held():
-    views = Views(0)
+    views = ViewTracker(0)
     views.member(member(), 0)
-    assert seen(views, 0) == {"b": Standing.SUSPECT} and views.view.state is Own.RETURNING
-    assert seen(views, HOLD) == {"b": Standing.LIVE}
+    assert seen(views, 0) == {"b": HealthState.SUSPECT} and views.view.state is FleetState.RETURNING
+    assert seen(views, HOLD) == {"b": HealthState.LIVE}
     views.member(member(word=Word.SUSPECT), 2 * S)
-    assert seen(views, 2 * S) == {"b": Standing.SUSPECT}
+    assert seen(views, 2 * S) == {"b": HealthState.SUSPECT}
     views.member(member(turn=1), 2 * S + MS)
-    assert seen(views, 2 * S + 500 * MS) == {"b": Standing.SUSPECT}  # doubted again, the time begins anew
+    assert seen(views, 2 * S + 500 * MS) == {"b": HealthState.SUSPECT}  # doubted again, the time begins anew
     views.member(member(word=Word.SUSPECT, turn=1), 2 * S + 600 * MS)
     seen(views, 2 * S + 600 * MS)
     views.member(member(turn=2), 2 * S + 700 * MS)
     seen(views, 2 * S + 700 * MS)
-    assert seen(views, 3 * S + 650 * MS) == {"b": Standing.SUSPECT}
-    assert seen(views, 3 * S + 700 * MS) == {"b": Standing.LIVE}
+    assert seen(views, 3 * S + 650 * MS) == {"b": HealthState.SUSPECT}
+    assert seen(views, 3 * S + 700 * MS) == {"b": HealthState.LIVE}
     assert views.view.number == 4 and views.view.agreed == 0
 
 
 def test_a_front_that_stood_still_blames_nobody_and_is_bold_only_after_a_while():
-    views = Views(0)
+    views = ViewTracker(0)
     views.caught_up(0)
     for name in "bc":
         views.member(member(name), 0)
     seen(views, 0)
-    assert set(seen(views, HOLD).values()) == {Standing.LIVE} and views.view.state is Own.WHOLE
+    assert set(seen(views, HOLD).values()) == {HealthState.LIVE} and views.view.state is FleetState.WHOLE
     views.slept(9 * S)
-    assert set(seen(views, 9 * S).values()) == {Standing.LIVE} and views.view.state is Own.STOOD_STILL
-    assert not views.view.own_does(OwnAction.BORROW) and not views.view.own_does(OwnAction.FLOOR)
+    assert (
+        set(seen(views, 9 * S).values()) == {HealthState.LIVE} and views.view.state is FleetState.STOOD_STILL
+    )
+    assert not views.view.allows_own(OwnAction.BORROW) and not views.view.allows_own(OwnAction.FLOOR)
     seen(views, 9 * S + STILL)
-    assert views.view.state is Own.WHOLE
+    assert views.view.state is FleetState.WHOLE
 
 
 def test_a_view_says_which_part_of_the_fleet_is_there_and_whose_word_it_is():
-    views = Views(0)
+    views = ViewTracker(0)
     views.caught_up(0)
     for name in "bcd":
         views.member(member(name), 0)
@@ -138,10 +140,10 @@
     for name in "bc":
         views.member(member(name, Word.GONE), 5 * S)
     seen(views, 5 * S)
-    assert (views.view.state, views.view.share, views.view.agreed) == (Own.PART, 0.5, 0)
+    assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 0.5, 0)
     views.agreed(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     seen(views, 6 * S)  # the log has counted b out: it is a part of the fleet no more
-    assert (views.view.state, views.view.share, views.view.agreed) == (Own.PART, 2 / 3, 7)
+    assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 2 / 3, 7)
     views.agreed(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     assert seen(views, 6 * S) and views.view.agreed == 7  # entries on other things make no new view
     views.agreed(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, True, 7 * S)
@@ -149,31 +151,35 @@
     assert views.view.agreed == 0
     views.member(member("d", Word.GONE), 8 * S)
     seen(views, 8 * S)
-    assert views.view.state is Own.ALONE
+    assert views.view.state is FleetState.ALONE
     views.member(member("d", Word.LEFT), 9 * S)
     seen(views, 9 * S)
     assert seen(views, 700 * S) == {}  # and who is gone for long is forgotten
 
 
 def test_each_action_is_in_the_table_and_none_is_bolder_for_a_worse_standing():
-    assert set(careful.IN_STANDING) == set(Action) and set(careful.IN_STATE) == set(OwnAction)
+    assert set(careful.IN_STANDING) == set(PeerAction) and set(careful.IN_STATE) == set(OwnAction)
     # Bold ones: never on one that may be gone, or works otherwise.
-    for action in (Action.BELIEVE, Action.LEND, Action.LENDS):
+    for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LENDS):
         assert not careful.IN_STANDING[action] & {
-            Standing.GONE,
-            Standing.ONE_WAY,
-            Standing.LEAVING,
-            Standing.OTHER_BUILD,
+            HealthState.GONE,
+            HealthState.ONE_WAY,
+            HealthState.LEAVING,
+            HealthState.OTHER_BUILD,
         }
-    for action in (Action.HOLDS, Action.COUNTED, Action.AWAITED):  # careful ones: whatever it looks like
-        assert careful.IN_STANDING[action] == set(Standing)
-    assert not careful.own_does(OwnAction.BORROW, Own.ALONE) and careful.own_does(
-        OwnAction.TELL, Own.STOOD_STILL
+    for action in (
+        PeerAction.HOLDS,
+        PeerAction.COUNTED,
+        PeerAction.AWAITED,
+    ):  # careful ones: whatever it looks like
+        assert careful.IN_STANDING[action] == set(HealthState)
+    assert not careful.allows_own(OwnAction.BORROW, FleetState.ALONE) and careful.allows_own(
+        OwnAction.TELL, FleetState.STOOD_STILL
     )
 
 
 def members(*others):
-    made = Members(member("a"), [], Chance("a", 1), 0)
+    made = Members(member("a"), [], RandomSource("a", 1), 0)
     for name in others:
         made.heard(name, All([member(name)], False), 0)
     return made
@@ -220,7 +226,9 @@
 
 def _never_careful(monkeypatch):
     monkeypatch.setattr(
-        Views, "member", lambda self, m, now, told=Views.member: told(self, m._replace(standing=0), now)
+        ViewTracker,
+        "member",
+        lambda self, m, now, told=ViewTracker.member: told(self, m._replace(standing=0), now),
     )
 
 
@@ -229,7 +237,7 @@
 
 
 def _never_caught_up(monkeypatch):
-    monkeypatch.setattr(Views, "caught_up", lambda self, now: None)
+    monkeypatch.setattr(ViewTracker, "caught_up", lambda self, now: None)
 
 
 @pytest.mark.parametrize(
--- a/tests/front/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -13,11 +13,11 @@
 
 from sprucegate.assembly import run as assembly
 from sprucegate.front import configuration, driver
-from sprucegate.front.buffer_pool import Pool
+from sprucegate.front.buffer_pool import BufferPool
 from sprucegate.front.client_connections import Client
-from sprucegate.front.connection_reader import TakeIn
+from sprucegate.front.connection_reader import ConnectionReader
 from sprucegate.front.protocol.http import RequestReader
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 from sprucegate.upstream.lines.codec import AnswerReader
 
 
@@ -32,7 +32,9 @@
     logged = []
 
     async def run():
-        made = driver.Driver(wanted(dial), Pool(8), lambda event, **fields: logged.append((event, fields)))
+        made = driver.Driver(
+            wanted(dial), BufferPool(8), lambda event, **fields: logged.append((event, fields))
+        )
         for _, news in made.wanted.known:
             made.told(news)
         return await act(made, logged)
@@ -84,7 +86,10 @@
 
 def test_housekeeping_goes_on_after_a_sweep_that_breaks(monkeypatch):
     async def act(made, logged):
-        take_in, swept = TakeIn(made, made.servers.transports["lines"].pool, 8, made.wanted.times), []
+        take_in, swept = (
+            ConnectionReader(made, made.servers.transports["lines"].pool, 8, made.wanted.times),
+            [],
+        )
 
         def sweep(now):
             swept.append(now)
@@ -145,7 +150,7 @@
             await asyncio.sleep(0.02)
         return ended[:1], made.servers.connections, kept[0].left()
 
-    assert in_a_loop(act, dial) == ([Outcome.UNREACHABLE], 0, False)
+    assert in_a_loop(act, dial) == ([AttemptOutcome.UNREACHABLE], 0, False)
 
 
 def test_an_answer_whose_reading_breaks_ends_its_connection_and_the_get_goes_on(tmp_path, monkeypatch):
@@ -167,4 +172,4 @@
 
     with cache(served).sock as listener:
         said = in_a_loop(act, f"127.0.0.1:{listener.getsockname()[1]}")
-    assert said == ([Outcome.RESET], 0, ["fault"], False)
+    assert said == ([AttemptOutcome.RESET], 0, ["fault"], False)
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -38,7 +38,7 @@
 
 from sprucegate.front.client_connections import Client, Phase
 from sprucegate.front.protocol.http import RequestReader
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 from standins.driver import Recorder
 from standins.processes import Process
 
@@ -467,7 +467,7 @@
     made = Recorder({1: f"127.0.0.1:{listener.getsockname()[1]}"}, speaks="lines")
     first = made.send(1, "a" * 16)
     sock, _ = await loop.sock_accept(listener)
-    assert await answered(made, sock, first) is Outcome.RETURNED
+    assert await answered(made, sock, first) is AttemptOutcome.RETURNED
     (held,) = made.servers.places[1].held
     return loop, listener, made, sock, held
 
@@ -483,7 +483,7 @@
         sock, _ = await loop.sock_accept(listener)
         return await answered(made, sock, second)
 
-    assert asyncio.run(asyncio.wait_for(run(), 10)) is Outcome.RETURNED
+    assert asyncio.run(asyncio.wait_for(run(), 10)) is AttemptOutcome.RETURNED
 
 
 @pytest.mark.parametrize(
@@ -510,7 +510,7 @@
             sock, _ = await loop.sock_accept(listener)
         return await answered(made, sock, second)
 
-    assert asyncio.run(asyncio.wait_for(run(), 10)) is Outcome.RETURNED
+    assert asyncio.run(asyncio.wait_for(run(), 10)) is AttemptOutcome.RETURNED
 
 
 def test_a_forward_waits_for_no_connection_that_comes_up_while_another_rests():
@@ -533,7 +533,7 @@
         second = made.send(1, "b" * 16)
         return await answered(made, sock, second)
 
-    assert asyncio.run(asyncio.wait_for(run(), 10)) is Outcome.RETURNED
+    assert asyncio.run(asyncio.wait_for(run(), 10)) is AttemptOutcome.RETURNED
 
 
 def test_a_time_out_in_the_turn_in_which_news_took_a_forward_back_proves_that_it_never_ran():
@@ -544,7 +544,7 @@
         assert made.servers.withdraw(out)
         return made.servers.cancel(out, timed_out=True)
 
-    assert asyncio.run(run()) is Outcome.NOT_SENT
+    assert asyncio.run(run()) is AttemptOutcome.NOT_SENT
 
 
 def test_a_drain_told_while_a_forward_waits_for_its_connection_sends_it_elsewhere(tmp_path):
--- a/tests/front/test_crossings_sockets.py
+++ b/tests/front/test_crossings_sockets.py
@@ -77,7 +77,9 @@
 # The start and the end.
 
 
-@pytest.mark.parametrize("moment", ["run.Driver.told", "run.Subscription.start", "run.TakeIn.listen"])
+@pytest.mark.parametrize(
+    "moment", ["run.Driver.told", "run.Subscription.start", "run.ConnectionReader.listen"]
+)
 def test_a_signal_between_the_loops_handlers_and_ready_is_kept_for_the_end_of_the_start(tmp_path, moment):
     front = not_started(tmp_path)
     signals_itself = f"""
--- a/tests/front/test_deadline_sent.py
+++ b/tests/front/test_deadline_sent.py
@@ -7,7 +7,7 @@
 from crossing import SLOW_TO_CONNECT, goes_on, key, stopped, two, uphill
 from helpers import get_text
 
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 from standins.driver import Recorder
 
 SLACK = 0.15
@@ -87,7 +87,7 @@
         await line_of(sock, b"c" * 16)  # it would have come before this one
         return await made.end(second), made.book.counts["sends_refused late"]
 
-    assert behind_a_cache_that_does_not_read(act) == (Outcome.NOT_SENT, 1)
+    assert behind_a_cache_that_does_not_read(act) == (AttemptOutcome.NOT_SENT, 1)
 
 
 def test_one_withdrawn_from_behind_a_blocked_connection_is_not_sent():
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -16,7 +16,7 @@
 from helpers import REAL, Front, bus, cache, get_text, host, refuses_first, served
 
 from sprucegate.front import configuration, driver
-from sprucegate.front.buffer_pool import Pool
+from sprucegate.front.buffer_pool import BufferPool
 from sprucegate.front.client_connections import Client
 from sprucegate.front.protocol.http import RequestReader
 
@@ -461,7 +461,7 @@
         raise KeyError("broken")
 
     async def run():
-        made = driver.Driver(wanted, Pool(4), lambda event, **_: logged.append(event))
+        made = driver.Driver(wanted, BufferPool(4), lambda event, **_: logged.append(event))
         near, far = socket.socketpair()
         near.setblocking(False)
         monkeypatch.setattr(driver, stage, breaks)
@@ -515,7 +515,7 @@
     wanted = configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
 
     async def run():
-        made = driver.Driver(wanted, Pool(4), lambda event, **_: None)
+        made = driver.Driver(wanted, BufferPool(4), lambda event, **_: None)
         made.told(wanted.known[0][1])
         near, far = socket.socketpair()
         near.setblocking(False)
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -8,10 +8,11 @@
 
 from sprucegate.front import configuration
 from sprucegate.front.admission import admit
-from sprucegate.front.buffer_pool import Pool
+from sprucegate.front.buffer_pool import BufferPool
 from sprucegate.front.protocol import bus
 from sprucegate.front.protocol.http import HEAD_MOST, RequestReader
-from sprucegate.routing.interface import Forward, Found, Outcome, State
+from sprucegate.routing.actions import SendAttempt
+from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
 from sprucegate.upstream.lines import codec
 
 
@@ -78,8 +79,8 @@
     first, second = reader.feed(ANSWERS[:cut]) + reader.feed(ANSWERS[cut:])
     assert (first.id, first.body, first.fields["etag"]) == (b"aa", b"xxxxx", "t1")
     assert codec.meaning(second, "") == (
-        Outcome.MISS,
-        Found.SOURCE_LACKS,
+        AttemptOutcome.MISS,
+        CacheStatus.FILL_SOURCE_MISS,
         1_500_000,
         {"inflight": 7.0, "busy": 0.5},
     )
@@ -116,20 +117,20 @@
     ],
 )
 def test_an_answer_without_a_meaning_is_unreadable(word, fields):
-    with pytest.raises(codec.Unreadable):
+    with pytest.raises(codec.MalformedAnswerError):
         codec.meaning(codec.Answer(b"aa", word, fields, b""), "")
 
 
 def test_a_copy_is_current_only_by_its_own_tag():
     said = codec.Answer(b"aa", b"still_good", {"etag": "t1"}, b"")
-    assert codec.meaning(said, "t1")[0] is Outcome.RETURNED
-    with pytest.raises(codec.Unreadable):
+    assert codec.meaning(said, "t1")[0] is AttemptOutcome.RETURNED
+    with pytest.raises(codec.MalformedAnswerError):
         codec.meaning(said, "t2")
 
 
 @pytest.mark.parametrize("oldest, said", [(0, None), (999_999, "1"), (1_999_999, "1"), (2_000_000, "2")])
 def test_an_age_is_never_rounded_up_nor_to_no_limit_at_all(oldest, said):
-    forward = Forward(0, 1, 1, 2, oldest, 1_500_999_999, False, True, False, True)
+    forward = SendAttempt(0, 1, 1, 2, oldest, 1_500_999_999, False, True, False, True)
     line = codec.serve(b"aa", "media", "7f", 3, forward, None, "", b"")
     fields = dict(pair.split("=") for pair in line.split()[2].decode().split(","))
     assert fields.get("maxage") == said and fields["max"] == "1500" and fields["flags"] == "h+r"
@@ -159,7 +160,11 @@
     }
     data = json.dumps({"offset": 1, "topology": {"whole": True, "hosts": [entry]}}).encode()
     _, hosts = bus.read(data, {"e": 3}, {"std": 1})
-    assert hosts == (True, [(12, 3, 1, 2, State.DRAINING, 4.0, 7_000_000)], {12: ("s-0c", "10.0.0.1:9")})
+    assert hosts == (
+        True,
+        [(12, 3, 1, 2, EndpointState.DRAINING, 4.0, 7_000_000)],
+        {12: ("s-0c", "10.0.0.1:9")},
+    )
 
 
 @pytest.mark.parametrize(
@@ -172,7 +177,7 @@
     ],
 )
 def test_an_unreadable_event_is_malformed(data):
-    with pytest.raises(bus.Malformed):
+    with pytest.raises(bus.MalformedEventError):
         bus.read(data, {}, {})
 
 
@@ -199,12 +204,12 @@
     for key in path[:-1]:
         at = at[key]
     at[path[-1]] = value
-    with pytest.raises(configuration.Faulty, match=named.replace("[", r"\[")):
+    with pytest.raises(configuration.FrontConfigurationError, match=named.replace("[", r"\[")):
         configuration.wanted(data)
 
 
 def test_the_pool_uses_buffers_again_and_keeps_its_bound():
-    pool = Pool(2)
+    pool = BufferPool(2)
     first, second = pool.take(), pool.take()
     assert pool.take() is None
     pool.give_back(first)
--- a/tests/front/test_invariants.py
+++ b/tests/front/test_invariants.py
@@ -10,8 +10,8 @@
 
 from sprucegate.front.client_connections import Phase
 from sprucegate.front.invariants import ANSWER_LATE, GONE_LATE, WAIT_SLACK, Invariants
-from sprucegate.front.open_requests import OpenForward, OpenGet
-from sprucegate.routing.interface import Asked
+from sprucegate.front.open_requests import OpenAttempt, OpenRequest
+from sprucegate.routing.events import Request
 
 S, NOW = 1_000_000_000, 100 * 1_000_000_000
 
@@ -27,14 +27,14 @@
             lambda event, **fields: self.logged.append(fields),
         )
         client = SimpleNamespace(phase=phase, get=None, left=lambda: False)
-        asked = Asked("9b1f03aa5c7e2d41", 1, 0, 0, ds, 1, False, False, S)
-        self.get = client.get = OpenGet(client, b"9b1f03aa5c7e2d41", "media", "1", 0, "", b"", asked)
+        asked = Request("9b1f03aa5c7e2d41", 1, 0, 0, ds, 1, False, False, S)
+        self.get = client.get = OpenRequest(client, b"9b1f03aa5c7e2d41", "media", "1", 0, "", b"", asked)
         self.get.until = NOW + S
-        self.out = self.get.forwards[0] = OpenForward(self.get, 0, 11, 21, NOW, NOW + S)
+        self.out = self.get.forwards[0] = OpenAttempt(self.get, 0, 11, 21, NOW, NOW + S)
 
     def again(self, may_have_run):
         self.out.ended, self.out.may_have_run = True, may_have_run
-        self.out = self.get.forwards[1] = OpenForward(self.get, 1, 12, 21, NOW, NOW + S)
+        self.out = self.get.forwards[1] = OpenAttempt(self.get, 1, 12, 21, NOW, NOW + S)
 
     def rules(self):
         return [text.removeprefix("invariant_violations ") for text in self.counted]
--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -8,7 +8,7 @@
 from helpers import NOW, REAL, Front, asked, cache, get_text, host, router, served
 
 from sprucegate.front import configuration
-from sprucegate.routing.interface import Found, Outcome
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.routing.router import MS
 
 # Settings as the platform sends them for each shape, times in microseconds; names are those of the wire.
@@ -98,7 +98,7 @@
     for name in path:
         at = at.setdefault(name, {})
     at[last] = value
-    with pytest.raises(configuration.Faulty, match=rf"^settings\.{key}: "):
+    with pytest.raises(configuration.FrontConfigurationError, match=rf"^settings\.{key}: "):
         wanted(settings)
 
 
@@ -106,7 +106,7 @@
 def test_a_time_that_only_the_deployment_knows_is_not_made_up(name):
     settings = merged({})
     del settings["allowed"][name]
-    with pytest.raises(configuration.Faulty, match=f"settings.allowed.{name}: is missing"):
+    with pytest.raises(configuration.FrontConfigurationError, match=f"settings.allowed.{name}: is missing"):
         wanted(settings)
 
 
@@ -153,10 +153,12 @@
     said = []
     for at in range(80):
         now = NOW + at * 50 * MS
-        get = made.take(asked(f"r-{at}", obj=at % 9, size=300), now)
+        get = made.start_request(asked(f"r-{at}", obj=at % 9, size=300), now)
         said += get.route(now)
         if get.open() and at % 3:
-            get.ended(0, Outcome.RETURNED, Found.UNTOLD, (300 + 200 * (at % 5)) * MS, 0, {}, True, now)
+            get.attempt_ended(
+                0, AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, (300 + 200 * (at % 5)) * MS, 0, {}, True, now
+            )
     return said
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,8 +10,9 @@
 import threading
 import time
 
-from sprucegate.routing.interface import Asked, Listed, State
+from sprucegate.routing.events import Endpoint, EndpointState, Request
 from sprucegate.routing.router import MS, Router, S
+from sprucegate.routing.settings import RoutingSettings
 from standins.faults import Faults
 from standins.ports import free_port
 
@@ -46,21 +47,21 @@
 CACHES, PARENTS, ORIGIN = (11, 12, 13, 14), (21, 22), 31
 
 
-def entry(cache, state=State.SERVING, started=0):
+def entry(cache, state=EndpointState.SERVING, started=0):
     kind = 3 if cache == ORIGIN else 2 if cache in PARENTS else 0
-    return Listed(cache, 0 if kind else 1, kind, 0, state, 1.0, started)
+    return Endpoint(cache, 0 if kind else 1, kind, 0, state, 1.0, started)
 
 
 def router(states=(), **settings):
     """A front that has a list: four caches, two parents at its hub and the origin."""
-    made = Router({**SETTINGS, **settings}, 7, NOW)
+    made = Router(RoutingSettings.from_mapping({**SETTINGS, **settings}), 7, NOW)
     special = {e.id: e for e in states}
-    made.listed([special.get(c, entry(c)) for c in (*CACHES, *PARENTS, ORIGIN)], True, NOW)
+    made.update_endpoints([special.get(c, entry(c)) for c in (*CACHES, *PARENTS, ORIGIN)], True, NOW)
     return made
 
 
 def asked(key="r-1", obj=99, ds=0, ttl=3 * S, group=5, size=0):
-    return Asked(key, obj, 0, group, ds, size, False, False, ttl)
+    return Request(key, obj, 0, group, ds, size, False, False, ttl)
 
 
 def node(made, cache):
--- a/tests/routing/test_rendezvous.py
+++ b/tests/routing/test_rendezvous.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from sprucegate.routing.rendezvous import Rendezvous, label_of, lane_of, mixed, score
+from sprucegate.routing.hashing import hash32
+from sprucegate.routing.rendezvous import Rendezvous, label_of, lane_of, score
 
 
 def group(count, weights, seed=1):
@@ -25,8 +26,8 @@
 
 
 def by_sorting(nodes, key):
-    start = mixed(key)
-    return sorted(nodes, key=lambda n: (score(n.weight, mixed(n.label, start)), n.id))
+    start = hash32(key)
+    return sorted(nodes, key=lambda n: (score(n.weight, hash32(n.label, start)), n.id))
 
 
 @pytest.mark.parametrize("count", [1, 2, 31, 33, 200, 3200])
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -3,7 +3,8 @@
 import pytest
 from helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, entry, node, router
 
-from sprucegate.routing.interface import Believed, Errored, Forward, Found, Outcome, Resting, Shed, State
+from sprucegate.routing.actions import FailRequest, RejectRequest, SendAttempt
+from sprucegate.routing.events import AttemptOutcome, BeliefGossip, CacheStatus, EjectionGossip, EndpointState
 from sprucegate.routing.router import (
     ANSWER_MARGIN,
     CAP,
@@ -63,7 +64,7 @@
     made = router()
     if failed_ago is not None:
         made.memory(asked(), NOW).failed_at = NOW - failed_ago
-    made.take(asked(), NOW)
+    made.start_request(asked(), NOW)
     assert made.memory(asked(), NOW).counts[0] == counted
 
 
@@ -79,12 +80,12 @@
 @pytest.mark.parametrize(
     "outcome, found, source, before, after",
     [
-        (Outcome.RETURNED, Found.HIT, 21, (), {11}),
-        (Outcome.RETURNED, Found.FILLED, 21, (), {11}),
-        (Outcome.RETURNED, Found.FILLED, 12, (12,), {11, 12}),
-        (Outcome.MISS, Found.SOURCE_LACKS, 12, (12, 13), {13}),
-        (Outcome.ERROR, Found.SOURCE_BROKEN, 21, (11,), set()),
-        (Outcome.TIMED_OUT, Found.UNTOLD, 21, (11,), {11}),
+        (AttemptOutcome.RETURNED, CacheStatus.HIT, 21, (), {11}),
+        (AttemptOutcome.RETURNED, CacheStatus.FILLED, 21, (), {11}),
+        (AttemptOutcome.RETURNED, CacheStatus.FILLED, 12, (12,), {11, 12}),
+        (AttemptOutcome.MISS, CacheStatus.FILL_SOURCE_MISS, 12, (12, 13), {13}),
+        (AttemptOutcome.ERROR, CacheStatus.FILL_SOURCE_BROKEN, 21, (11,), set()),
+        (AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, 21, (11,), {11}),
     ],
 )
 def test_beliefs_begin_and_end(outcome, found, source, before, after):
@@ -96,11 +97,11 @@
     made = router()
     memory = believed(made, asked(), 12, expiry=NOW if change == "expiry" else NOW + S)
     if change == "restart":
-        made.listed([entry(12, started=NOW)], False, NOW)
+        made.update_endpoints([entry(12, started=NOW)], False, NOW)
     elif change == "drain":
-        made.listed([entry(12, State.DRAINING)], False, NOW)
+        made.update_endpoints([entry(12, EndpointState.DRAINING)], False, NOW)
     elif change != "expiry":
-        made.purged(99 if change == "purge" else -1, 5, 0, NOW)
+        made.invalidate(99 if change == "purge" else -1, 5, 0, NOW)
     assert made.holders(asked(), memory, NOW) == {}
 
 
@@ -167,7 +168,7 @@
     for cache in CACHES:
         node(made, cache).as_cache.speeds.extend((NOW, 6.0, 12) for _ in range(4))
         node(made, cache).out = 40
-    assert get_with(made, asked()).route(NOW) == [Shed(S)]
+    assert get_with(made, asked()).route(NOW) == [RejectRequest(S)]
 
 
 @pytest.mark.parametrize(
@@ -181,7 +182,7 @@
         made.fills.extend([node(made, source), NOW - S, NOW, good] for good in results)
     believed(made, asked(), *(CACHES if held else ()))
     sent = made.plan(get_with(made, asked()), NOW)
-    assert sent.held_only is looks
+    assert sent.only_if_cached is looks
 
 
 def test_a_fill_out_beyond_its_objective_counts_before_it_ends():
@@ -194,11 +195,16 @@
 @pytest.mark.parametrize(
     "effect, outcomes, age, answer",
     [
-        ("idempotent", [Outcome.TIMED_OUT], 0, Forward),
-        ("non-idempotent", [Outcome.MISS], 0, Forward),
-        ("non-idempotent", [Outcome.ERROR], 0, Errored),
-        ("non-idempotent", [None], 0, Errored),
-        ("tokened", [Outcome.ERROR], S, Errored),  # a window in which repeats are thrown away is not used
+        ("idempotent", [AttemptOutcome.TIMED_OUT], 0, SendAttempt),
+        ("non-idempotent", [AttemptOutcome.MISS], 0, SendAttempt),
+        ("non-idempotent", [AttemptOutcome.ERROR], 0, FailRequest),
+        ("non-idempotent", [None], 0, FailRequest),
+        (
+            "tokened",
+            [AttemptOutcome.ERROR],
+            S,
+            FailRequest,
+        ),  # a window in which repeats are thrown away is not used
     ],
 )
 def test_no_effect_twice(effect, outcomes, age, answer):
@@ -210,56 +216,62 @@
 @pytest.mark.parametrize("ds, most", [(2, 3), (0, 2), (1, 1)])
 def test_further_forwards_go_by_revenue(ds, most):
     made = router(effect=["idempotent"] * 3)
-    allowed = [made.may_forward(get_with(made, asked(ds=ds), *[Outcome.FULL] * n), NOW) for n in range(6)]
+    allowed = [
+        made.may_forward(get_with(made, asked(ds=ds), *[AttemptOutcome.FULL] * n), NOW) for n in range(6)
+    ]
     assert allowed == [n <= most for n in range(6)]
 
 
 def test_a_spent_retry_budget_stops_further_forwards():
     made = router()
     made.further.extend([True] * 30 + [False] * 70)
-    assert not made.may_forward(get_with(made, asked(), Outcome.FULL), NOW)
+    assert not made.may_forward(get_with(made, asked(), AttemptOutcome.FULL), NOW)
     assert made.may_forward(get_with(made, asked()), NOW)
 
 
-@pytest.mark.parametrize("outcome, again", [(Outcome.NOT_SENT, True), (Outcome.FULL, False)])
+@pytest.mark.parametrize("outcome, again", [(AttemptOutcome.NOT_SENT, True), (AttemptOutcome.FULL, False)])
 def test_what_never_left_goes_elsewhere_outside_the_retry_budget(outcome, again):
     made = router()
-    get = made.take(asked(), NOW)
+    get = made.start_request(asked(), NOW)
     (first,) = get.route(NOW)
     made.further.extend([True] * 30 + [False] * 70)
-    (said,) = get.ended(first.number, outcome, Found.UNTOLD, MS, 0, {}, False, NOW + MS)
-    assert (isinstance(said, Forward) and said.cache != first.cache) if again else isinstance(said, Shed)
+    (said,) = get.attempt_ended(first.number, outcome, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW + MS)
+    assert (
+        (isinstance(said, SendAttempt) and said.cache != first.cache)
+        if again
+        else isinstance(said, RejectRequest)
+    )
 
 
 def test_an_answer_is_owed_before_the_viewer_leaves():
     made = router()
-    get = made.take(asked(ttl=3 * S), NOW)
+    get = made.start_request(asked(ttl=3 * S), NOW)
     get.forwards = get_with(made, asked(), None).forwards
-    when = made.next_due()
+    when = made.next_deadline()
     assert when == NOW + 3 * S - ANSWER_MARGIN
-    assert isinstance(made.due(when)[-1][1][0], Shed)
+    assert isinstance(made.on_timer(when)[-1][1][0], RejectRequest)
 
 
 def test_nothing_follows_the_final_answer():
     made = router()
     get = get_with(made, asked(), None)
-    get.done = True
-    assert get.ended(0, Outcome.FULL, Found.UNTOLD, MS, 0, {}, False, NOW) == []
-    assert get.left(NOW) == []
+    get.finished = True
+    assert get.attempt_ended(0, AttemptOutcome.FULL, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW) == []
+    assert get.client_disconnected(NOW) == []
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_draining_node_is_named_no_more(state):
     made = router()
     believed(made, asked(), 11, 12, 13)
-    made.listed([entry(c, state) for c in (11, 12, 13, 21)], False, NOW)
+    made.update_endpoints([entry(c, state) for c in (11, 12, 13, 21)], False, NOW)
     sent = made.plan(get_with(made, asked()), NOW)
-    assert (sent.cache, sent.source) == (14, 22)
+    assert (sent.cache, sent.fill_source) == (14, 22)
 
 
 def test_what_a_whole_list_leaves_out_is_gone():
     made = router()
-    made.listed([entry(11)], True, NOW)
+    made.update_endpoints([entry(11)], True, NOW)
     assert [n.id for n in made.group("cache")] == [11] and not made.group("parent")
 
 
@@ -286,7 +298,7 @@
     made.carried.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
     made.cold_room(node(made, 11), 0, NOW - 2 * S)
     among_four = made.rate(NOW), node(made, 11)
-    made.listed([entry(c, State.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S)
+    made.update_endpoints([entry(c, EndpointState.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S)
     earned, at = 0, NOW - 2 * S
     while at < NOW:
         at += 50 * MS
@@ -299,14 +311,16 @@
 def test_a_front_that_starts_among_cold_caches_alone_still_earns():
     """With nothing carried its budget was nothing; where GETs can't pass the caches by, all were shed for good."""
     made = router([entry(c, started=NOW) for c in CACHES], direct=False)
-    said = [made.take(asked(f"r-{at}", obj=at), NOW + at * S).route(NOW + at * S)[0] for at in range(15)]
-    assert any(isinstance(one, Forward) for one in said)
+    said = [
+        made.start_request(asked(f"r-{at}", obj=at), NOW + at * S).route(NOW + at * S)[0] for at in range(15)
+    ]
+    assert any(isinstance(one, SendAttempt) for one in said)
 
 
 def test_an_answer_without_a_word_is_neither_hit_nor_fill_in_the_count():
     made = router(tells="hit")
     get = get_with(made, asked(), None)
-    made.learn(get, get.forwards[0], Outcome.RETURNED, Found.UNTOLD, 50 * MS, 0, {}, NOW)
+    made.learn(get, get.forwards[0], AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, 50 * MS, 0, {}, NOW)
     assert not made.found
 
 
@@ -338,7 +352,7 @@
 def test_copies_from_before_a_purge_will_not_do(ds, purge_ago, key, oldest):
     made = router()
     if purge_ago is not None:
-        made.purged(key, 5 if key < 0 else 6, purge_ago, NOW)
+        made.invalidate(key, 5 if key < 0 else 6, purge_ago, NOW)
     assert made.oldest(asked(ds=ds), False, NOW) == oldest
 
 
@@ -381,7 +395,7 @@
 
 
 def test_the_origin_fills_when_no_parent_is_up():
-    made = router([entry(c, State.GONE) for c in PARENTS])
+    made = router([entry(c, EndpointState.GONE) for c in PARENTS])
     assert made.upper(get_with(made, asked()), NOW)[0].id == ORIGIN
 
 
@@ -393,10 +407,10 @@
 @pytest.mark.parametrize(
     "outcome, found, ends, speeds",
     [
-        (Outcome.RETURNED, Found.HIT, [True], 1),
-        (Outcome.RETURNED, Found.FILLED_BY_ORIGIN, [True], 0),  # its speed tells of the origin
-        (Outcome.TIMED_OUT, Found.UNTOLD, [False], 0),
-        (Outcome.FULL, Found.UNTOLD, [], 0),  # load, not a fault
+        (AttemptOutcome.RETURNED, CacheStatus.HIT, [True], 1),
+        (AttemptOutcome.RETURNED, CacheStatus.FILLED_BY_ORIGIN, [True], 0),  # its speed tells of the origin
+        (AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, [False], 0),
+        (AttemptOutcome.FULL, CacheStatus.UNKNOWN, [], 0),  # load, not a fault
     ],
 )
 def test_a_slow_fill_is_not_laid_to_the_cache(outcome, found, ends, speeds):
@@ -416,18 +430,18 @@
         made.noted(node(made, parent))
     get = get_with(made, asked(size=100), None)
     get.forwards[0].fill = [node(made, 21), NOW, NOW, None]
-    made.learn(get, get.forwards[0], Outcome.RETURNED, Found.FILLED, S, 0, {}, NOW)
+    made.learn(get, get.forwards[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW)
     assert len(made.link.speeds) == noted
 
 
 def test_a_cache_out_of_reach_is_left_alone_then_tried_and_taken_for_cold():
     made = router()
     get = get_with(made, asked(), None, None)
-    made.learn(get, get.forwards[0], Outcome.UNREACHABLE, Found.UNTOLD, MS, 0, {}, NOW)
+    made.learn(get, get.forwards[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
     assert made.avoided(NOW + MS) == {made.index_of[11]}
     assert made.avoided(NOW + 2 * S) == set()
     believed(made, asked(), 11)
-    made.learn(get, get.forwards[1], Outcome.RETURNED, Found.HIT, MS, 0, {}, NOW + 2 * S)
+    made.learn(get, get.forwards[1], AttemptOutcome.RETURNED, CacheStatus.HIT, MS, 0, {}, NOW + 2 * S)
     assert node(made, 11).started == NOW + 2 * S
     assert node(made, 12).started == 0
 
@@ -435,12 +449,18 @@
 @pytest.mark.parametrize(
     "outcome, found, waited, blamed, good",
     [
-        (Outcome.RETURNED, Found.HIT, 0, 21, None),  # no fill at all
-        (Outcome.RETURNED, Found.FILLED, 100 * MS, 21, False),  # the parent's own copy came late
-        (Outcome.RETURNED, Found.FILLED_BY_ORIGIN, 100 * MS, 31, True),  # the parent slow, its fetch not
-        (Outcome.RETURNED, Found.FILLED_BY_ORIGIN, S, 31, False),
-        (Outcome.FULL, Found.ORIGIN_FAILED, 0, 31, False),
-        (Outcome.FULL, Found.SOURCE_REFUSED, 0, 21, False),
+        (AttemptOutcome.RETURNED, CacheStatus.HIT, 0, 21, None),  # no fill at all
+        (AttemptOutcome.RETURNED, CacheStatus.FILLED, 100 * MS, 21, False),  # the parent's own copy came late
+        (
+            AttemptOutcome.RETURNED,
+            CacheStatus.FILLED_BY_ORIGIN,
+            100 * MS,
+            31,
+            True,
+        ),  # the parent slow, its fetch not
+        (AttemptOutcome.RETURNED, CacheStatus.FILLED_BY_ORIGIN, S, 31, False),
+        (AttemptOutcome.FULL, CacheStatus.ORIGIN_FAILED, 0, 31, False),
+        (AttemptOutcome.FULL, CacheStatus.FILL_SOURCE_REFUSED, 0, 21, False),
     ],
 )
 def test_a_late_fill_is_laid_to_the_one_who_made_it_late(outcome, found, waited, blamed, good):
@@ -463,7 +483,7 @@
 
 
 def test_a_throttled_get_never_looks_at_the_origin():
-    made = router([entry(c, State.GONE) for c in PARENTS])
+    made = router([entry(c, EndpointState.GONE) for c in PARENTS])
     made.chance = lambda text: 0.99
     made.fills.extend([node(made, ORIGIN), NOW - S, NOW, False] for _ in range(20))
     assert made.upper(get_with(made, asked()), NOW) == (None, False)
@@ -474,7 +494,7 @@
     made = router(client_kb_per_s=1000)
     made.link_use = use, NOW - age
     sent = made.plan(get_with(made, asked(size=500)), NOW)
-    assert sent.held_only is looks and (sent.cache == sent.source) is looks
+    assert sent.only_if_cached is looks and (sent.cache == sent.fill_source) is looks
 
 
 @pytest.mark.parametrize("slow, seen", [(5.0, 5.0), (2.0, 1.0)])
@@ -500,48 +520,48 @@
 def test_an_own_copy_answers_while_young_unpurged_and_without_a_queue(ds, age, since, wait, purged, may):
     made, ask = router(), asked(ds=ds)
     if purged is not None:
-        made.purged(ask.object, -1, purged, NOW)
-    assert made.owns(ask, NOW - age, NOW - since, wait, NOW) is may
+        made.invalidate(ask.object, -1, purged, NOW)
+    assert made.may_answer_from_own_copy(ask, NOW - age, NOW - since, wait, NOW) is may
 
 
 @pytest.mark.parametrize("ds, times, kept", [(0, 1, False), (0, 2, True), (2, 2, False)])
 def test_copies_are_kept_of_what_is_asked_again_and_never_of_writes(ds, times, kept):
     made, ask = router(), asked(ds=ds)
     made.memory(ask, NOW).counts[0] = times
-    assert made.keeps(ask, NOW - MS, NOW) is kept
+    assert made.should_store_own_copy(ask, NOW - MS, NOW) is kept
 
 
 @pytest.mark.parametrize(
     "returned, told, against_cache, against_source",
     [
-        (False, Found.UNTOLD, 0, False),  # perhaps no such object: bad clients make them up
-        (True, Found.UNTOLD, 1, False),
-        (False, Found.SOURCE_BROKEN, 0, True),
+        (False, CacheStatus.UNKNOWN, 0, False),  # perhaps no such object: bad clients make them up
+        (True, CacheStatus.UNKNOWN, 1, False),
+        (False, CacheStatus.FILL_SOURCE_BROKEN, 0, True),
     ],
 )
 def test_an_error_speaks_against_those_it_can_be_the_fault_of(returned, told, against_cache, against_source):
     made, ask = router(), asked(size=100)
     get, fill = get_with(made, ask, None), [node(made, PARENTS[0]), NOW, NOW + S, None]
     get.forwards[0].fill, made.memory(ask, NOW).returned = fill, returned
-    made.learn(get, get.forwards[0], Outcome.ERROR, told, MS, 0, {}, NOW)
+    made.learn(get, get.forwards[0], AttemptOutcome.ERROR, told, MS, 0, {}, NOW)
     assert len(node(made, 11).as_cache.ends) == against_cache and (fill[3] is False) == against_source
 
 
 @pytest.mark.parametrize(
     "outcome, good",
     [
-        (Outcome.RESET, None),
-        (Outcome.NOT_SENT, None),
-        (Outcome.CANCELLED, None),  # no word from the source
-        (Outcome.TIMED_OUT, False),
-        (Outcome.UNREACHABLE, False),
+        (AttemptOutcome.RESET, None),
+        (AttemptOutcome.NOT_SENT, None),
+        (AttemptOutcome.CANCELLED, None),  # no word from the source
+        (AttemptOutcome.TIMED_OUT, False),
+        (AttemptOutcome.UNREACHABLE, False),
     ],
 )
 def test_a_connection_cut_or_a_client_gone_says_nothing_of_the_source(outcome, good):
     made = router()
     get, fill = get_with(made, asked(size=100), None), [node(made, PARENTS[0]), NOW, NOW + S, None]
     get.forwards[0].fill = fill
-    made.learn(get, get.forwards[0], outcome, Found.UNTOLD, MS, 0, {}, NOW)
+    made.learn(get, get.forwards[0], outcome, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
     assert fill[3] is good
 
 
@@ -549,7 +569,7 @@
     made, get = router(), None
     get = get_with(made, asked(), None, None, None, None)
     for at, sent in enumerate(get.forwards):
-        made.learn(get, sent, Outcome.RESET, Found.UNTOLD, MS, 0, {}, NOW + at * 1000)
+        made.learn(get, sent, AttemptOutcome.RESET, CacheStatus.UNKNOWN, MS, 0, {}, NOW + at * 1000)
     assert len(node(made, 11).as_cache.ends) == 1 and node(made, 11).as_cache.until == 0
 
 
@@ -560,8 +580,8 @@
     for n in range(300):
         get = Get(made, asked(f"r-{n}", obj=n, size=200), NOW)
         forward = made.plan(get, NOW)
-        tried += forward.source != forward.cache
-        get.ended(0, Outcome.CANCELLED, Found.UNTOLD, 0, 0, {}, True, NOW)
+        tried += forward.fill_source != forward.cache
+        get.attempt_ended(0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, 0, {}, True, NOW)
     assert 5 < tried < 60
 
 
@@ -569,9 +589,9 @@
     made = router()
     memory, before = believed(made, asked(), 11), len(made.nodes)
     for _ in range(50):
-        made.listed([entry(11, State.GONE)], False, NOW)
+        made.update_endpoints([entry(11, EndpointState.GONE)], False, NOW)
         assert len(made.nodes) == before - 1 and not made.holders(asked(), memory, NOW)
-        made.listed([entry(11)], False, NOW)
+        made.update_endpoints([entry(11)], False, NOW)
     assert len(made.nodes) == len(made.index_of) == before and not made.holders(asked(), memory, NOW)
 
 
@@ -594,18 +614,18 @@
 @pytest.mark.parametrize(
     "tells, spent, held, source, found",
     [
-        ("none", 410, False, 21, Found.HIT),  # 400 KB at 1,000 KB/s: no time for a fill
-        ("none", 700, False, 21, Found.FILLED),
-        ("none", 700, True, 21, Found.UNTOLD),  # a crowded cache, or its copy was gone
-        ("none", 700, False, 11, Found.HIT),  # nothing else could answer
-        ("hit", 700, False, 21, Found.UNTOLD),  # silence is no answer where hits are told
+        ("none", 410, False, 21, CacheStatus.HIT),  # 400 KB at 1,000 KB/s: no time for a fill
+        ("none", 700, False, 21, CacheStatus.FILLED),
+        ("none", 700, True, 21, CacheStatus.UNKNOWN),  # a crowded cache, or its copy was gone
+        ("none", 700, False, 11, CacheStatus.HIT),  # nothing else could answer
+        ("hit", 700, False, 21, CacheStatus.UNKNOWN),  # silence is no answer where hits are told
     ],
 )
 def test_silence_is_resolved_by_time_or_stays_open(tells, spent, held, source, found):
     """Untold fill waits read as crowded caches: hits were shed, the full link in was not seen."""
     made = router(**{**SILENT, "tells": tells})
     sent = Sent(node(made, 11), node(made, source), 1, held)
-    assert made.resolved(sent, Found.UNTOLD, spent / 400) is found
+    assert made.resolved(sent, CacheStatus.UNKNOWN, spent / 400) is found
 
 
 @pytest.mark.parametrize("filling, hits, pace", [(0, 0, 1.1), (3, 0, 4.4), (3, 64, 1.2)])
@@ -618,11 +638,11 @@
 
 def test_what_goes_past_the_caches_obeys_the_link():
     """With no cache left 766 GETs in five seconds went straight to a parent, 656 of them too late."""
-    made = router([entry(c, State.DRAINING) for c in CACHES], **SILENT, direct=True)
-    assert made.take(asked(size=400), NOW).route(NOW)[0].cache in PARENTS
+    made = router([entry(c, EndpointState.DRAINING) for c in CACHES], **SILENT, direct=True)
+    assert made.start_request(asked(size=400), NOW).route(NOW)[0].cache in PARENTS
     made.filling = 40
-    shed = [made.take(asked(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
-    assert sum(isinstance(one, Shed) for one in shed) > 15
+    shed = [made.start_request(asked(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
+    assert sum(isinstance(one, RejectRequest) for one in shed) > 15
 
 
 @pytest.mark.parametrize(
@@ -650,25 +670,25 @@
 def told(*said):
     """A front that has heard those words 100 ms after they were said, and a GET for the object that they name."""
     made, ask = router(), asked()
-    made.hears(list(said), 100 * MS, NOW)
+    made.receive_gossip(list(said), 100 * MS, NOW)
     return made, ask
 
 
 def test_a_belief_that_is_told_is_worth_half_of_what_is_left_and_voided_by_a_purge():
-    made, ask = told(Believed(99, 0, 12, 0, 4 * S, S))
+    made, ask = told(BeliefGossip(99, 0, 12, 0, 4 * S, S))
     assert made.holders(ask, made.memory(ask, NOW), NOW) == {node(made, 12): NOW + 1950 * MS}
-    made.purged(99, -1, 500 * MS, NOW)
+    made.invalidate(99, -1, 500 * MS, NOW)
     assert made.holders(ask, made.memory(ask, NOW), NOW) == {}
 
 
 def test_a_belief_that_is_told_stands_behind_an_own_one_and_another_start_of_its_cache():
     made, ask = told()
     believed(made, ask, 12, expiry=NOW + S)
-    made.hears(
+    made.receive_gossip(
         [
-            Believed(99, 0, 12, 0, 8 * S, 0),
-            Believed(99, 0, 13, 7, 8 * S, 0),
-            Believed(99, 0, 77, 0, 8 * S, 0),
+            BeliefGossip(99, 0, 12, 0, 8 * S, 0),
+            BeliefGossip(99, 0, 13, 7, 8 * S, 0),
+            BeliefGossip(99, 0, 77, 0, 8 * S, 0),
         ],
         0,
         NOW,
@@ -678,17 +698,19 @@
 
 def test_what_is_told_fills_a_miss_from_the_sibling_that_another_front_knows():
     made, ask = told()
-    first = made.take(ask, NOW).route(NOW)[0].cache
+    first = made.start_request(ask, NOW).route(NOW)[0].cache
     other = next(c for c in CACHES if c != first)
-    made.hears([Believed(99, 0, other, 0, 8 * S, 0)], 0, NOW)
-    assert made.take(asked("r-2"), NOW).route(NOW)[0].source == other
+    made.receive_gossip([BeliefGossip(99, 0, other, 0, 8 * S, 0)], 0, NOW)
+    assert made.start_request(asked("r-2"), NOW).route(NOW)[0].fill_source == other
 
 
 def test_rest_that_is_told_holds_where_nothing_was_seen_here_and_never_lifts_an_own_one():
-    made, _ = told(Resting(21, 0, True, 4 * S, 0, 0), Resting(22, 0, True, -S, 0, 0))
+    made, _ = told(EjectionGossip(21, 0, True, 4 * S, 0, 0), EjectionGossip(22, 0, True, -S, 0, 0))
     assert node(made, 21).as_source.until == NOW + 1950 * MS and not node(made, 22).as_source.until
     node(made, 22).as_source.ends.append((NOW, True))
-    made.hears([Resting(22, 0, True, 4 * S, 0, 0), Resting(21, 0, True, MS, 0, 0)], 0, NOW)
+    made.receive_gossip(
+        [EjectionGossip(22, 0, True, 4 * S, 0, 0), EjectionGossip(21, 0, True, MS, 0, 0)], 0, NOW
+    )
     assert not node(made, 22).as_source.until and node(made, 21).as_source.until == NOW + 1950 * MS
 
 
@@ -697,51 +719,54 @@
     for obj, times, expiry in ((1, 1, 8 * S), (2, 5, 8 * S), (3, 9, S)):
         ask = asked(obj=obj)
         for _ in range(times):
-            made.take(ask, NOW)
+            made.start_request(ask, NOW)
         believed(made, ask, 12, expiry=NOW + expiry)
     node(made, 13).as_cache.until = NOW + S
     made.noted(node(made, 13))
-    assert made.tells(9, NOW) == [
-        Resting(13, 0, False, S, 0, 0),
-        Believed(2, 0, 12, 0, 8 * S, MS),
-        Believed(1, 0, 12, 0, 8 * S, MS),
+    assert made.gossip_to_send(9, NOW) == [
+        EjectionGossip(13, 0, False, S, 0, 0),
+        BeliefGossip(2, 0, 12, 0, 8 * S, MS),
+        BeliefGossip(1, 0, 12, 0, 8 * S, MS),
     ]
-    assert made.tells(9, NOW + 1) == [Resting(13, 0, False, S - 1, 0, 0)] and len(router().tells(0, NOW)) == 0
+    assert (
+        made.gossip_to_send(9, NOW + 1) == [EjectionGossip(13, 0, False, S - 1, 0, 0)]
+        and len(router().gossip_to_send(0, NOW)) == 0
+    )
 
 
 def test_a_pace_that_is_told_counts_where_none_was_seen_here_and_ages_from_when_it_was_told():
-    made, _ = told(Resting(12, 0, False, 0, 2500, 0))
+    made, _ = told(EjectionGossip(12, 0, False, 0, 2500, 0))
     by = node(made, 12).as_cache
     assert by.slowness(NOW) == 2.5 and not by.until and not by.slowness(NOW + 10 * S - 100 * MS)
-    made.hears([Resting(12, 0, False, 0, 9000, 0)], 0, NOW)
+    made.receive_gossip([EjectionGossip(12, 0, False, 0, 9000, 0)], 0, NOW)
     assert by.slowness(NOW) == 2.5
-    assert made.tells(9, NOW) == [Resting(12, 0, False, 0, 2500, 100 * MS)]
+    assert made.gossip_to_send(9, NOW) == [EjectionGossip(12, 0, False, 0, 2500, 100 * MS)]
 
 
 def test_a_pace_that_goes_round_among_fronts_ends_with_the_sample_that_it_came_from():
     fronts, now = [router() for _ in range(3)], NOW
-    fronts[0].hears([Resting(12, 0, False, 0, 2500, 0)], 0, NOW)
+    fronts[0].receive_gossip([EjectionGossip(12, 0, False, 0, 2500, 0)], 0, NOW)
     for now in range(NOW, NOW + 12 * S, S):
         for one in fronts:
-            said = one.tells(9, now)
+            said = one.gossip_to_send(9, now)
             for other in fronts:
                 if other is not one:
-                    other.hears(said, MS, now)
+                    other.receive_gossip(said, MS, now)
     assert not any(node(one, 12).as_cache.slowness(now) for one in fronts)
 
 
 def test_many_purges_at_once_are_each_kept_until_they_are_done_and_let_go_a_few_at_a_time():
     made = router()
     for number in range(20_000):  # a returning front gets as many in a second: none may cost by the others
-        made.purged(number, -1, number * MS, NOW)
+        made.invalidate(number, -1, number * MS, NOW)
     assert len(made.purges) == 20_000 and made.purges["object", 7] == NOW - 7 * MS
-    made.purged(5, -1, 0, NOW + S)  # a later purge of one of them outlives the former
-    made.purged(
+    made.invalidate(5, -1, 0, NOW + S)  # a later purge of one of them outlives the former
+    made.invalidate(
         -1, 3, 0, NOW + 37 * S
     )  # all are old in the same turn: a walk through them would hold up its GETs
     assert len(made.purges) >= 19_900
     for number in range(6000):
-        made.purged(-1, 3, number, NOW + 37 * S)
+        made.invalidate(-1, 3, number, NOW + 37 * S)
     assert set(made.purges) == {("object", 5), ("group", 3)}
 
 
@@ -749,4 +774,4 @@
     "most, warmed", [(7, {*CACHES, *PARENTS, ORIGIN}), (6, {*PARENTS, ORIGIN}), (3, {ORIGIN, PARENTS[0]})]
 )
 def test_connections_are_made_at_the_start_to_all_or_to_those_that_all_gets_go_through(most, warmed):
-    assert set(router().warm_first(most)) == warmed
+    assert set(router().endpoints_to_connect(most)) == warmed
--- a/tests/routing/test_slow_start_of_many_routers.py
+++ b/tests/routing/test_slow_start_of_many_routers.py
@@ -7,8 +7,10 @@
 import pytest
 from helpers import NOW, SETTINGS, asked, entry
 
-from sprucegate.routing.interface import Forward, Found, Outcome
+from sprucegate.routing.actions import SendAttempt
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.routing.router import MS, Router, S
+from sprucegate.routing.settings import RoutingSettings
 
 CACHES, ORIGIN, COLD = (11, 12, 13, 14, 15, 16), 31, 16
 SERVICE = 40 * MS
@@ -32,17 +34,21 @@
             **settings,
         }
         self.fronts = [
-            Router({**self.settings, "my_number": at}, crc32(b"%d %d" % (seed, at)), NOW)
+            Router(
+                RoutingSettings.from_mapping({**self.settings, "my_number": at}),
+                crc32(b"%d %d" % (seed, at)),
+                NOW,
+            )
             for at in range(count)
         ]
         for front in self.fronts:
-            front.listed([entry(at) for at in (*CACHES, ORIGIN)], True, NOW)
+            front.update_endpoints([entry(at) for at in (*CACHES, ORIGIN)], True, NOW)
         parts = [1 / (1 + at) if uneven else 1 for at in range(count)]
         self.parts = [sum(parts[: at + 1]) / sum(parts) for at in range(count)]
         self.rate, self.seed, self.at, self.count, self.sent, self.returns = rate, seed, NOW, 0, [], []
 
     def told(self, at, started):
-        self.fronts[at].listed([entry(COLD, started=started)], False, self.at)
+        self.fronts[at].update_endpoints([entry(COLD, started=started)], False, self.at)
 
     def run(self, until, loud=lambda at: 1.0):
         """GETs that come as in a Poisson stream, `loud` times as many; what has been returned is told in its order."""
@@ -52,21 +58,21 @@
             self.at += int(S / self.rate / max(level, 1e-9) * -_log(draw)) if level else 10 * MS
             while self.returns and self.returns[0][0] <= self.at:
                 when, handle, number, found = self.returns.pop(0)
-                handle.ended(number, Outcome.RETURNED, found, SERVICE, 0, {}, True, when)
+                handle.attempt_ended(number, AttemptOutcome.RETURNED, found, SERVICE, 0, {}, True, when)
             if level:
                 self.count += 1
                 self.one()
 
     def one(self):
         front = self.fronts[bisect_left(self.parts, drawn(self.seed, "front", self.count))]
-        handle = front.take(
+        handle = front.start_request(
             asked(f"g{self.count}", obj=int(drawn(self.seed, "of", self.count) ** 2 * 3000)), self.at
         )
         for said in handle.route(self.at):
-            if isinstance(said, Forward):
-                if COLD in (said.cache, said.source):
+            if isinstance(said, SendAttempt):
+                if COLD in (said.cache, said.fill_source):
                     self.sent.append(self.at)
-                self.returns.append((self.at + SERVICE, handle, said.number, Found.HIT))
+                self.returns.append((self.at + SERVICE, handle, said.number, CacheStatus.HIT))
 
     def budget(self, at, started):
         """What the settings allow in the window that ends at `at`: of what a warm cache of its weight returns."""
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from sprucegate.routing.interface import Found, Outcome
-from sprucegate.simulator.codec import Line, Malformed
+from sprucegate.routing.events import AttemptOutcome, CacheStatus
+from sprucegate.simulator.codec import Line, MalformedLineError
 from sprucegate.simulator.process import run
 from sprucegate.simulator.settings import settings_from
 
@@ -59,7 +59,7 @@
     ],
 )
 def test_malformed_input_is_named_with_its_line(text, fault):
-    with pytest.raises(Malformed, match=fault) as raised:
+    with pytest.raises(MalformedLineError, match=fault) as raised:
         replies(INIT + text)
     assert "line " in str(raised.value)
 
@@ -78,9 +78,9 @@
 
 def test_an_outcome_is_decoded_in_our_words():
     line = Line("response\ti=0\tnote=9\tresult=QueueFull\treport=outstanding:7,odd:1,x1:1.25", 1)
-    assert line.found() is Found.NO_FILL_PLACE
+    assert line.found() is CacheStatus.FILL_SLOTS_EXHAUSTED
     assert line.load() == {"inflight": 7.0, "link_use": 1.25}
-    assert Outcome.FULL.never_ran and not Outcome.TIMED_OUT.never_ran
+    assert AttemptOutcome.FULL.never_executed and not AttemptOutcome.TIMED_OUT.never_executed
 
 
 def test_settings_are_a_plain_map_in_our_names():
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -10,8 +10,8 @@
 
 from sprucegate.storage import records
 from sprucegate.storage.disk import Disk
-from sprucegate.storage.log import Log
-from sprucegate.storage.snapshots import VERSION, Snapshots
+from sprucegate.storage.log import AppendLog
+from sprucegate.storage.snapshots import VERSION, SnapshotStore
 from standins.disk import Crashed, FaultyDisk
 
 S = 1_000_000_000
@@ -21,14 +21,14 @@
 @pytest.mark.parametrize("crash_at", range(1, 26))
 def test_a_crash_at_any_boundary_leaves_the_new_snapshot_or_the_former_one(crash_at, seed):
     disk = FaultyDisk(seed, crash_at)
-    kept, said = Snapshots(disk, "/s", "view", keep=2), []
+    kept, said = SnapshotStore(disk, "/s", "view", keep=2), []
     try:
         for generation in range(1, 5):
             if kept.save(generation, generation * S, b"list %d" % generation * 50) is None:
                 said.append(generation)
     except Crashed:
         pass
-    taken, _ = Snapshots(disk.after_crash(), "/s", "view").newest(5 * S, 100 * S)
+    taken, _ = SnapshotStore(disk.after_crash(), "/s", "view").newest(5 * S, 100 * S)
     last = max(said, default=0)
     assert taken is None and not last or taken.generation in (last, last + 1)
     assert taken is None or taken.payload == b"list %d" % taken.generation * 50
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("at", range(1, 13))
 def test_a_fault_at_any_call_is_a_value_and_the_former_snapshot_stands(at, fault):
     disk = FaultyDisk(faults={at + 5: fault})
-    kept = Snapshots(disk, "/s", "view")
+    kept = SnapshotStore(disk, "/s", "view")
     assert kept.save(1, S, b"one") is None
     failed = [g for g in (2, 3) if kept.save(g, g * S, b"%d" % g) is not None]
     taken, _ = kept.newest(4 * S, 100 * S)
@@ -48,7 +48,7 @@
 
 
 def test_a_torn_a_newer_an_old_and_a_misnamed_one_are_refused_with_a_reason(tmp_path):
-    kept = Snapshots(Disk(), str(tmp_path), "view", keep=9)
+    kept = SnapshotStore(Disk(), str(tmp_path), "view", keep=9)
     for generation in (1, 2, 3, 4):
         assert kept.save(generation, generation * 100 * S, b"x" * 100) is None
     name = str(tmp_path / "view-{:016d}.snap")
@@ -70,7 +70,7 @@
 def test_snapshots_are_bounded_in_count_and_what_a_crash_left_goes(tmp_path):
     (tmp_path / "view-0000000000000009.snap.new").write_bytes(b"half")
     (tmp_path / "other").write_bytes(b"not ours")
-    kept = Snapshots(Disk(), str(tmp_path), "view", keep=3)
+    kept = SnapshotStore(Disk(), str(tmp_path), "view", keep=3)
     for generation in range(20):
         kept.save(generation, S, b"x")
     assert len(os.listdir(tmp_path)) == 4 and (tmp_path / "other").exists()
@@ -92,31 +92,34 @@
 def test_a_log_keeps_what_it_said_lasts_and_goes_on_after_the_last_whole_record(crash_at, seed):
     disk, said = FaultyDisk(seed, crash_at), []
     try:
-        log = Log(disk, "/s/log")
+        log = AppendLog(disk, "/s/log")
         log.recover()
         for n in range(8):
             if log.append(b"r%d" % n * 9) is None:
                 said.append(b"r%d" % n * 9)
     except Crashed:
         pass
-    log = Log(disk.after_crash(), "/s/log")
+    log = AppendLog(disk.after_crash(), "/s/log")
     found = log.recover().records
     assert found[: len(said)] == said and len(found) <= len(said) + 1
-    assert log.append(b"after") is None and Log(log.disk, "/s/log").recover().records == [*found, b"after"]
+    assert log.append(b"after") is None and AppendLog(log.disk, "/s/log").recover().records == [
+        *found,
+        b"after",
+    ]
 
 
 @pytest.mark.parametrize("fault", [OSError(28, "full"), OSError(5, "input/output error")])
 def test_after_a_failed_append_nothing_more_is_called_lasting(fault):
     disk = FaultyDisk(faults={5: fault})
-    log = Log(disk, "/s/log")
+    log = AppendLog(disk, "/s/log")
     log.recover()
     assert log.append(b"a") is None
     assert log.append(b"b") and log.append(b"c")
-    assert Log(disk.after_crash(), "/s/log").recover().records[:1] == [b"a"]
+    assert AppendLog(disk.after_crash(), "/s/log").recover().records[:1] == [b"a"]
 
 
 def test_a_log_is_bounded(tmp_path):
-    log = Log(Disk(), str(tmp_path / "log"), most=100)
+    log = AppendLog(Disk(), str(tmp_path / "log"), most=100)
     log.recover()
     assert log.append(b"x" * 80) is None and log.append(b"x" * 80) == "the log is full"
     log.close()
@@ -126,9 +129,9 @@
 def test_a_sync_that_lies_costs_at_most_the_newest_and_never_gives_a_torn_one(lost):
     for seed in range(12):
         disk = FaultyDisk(seed, crash_at=16, faults={lost: "lost"})
-        kept = Snapshots(disk, "/s", "view")
+        kept = SnapshotStore(disk, "/s", "view")
         with pytest.raises(Crashed):
             for generation in range(1, 9):
                 kept.save(generation, generation * S, b"list %d" % generation * 50)
-        taken, _ = Snapshots(disk.after_crash(), "/s", "view").newest(9 * S, 100 * S)
+        taken, _ = SnapshotStore(disk.after_crash(), "/s", "view").newest(9 * S, 100 * S)
         assert taken is None or taken.payload == b"list %d" % taken.generation * 50
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -35,4 +35,4 @@
     )
     (tmp_path / "pyproject.toml").write_text(turned)
     done = linted(tmp_path / "pyproject.toml")
-    assert done.returncode == 1 and "sprucegate.simulator -> sprucegate.routing" in done.stdout
+    assert done.returncode == 1 and "sprucegate.simulator.host -> sprucegate.routing" in done.stdout
--- a/tests/upstream/test_http2_front.py
+++ b/tests/upstream/test_http2_front.py
@@ -212,7 +212,7 @@
 
 def test_a_soak_with_closes_at_random_points():
     said = soak(1500, 40, clients=32)
-    assert said["closes"] >= 15 and said["orders"] >= 20 and said["never_ran"] > 0
+    assert said["closes"] >= 15 and said["orders"] >= 20 and said["never_executed"] > 0
     assert (said["orders_duplicated"], said["gets_lost"], said["false_never_ran"], said["faults"]) == (
         0,
         0,
--- a/tests/upstream/test_http2_pool.py
+++ b/tests/upstream/test_http2_pool.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sprucegate.routing.interface import Outcome
+from sprucegate.routing.events import AttemptOutcome
 from sprucegate.upstream.http2.limits import MS, Limits, S
 from sprucegate.upstream.http2.pool import Close, Open, Phase, Ping, Pool, Refuse, Send
 
@@ -48,14 +48,14 @@
 def test_a_limit_of_zero_holds_gets_back_for_a_moment_and_not_for_longer():
     made = pool(limit=0, connections=1)
     assert made.ask("a", NOW) == [] and made.ask("b", NOW + 100 * MS) == []
-    assert made.due(NOW + 300 * MS) == [Refuse("a", Outcome.FULL)]
+    assert made.due(NOW + 300 * MS) == [Refuse("a", AttemptOutcome.FULL)]
     assert made.limited(1, 5, NOW + 350 * MS) == [Send("b", 1)]
 
 
 def test_waiting_gets_are_bounded_and_one_can_be_withdrawn():
     made = pool(limit=0, connections=1, waiting=2)
     assert made.ask("a", NOW) == made.ask("b", NOW) == []
-    assert made.ask("c", NOW) == [Refuse("c", Outcome.FULL)]
+    assert made.ask("c", NOW) == [Refuse("c", AttemptOutcome.FULL)]
     assert made.withdraw("a") and not made.withdraw("a")
 
 
@@ -104,8 +104,8 @@
     for _ in range(11):
         (opened,) = made.ask("g", now)
         assert isinstance(opened, Open)
-        assert made.lost(opened.connection, False, now) == [Refuse("g", Outcome.UNREACHABLE)]
-        assert made.ask("h", now) == [Refuse("h", Outcome.UNREACHABLE)]
+        assert made.lost(opened.connection, False, now) == [Refuse("g", AttemptOutcome.UNREACHABLE)]
+        assert made.ask("h", now) == [Refuse("h", AttemptOutcome.UNREACHABLE)]
         waits.append(made.again - now)
         now = made.again
     steps = [50 * MS << n for n in range(11)]
@@ -117,7 +117,7 @@
     made.warm(now)
     made.opened(1, 100, now)
     assert made.goaway(1, True, now) == [Close(1, "drained")] and made.again > now
-    assert made.ask("a", now) == [Refuse("a", Outcome.NOT_SENT)]  # it is there, unlike one not reached
+    assert made.ask("a", now) == [Refuse("a", AttemptOutcome.NOT_SENT)]  # it is there, unlike one not reached
 
 
 def test_a_ping_only_where_forwards_wait_and_nothing_is_read():
@@ -143,8 +143,8 @@
 def test_a_server_that_has_gone_keeps_what_is_open_and_takes_nothing_more():
     made = pool(limit=1, connections=1)
     made.ask("a", NOW), made.ask("b", NOW)
-    assert made.leave(NOW) == [Refuse("b", Outcome.NOT_SENT)]
-    assert made.ask("c", NOW) == [Refuse("c", Outcome.NOT_SENT)]
+    assert made.leave(NOW) == [Refuse("b", AttemptOutcome.NOT_SENT)]
+    assert made.ask("c", NOW) == [Refuse("c", AttemptOutcome.NOT_SENT)]
     assert made.freed(1, True, NOW) == [Close(1, "drained")]
 
 
@@ -155,7 +155,9 @@
     assert made.blocked(1, False, NOW) == [Send("a", 1)]
 
 
-@pytest.mark.parametrize("reached, outcome", [(True, Outcome.NOT_SENT), (False, Outcome.UNREACHABLE)])
+@pytest.mark.parametrize(
+    "reached, outcome", [(True, AttemptOutcome.NOT_SENT), (False, AttemptOutcome.UNREACHABLE)]
+)
 def test_what_waited_for_a_connection_that_never_came_is_refused(reached, outcome):
     made = Pool(Limits(), 11, "n0")
     assert made.ask("a", NOW) == [Open(1)]
@@ -188,7 +190,7 @@
                         len([s for s in self.state.values() if s != "closed"]) <= 2 * self.limits.connections
                     )
                 case Refuse(forward, outcome):
-                    assert outcome.never_ran and not any(forward in o for o in self.open.values())
+                    assert outcome.never_executed and not any(forward in o for o in self.open.values())
                     self.waiting.pop(forward, None)
                 case Ping(number):
                     assert self.open[number], "a PING where nobody waits"
@@ -306,7 +308,7 @@
     for at in range(0, 400, 10):
         for one in made.due(NOW + at * MS):
             if isinstance(one, Refuse):
-                assert one == Refuse("a", Outcome.FULL) and at == 300
+                assert one == Refuse("a", AttemptOutcome.FULL) and at == 300
                 return
             made.lacked(one.connection, NOW + at * MS)
         if at == 0:
--- a/tests/upstream/test_http2_session.py
+++ b/tests/upstream/test_http2_session.py
@@ -8,8 +8,9 @@
 from h2.events import DataReceived, RequestReceived, StreamEnded, StreamReset
 from h2.settings import SettingCodes, Settings
 
-from sprucegate.front.open_requests import OpenGet
-from sprucegate.routing.interface import Asked, Forward, Found, Outcome
+from sprucegate.front.open_requests import OpenRequest
+from sprucegate.routing.actions import SendAttempt
+from sprucegate.routing.events import AttemptOutcome, CacheStatus, Request
 from sprucegate.upstream.http2 import evidence, mapping
 from sprucegate.upstream.http2.evidence import Written
 from sprucegate.upstream.http2.session import (
@@ -178,7 +179,7 @@
     ],
 )
 def test_each_row_is_never_ran_only_where_it_is_proved(row, proved):
-    assert row in evidence.ROWS and row.outcome.never_ran is proved
+    assert row in evidence.ROWS and row.outcome.never_executed is proved
     assert len({one.name for one in evidence.ROWS}) == len(evidence.ROWS)
 
 
@@ -324,24 +325,24 @@
 
 
 def forward(**changed):
-    base = Forward(
+    base = SendAttempt(
         number=0,
         cache=1,
-        source=2,
+        fill_source=2,
         rank=0,
-        oldest=0,
+        max_age=0,
         timeout=1_400_000_000,
-        join=False,
-        held_only=False,
-        pass_parent=False,
-        renew=False,
+        collapse=False,
+        only_if_cached=False,
+        bypass_parent=False,
+        revalidate=False,
     )
     return base._replace(**changed)
 
 
 def a_get(have="", body=b"", write=False):
-    asked = Asked("9b1f03aa5c7e2d41", 1, 3, 17, 0, 4, write, False, S)
-    return OpenGet(None, b"9b1f03aa5c7e2d41", "media", "7f3a", 3, have, body, asked)
+    asked = Request("9b1f03aa5c7e2d41", 1, 3, 17, 0, 4, write, False, S)
+    return OpenRequest(None, b"9b1f03aa5c7e2d41", "media", "7f3a", 3, have, body, asked)
 
 
 def test_a_forward_as_a_request():
@@ -349,7 +350,7 @@
         mapping.request(
             b"a:1",
             a_get("t1"),
-            forward(rank=2, oldest=9_900_000_000, join=True, number=1, renew=True),
+            forward(rank=2, max_age=9_900_000_000, collapse=True, number=1, revalidate=True),
             's-"1f',
             5 * S,
         )
@@ -368,7 +369,7 @@
     tokened = a_get()
     tokened.token = "874c-e5"
     assert dict(mapping.request(b"a:1", tokened, forward(), None, S))[b"idempotency-key"] == b'"874c-e5"'
-    fields = dict(mapping.request(b"a:1", a_get(), forward(source=1, oldest=10), None, 900_000_000))
+    fields = dict(mapping.request(b"a:1", a_get(), forward(fill_source=1, max_age=10), None, 900_000_000))
     assert fields[b"spruce-wait"] == b"900"  # what is left when it goes, where that is less
     assert fields[b"cache-control"] == b"max-age=0, max-stale=0, only-if-cached"  # never wider than decided
     fields = dict(mapping.request(b"a:1", a_get(body=b"abc", write=True), forward(), "o", S))
@@ -378,20 +379,40 @@
 @pytest.mark.parametrize(
     "status, fields, outcome, found",
     [
-        (200, {}, Outcome.RETURNED, Found.UNTOLD),
-        (200, {b"cache-status": b"s; hit"}, Outcome.RETURNED, Found.HIT),
-        (200, {b"cache-status": b"s; hit; ttl=-3"}, Outcome.RETURNED, Found.STALE_HIT),
-        (200, {b"cache-status": b"s; fwd=miss; stored"}, Outcome.RETURNED, Found.FILLED),
-        (200, {b"cache-status": b"p; fwd=miss, s; fwd=uri-miss"}, Outcome.RETURNED, Found.FILLED_BY_ORIGIN),
-        (200, {b"cache-status": b"p; hit, s; fwd=miss; collapsed"}, Outcome.RETURNED, Found.JOINED),
-        (200, {b"cache-status": b"\xff not a list ;;"}, Outcome.RETURNED, Found.UNTOLD),
-        (200, {b"cache-status": b"s; hit," * 400}, Outcome.RETURNED, Found.UNTOLD),
-        (502, {b"cache-status": b"s; fwd=miss; detail=source-broken"}, Outcome.ERROR, Found.SOURCE_BROKEN),
-        (504, {b"cache-status": b"s; fwd=miss; detail=origin-failed"}, Outcome.ERROR, Found.ORIGIN_FAILED),
-        (404, {}, Outcome.ERROR, Found.UNTOLD),
-        (500, {}, Outcome.ERROR, Found.UNTOLD),
-        (503, {b"spruce-ran": b"?0"}, Outcome.FULL, Found.UNTOLD),
-        (421, {}, Outcome.FULL, Found.UNTOLD),
+        (200, {}, AttemptOutcome.RETURNED, CacheStatus.UNKNOWN),
+        (200, {b"cache-status": b"s; hit"}, AttemptOutcome.RETURNED, CacheStatus.HIT),
+        (200, {b"cache-status": b"s; hit; ttl=-3"}, AttemptOutcome.RETURNED, CacheStatus.STALE_HIT),
+        (200, {b"cache-status": b"s; fwd=miss; stored"}, AttemptOutcome.RETURNED, CacheStatus.FILLED),
+        (
+            200,
+            {b"cache-status": b"p; fwd=miss, s; fwd=uri-miss"},
+            AttemptOutcome.RETURNED,
+            CacheStatus.FILLED_BY_ORIGIN,
+        ),
+        (
+            200,
+            {b"cache-status": b"p; hit, s; fwd=miss; collapsed"},
+            AttemptOutcome.RETURNED,
+            CacheStatus.COLLAPSED,
+        ),
+        (200, {b"cache-status": b"\xff not a list ;;"}, AttemptOutcome.RETURNED, CacheStatus.UNKNOWN),
+        (200, {b"cache-status": b"s; hit," * 400}, AttemptOutcome.RETURNED, CacheStatus.UNKNOWN),
+        (
+            502,
+            {b"cache-status": b"s; fwd=miss; detail=source-broken"},
+            AttemptOutcome.ERROR,
+            CacheStatus.FILL_SOURCE_BROKEN,
+        ),
+        (
+            504,
+            {b"cache-status": b"s; fwd=miss; detail=origin-failed"},
+            AttemptOutcome.ERROR,
+            CacheStatus.ORIGIN_FAILED,
+        ),
+        (404, {}, AttemptOutcome.ERROR, CacheStatus.UNKNOWN),
+        (500, {}, AttemptOutcome.ERROR, CacheStatus.UNKNOWN),
+        (503, {b"spruce-ran": b"?0"}, AttemptOutcome.FULL, CacheStatus.UNKNOWN),
+        (421, {}, AttemptOutcome.FULL, CacheStatus.UNKNOWN),
     ],
 )
 def test_an_answer_by_its_status_and_cache_status(status, fields, outcome, found):
@@ -402,22 +423,22 @@
 @pytest.mark.parametrize(
     "tag, have, outcome",
     [
-        (b'"t1"', "t1", Outcome.RETURNED),
-        (b'W/"t1"', "t1", Outcome.RETURNED),
-        (b'"t1"', "t2", Outcome.ERROR),
-        (b'"t1"', "", Outcome.ERROR),
-        (b"", "", Outcome.ERROR),
-        (b"", "t1", Outcome.ERROR),
+        (b'"t1"', "t1", AttemptOutcome.RETURNED),
+        (b'W/"t1"', "t1", AttemptOutcome.RETURNED),
+        (b'"t1"', "t2", AttemptOutcome.ERROR),
+        (b'"t1"', "", AttemptOutcome.ERROR),
+        (b"", "", AttemptOutcome.ERROR),
+        (b"", "t1", AttemptOutcome.ERROR),
     ],
 )
 def test_a_304_returns_only_a_copy_that_the_client_has_and_it_names(tag, have, outcome):
     said = mapping.meaning(304, {b"etag": tag}, b"", False, have)
-    assert (said.outcome, said.returned is None) == (outcome, outcome is Outcome.ERROR)
+    assert (said.outcome, said.returned is None) == (outcome, outcome is AttemptOutcome.ERROR)
 
 
 def test_a_504_is_a_miss_only_where_only_a_cached_copy_was_asked_for():
-    assert mapping.meaning(504, {}, b"", True).outcome is Outcome.MISS
-    assert mapping.meaning(504, {}, b"", False).outcome is Outcome.ERROR
+    assert mapping.meaning(504, {}, b"", True).outcome is AttemptOutcome.MISS
+    assert mapping.meaning(504, {}, b"", False).outcome is AttemptOutcome.ERROR
 
 
 def test_tag_age_wait_and_load_of_an_answer():
