--- a/tests/upstream/test_http2_transport.py
+++ b/tests/upstream/test_http2_transport.py
@@ -6,7 +6,7 @@
 
 import uvloop
 
-from sprucegate.routing.interface import Outcome, State
+from sprucegate.routing.events import AttemptOutcome, EndpointState
 from sprucegate.upstream.http2.limits import MS, Limits
 from standins.driver import Recorder
 from standins.http2 import REFUSED_STREAM, Running, goaway
@@ -72,10 +72,10 @@
 
     box.server.came = after(200, half)
     outs = [recorder.send(1, f"{n:016x}") for n in range(200)]
-    assert await ends(recorder, outs) == [Outcome.RETURNED] * 100 + [Outcome.NOT_SENT] * 100
+    assert await ends(recorder, outs) == [AttemptOutcome.RETURNED] * 100 + [AttemptOutcome.NOT_SENT] * 100
     assert [ran for ran, _ in box.server.ran] == [f"{n:016x}" for n in range(100)]
     again = [recorder.send(2, f"{n:016x}", number=1) for n in range(100, 200)]
-    assert set(await ends(recorder, again)) == {Outcome.RETURNED} and len(other.server.ran) == 100
+    assert set(await ends(recorder, again)) == {AttemptOutcome.RETURNED} and len(other.server.ran) == 100
 
 
 @on({}, limits=ONE)
@@ -89,26 +89,26 @@
     while not any(event == "cache_goaway" for event, _ in recorder.logged):
         await asyncio.sleep(0.005)
     box.server.came = lambda peer, request: run_all(peer, [request])
-    assert await recorder.end(recorder.send(1, "a" * 16)) is Outcome.RETURNED and box.server.made == 2
+    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED and box.server.made == 2
     assert not any(out.ended for out in outs)  # the old ones still wait for theirs
-    assert await ends(recorder, outs) == [Outcome.RETURNED] * 4 + [Outcome.NOT_SENT] * 4
+    assert await ends(recorder, outs) == [AttemptOutcome.RETURNED] * 4 + [AttemptOutcome.NOT_SENT] * 4
 
 
 @on({}, limits=ONE)
 async def test_a_goaway_with_last_stream_0_proves_that_none_ran(recorder, box):
     box.server.came = after(5, lambda peer, requests: (peer.goaway(0), peer.loop.call_soon(peer.end)))
     outs = [recorder.send(1, f"{n:016x}") for n in range(5)]
-    assert await ends(recorder, outs) == [Outcome.NOT_SENT] * 5 and box.server.ran == []
+    assert await ends(recorder, outs) == [AttemptOutcome.NOT_SENT] * 5 and box.server.ran == []
 
 
 @on({"window": 1000, "opens": False}, {"window": 1000}, limits=ONE)
 async def test_a_goaway_while_a_body_is_half_sent(recorder, box, other):
     box.server.heads = lambda peer, request: peer.loop.call_later(0.05, peer.goaway, 0)
-    assert await recorder.end(recorder.send(1, "a" * 16, b"b" * 48_000)) is Outcome.NOT_SENT
+    assert await recorder.end(recorder.send(1, "a" * 16, b"b" * 48_000)) is AttemptOutcome.NOT_SENT
     # At or below the last stream the body goes on, as the peer opens its window, and is answered.
     other.server.heads = lambda peer, request: peer.goaway(request.stream)
     other.server.came = lambda peer, request: run_all(peer, [request])
-    assert await recorder.end(recorder.send(2, "b" * 16, b"b" * 48_000)) is Outcome.RETURNED
+    assert await recorder.end(recorder.send(2, "b" * 16, b"b" * 48_000)) is AttemptOutcome.RETURNED
     assert other.server.ran == [("b" * 16, 0)]
 
 
@@ -131,7 +131,7 @@
     while not opened and not all(out.ended for out in outs):
         await asyncio.sleep(0.002)
     more = [recorder.send(1, f"{n:016x}") for n in range(60, 80)]
-    assert set(await ends(recorder, outs + more)) == {Outcome.RETURNED}
+    assert set(await ends(recorder, outs + more)) == {AttemptOutcome.RETURNED}
     assert len(most) == 20 and max(most) <= 3
 
 
@@ -147,18 +147,18 @@
         return True
 
     await asyncio.to_thread(box.do, back)
-    assert await ends(recorder, outs) == [Outcome.RETURNED] * 5
+    assert await ends(recorder, outs) == [AttemptOutcome.RETURNED] * 5
 
 
 @on({"limit": 0}, limits=Limits(connections=1, wait=100 * MS))
 async def test_a_limit_that_stays_0_refuses_in_time_what_never_left(recorder, box):
-    assert await recorder.end(recorder.send(1, "a" * 16)) is Outcome.FULL and box.server.ran == []
+    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.FULL and box.server.ran == []
 
 
 @on({"window": 10, "opens": False}, limits=ONE)
 async def test_a_reset_between_headers_and_the_first_data_may_have_run(recorder, box):
     box.server.heads = lambda peer, request: peer.abort()
-    assert await recorder.end(recorder.send(1, "a" * 16, b"order")) is Outcome.RESET
+    assert await recorder.end(recorder.send(1, "a" * 16, b"order")) is AttemptOutcome.RESET
 
 
 @on({}, limits=ONE)
@@ -172,10 +172,10 @@
         await asyncio.sleep(0.005)
     recorder.list({9: box.address})  # the whole list: 1 has gone, 9 stands at its address
     box.server.came = lambda peer, request: run_all(peer, [request])
-    assert await recorder.end(recorder.send(9, "b" * 16)) is Outcome.RETURNED and box.server.made == 2
+    assert await recorder.end(recorder.send(9, "b" * 16)) is AttemptOutcome.RETURNED and box.server.made == 2
     peer, request = held[0]
     await asyncio.to_thread(box.do, lambda: run_all(peer, [request]) or True)
-    assert await recorder.end(out) is Outcome.RETURNED  # what was open there is still answered
+    assert await recorder.end(out) is AttemptOutcome.RETURNED  # what was open there is still answered
     while 1 in recorder.servers.places:
         await asyncio.sleep(0.005)
     assert len(box.server.peers) <= 1 or recorder.servers.connections == 1
@@ -185,7 +185,7 @@
 async def test_ends_of_one_connection_are_told_with_one_time(recorder, box):
     box.server.came = after(50, lambda peer, requests: peer.abort())
     outs = [recorder.send(1, f"{n:016x}") for n in range(50)]
-    assert set(await ends(recorder, outs)) == {Outcome.RESET}
+    assert set(await ends(recorder, outs)) == {AttemptOutcome.RESET}
     assert len({recorder.ends[out][2] for out in outs}) == 1
 
 
@@ -204,21 +204,21 @@
     peer, request = held[0]
     await asyncio.to_thread(box.do, lambda: peer.answer(request.stream) or True)  # late: nobody's
     box.server.came = lambda peer, request: run_all(peer, [request])
-    assert await recorder.end(recorder.send(1, "b" * 16)) is Outcome.RETURNED and box.server.made == 1
+    assert await recorder.end(recorder.send(1, "b" * 16)) is AttemptOutcome.RETURNED and box.server.made == 1
 
 
 @on({"limit": 0}, limits=ONE)
 async def test_a_cancel_of_one_that_waited_proves_that_it_never_ran(recorder, box):
-    assert recorder.servers.cancel(recorder.send(1, "a" * 16), timed_out=True) is Outcome.NOT_SENT
+    assert recorder.servers.cancel(recorder.send(1, "a" * 16), timed_out=True) is AttemptOutcome.NOT_SENT
 
 
 @on({}, limits=ONE)
 async def test_refused_streams_never_ran_and_other_resets_may_have(recorder, box):
     box.server.came = lambda peer, request: peer.reset(request.stream, REFUSED_STREAM)
-    assert await recorder.end(recorder.send(1, "a" * 16)) is Outcome.NOT_SENT
+    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.NOT_SENT
     for code in (2, 8, 0xB, 0xD):
         box.server.came = lambda peer, request, code=code: peer.reset(request.stream, code)
-        assert await recorder.end(recorder.send(1, f"{code:016x}")) is Outcome.RESET
+        assert await recorder.end(recorder.send(1, f"{code:016x}")) is AttemptOutcome.RESET
 
 
 @on({}, limits=Limits(connections=1, stalled=60 * MS))
@@ -232,16 +232,16 @@
 
     box.server.came = came
     half, whole = recorder.send(1, "a" * 16), recorder.send(1, "b" * 16)
-    assert await recorder.end(half) is Outcome.RESET and not whole.ended
-    assert await recorder.end(whole) is Outcome.RETURNED and box.server.made == 1
+    assert await recorder.end(half) is AttemptOutcome.RESET and not whole.ended
+    assert await recorder.end(whole) is AttemptOutcome.RETURNED and box.server.made == 1
 
 
 @on({}, limits=Limits(connections=1, ping_after=50 * MS, ping_wait=50 * MS))
 async def test_a_peer_that_answers_no_ping_is_left_and_a_slow_one_that_does_is_not(recorder, box):
     box.server.came = lambda peer, request: peer.loop.call_later(0.4, run_all, peer, [request])
-    assert await recorder.end(recorder.send(1, "a" * 16)) is Outcome.RETURNED
+    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED
     box.server.came = lambda peer, request: peer.loop.remove_reader(peer.sock)
-    assert await recorder.end(recorder.send(1, "b" * 16), 2) is Outcome.RESET
+    assert await recorder.end(recorder.send(1, "b" * 16), 2) is AttemptOutcome.RESET
 
 
 def test_a_server_that_speaks_no_http2_or_nothing_is_not_reached_and_nothing_ran():
@@ -263,7 +263,7 @@
             return outcome
 
     for said in (b"HTTP/1.1 400 Bad Request\r\n\r\n", b""):
-        assert uvloop.run(run(said)).never_ran
+        assert uvloop.run(run(said)).never_executed
 
 
 @on({"window": 0, "opens": False}, limits=ONE)
@@ -283,19 +283,19 @@
 @on({}, {}, {}, limits=ONE, most=2)
 async def test_connections_are_bounded_over_all_servers_and_an_idle_one_makes_room(recorder, *boxes):
     for place in (1, 2, 3, 1):
-        assert await recorder.end(recorder.send(place, f"{place:016x}")) is Outcome.RETURNED
+        assert await recorder.end(recorder.send(place, f"{place:016x}")) is AttemptOutcome.RETURNED
         assert recorder.servers.connections <= 2
 
 
 @on({}, limits=ONE)
 async def test_a_server_listed_as_gone_and_listed_again_serves(recorder, box):
-    assert await recorder.end(recorder.send(1, "a" * 16)) is Outcome.RETURNED
-    recorder.list({1: box.address}, whole=False, state=State.GONE)
+    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED
+    recorder.list({1: box.address}, whole=False, state=EndpointState.GONE)
     while 1 in recorder.servers.places:
         await asyncio.sleep(0.005)
-    assert await recorder.end(recorder.send(1, "b" * 16)) is Outcome.NOT_SENT
+    assert await recorder.end(recorder.send(1, "b" * 16)) is AttemptOutcome.NOT_SENT
     recorder.list({1: box.address}, whole=False)
-    assert await recorder.end(recorder.send(1, "c" * 16)) is Outcome.RETURNED
+    assert await recorder.end(recorder.send(1, "c" * 16)) is AttemptOutcome.RETURNED
 
 
 def test_a_raw_goaway_is_what_the_rfc_says():
@@ -308,11 +308,13 @@
     transport = recorder.servers.transports["http2"]
     for number in range(10, 60):
         recorder.list({number: box.address}, whole=False)
-        recorder.list({number: box.address}, whole=False, state=State.GONE)
+        recorder.list({number: box.address}, whole=False, state=EndpointState.GONE)
     assert set(transport.active) <= {1}
     recorder.list({60: box.address}, whole=False)
-    assert await recorder.end(recorder.send(60, "a" * 16)) is Outcome.RETURNED and 60 in transport.active
-    recorder.list({60: box.address}, whole=False, state=State.GONE)
+    assert (
+        await recorder.end(recorder.send(60, "a" * 16)) is AttemptOutcome.RETURNED and 60 in transport.active
+    )
+    recorder.list({60: box.address}, whole=False, state=EndpointState.GONE)
     for _ in range(50):
         await asyncio.sleep(0.01)
     assert set(transport.active) <= {1}
