--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -58,17 +58,18 @@
     "--against",
     default="db87e09",
     show_default=True,
-    help="The revision that `front` and `same` are paired with.",
+    help="The revision that `front` is paired with.",
 )
 @click.option("--quick", is_flag=True, help="Fewer GETs: tells the order of a figure, not its second digit.")
+@click.option("--record", is_flag=True, help="Add the digests that the file of `same` lacks; others stay.")
 @click.option("--seed", default=1, show_default=True, help="Of a soak's schedule.")
 @click.option("--seconds", default=120, show_default=True, help="Of a soak.")
 @click.option("--fronts", default=24, show_default=True, help="Of a soak.")
 @click.option("--shrink", is_flag=True, help="Play a soak that failed again until each trouble is needed.")
 @click.option("--replay", type=click.Path(exists=True), help="A soak's schedule that was kept.")
 @click.option("--keep", type=click.Path(), help="A folder for what a soak that failed leaves.")
-def main(name, quick, against, **soak):
-    more = {"front": {"against": against}, "same": {"against": against}, "soak": soak}.get(name, {})
+def main(name, quick, against, record, **soak):
+    more = {"front": {"against": against}, "same": {"record_missing": record}, "soak": soak}.get(name, {})
     figures = importlib.import_module(f"benchmarks.{name}").measure(quick, **more)
     print(json.dumps(figures))
     if found := broken(figures):
