--- a/benchmarks/serverfiles.py
+++ b/benchmarks/serverfiles.py
@@ -50,7 +50,6 @@
         super().__init__(service=0.004)
         self.name, self.arrivals = name, arrivals
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=256)
-        self.listener.setblocking(False)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     def came(self, call_id, fields):
@@ -173,10 +172,11 @@
     loop, chance, arrivals = asyncio.get_running_loop(), random.Random(5), []
     boxes = [Box(f"s-{n:02x}", arrivals) for n in range(1, BOXES + 1)]
     root = Box("s-31", arrivals)
-    tasks = [loop.create_task(box._accept(box.listener, loop)) for box in [*boxes, root]]
+    for box in [*boxes, root]:
+        box.accept_from(box.listener)
     listener = socket.create_server(("127.0.0.1", 0))
     listener.setblocking(False)
-    tasks.append(loop.create_task(_bus(listener)))
+    tells = loop.create_task(_bus(listener))
     path, port = Path(folder, "list.kdl"), _free_port()
     path.write_text(
         render(
@@ -198,8 +198,10 @@
     count, _ = await asyncio.gather(_rewrites(path, boxes, root, seconds, drains, chance), load(seconds, 100))
     cpu_rewrites = (front.cpu() - cpu) / seconds
     await asyncio.to_thread(front.stop)
-    for task in tasks:
-        task.cancel()
+    tells.cancel()
+    for box in [*boxes, root]:
+        loop.remove_reader(box.listener)
+        box.listener.close()
     logged = front.lines[lines_before:]
     return count, ends, drains, arrivals, logged, cpu_still, cpu_rewrites, len(boxes) + 1
 
--- a/standins/lines.py
+++ b/standins/lines.py
@@ -129,11 +129,15 @@
             loop.add_signal_handler(number, stop.set)
         print(f"listening 127.0.0.1:{listener.getsockname()[1]}", flush=True)
         for one in listeners:
-            one.setblocking(False)
-            loop.add_reader(one, self._accept, one)
+            self.accept_from(one)
         await stop.wait()
         print(f"ran {self.count} connections {self.connections} closes 0", flush=True)
 
+    def accept_from(self, listener):
+        """Takes the connections of a listening socket from now on, in the running event loop."""
+        listener.setblocking(False)
+        asyncio.get_running_loop().add_reader(listener, self._accept, listener)
+
     def _accept(self, listener):
         try:
             sock, _ = listener.accept()
