--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -61,14 +61,22 @@
     help="The revision that `front` and `same` are paired with.",
 )
 @click.option("--quick", is_flag=True, help="Fewer GETs: tells the order of a figure, not its second digit.")
+@click.option(
+    "--smoke",
+    is_flag=True,
+    hidden=True,
+    help="Every step on a tiny input: shows that it runs, measures nothing.",
+)
 @click.option("--seed", default=1, show_default=True, help="Of a soak's schedule.")
 @click.option("--seconds", default=120, show_default=True, help="Of a soak.")
 @click.option("--fronts", default=24, show_default=True, help="Of a soak.")
 @click.option("--shrink", is_flag=True, help="Play a soak that failed again until each trouble is needed.")
 @click.option("--replay", type=click.Path(exists=True), help="A soak's schedule that was kept.")
 @click.option("--keep", type=click.Path(), help="A folder for what a soak that failed leaves.")
-def main(name, quick, against, **soak):
+def main(name, quick, smoke, against, **soak):
     more = {"front": {"against": against}, "same": {"against": against}, "soak": soak}.get(name, {})
+    if smoke:
+        more = {**more, "smoke": True}
     figures = importlib.import_module(f"benchmarks.{name}").measure(quick, **more)
     print(json.dumps(figures))
     if found := broken(figures):
--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -33,12 +33,13 @@
     "parent_warm_time": 0,
 }
 TIMES = {"hit": 15 * MS, "sibling": 25 * MS, "parent": 60 * MS, "origin": 300 * MS}
-OBJECTS, RATE = 2000, 600  # and GETs a second over all fronts
+OBJECTS, RATE = 2000, 600  # and GETs a second over all fronts, unless told otherwise
 
 
 class World:
-    def __init__(self, mode, seed, fronts, share):
+    def __init__(self, mode, seed, fronts, share, rate=RATE):
         self.mode, self.chance, self.fronts, self.share = mode, random.Random(seed), fronts, share
+        self.rate = rate
         self.now, self.events, self.order, self.ids = 0, [], count(), count()
         self.holds = {at: set() for at in (*CACHES, *PARENTS)}
         self.started, self.drained = dict.fromkeys(CACHES, 0), set()
@@ -78,7 +79,7 @@
         self.routers[at].listed([entry], False, self.now)
 
     def ask(self):
-        self.at(self.now + int(self.chance.expovariate(RATE) * S), self.ask)
+        self.at(self.now + int(self.chance.expovariate(self.rate) * S), self.ask)
         front = 0 if self.chance.random() < self.share else 1 + self.chance.randrange(self.fronts - 1)
         obj = int(OBJECTS * self.chance.random() ** 3)
         asked = Asked(f"g{next(self.ids)}", obj, 0, 0, 0, 20, False, False, S)
@@ -133,9 +134,9 @@
                 self.routers[(at + other) % self.fronts].hears(said, 5 * MS, self.now)
 
 
-def played(mode, seed, fronts=10, share=0.1):
+def played(mode, seed, fronts=10, share=0.1, rate=RATE):
     """Counts of the 20 s after a cache has come back empty and front 0, which sees `share` of the GETs, is new."""
-    world = World(mode, seed, fronts, share)
+    world = World(mode, seed, fronts, share, rate)
     world.at(0, world.ask)
     if mode == "on":
         world.at(S, world.exchange)
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -1,6 +1,7 @@
 """The platform's front, paired with a former revision of this repository: memory at rest and CPU a GET.
 
-Both run between the same line stand-ins, in turns, with the same load; the figure is the median over the turns.
+Both run between the same line stand-ins, in turns, with the same load; the figure is the median over the turns. A smoke
+run needs no former revision: it runs the front of the working tree alone.
 """
 
 import http.client
@@ -13,6 +14,7 @@
 import tempfile
 import threading
 import time
+from contextlib import contextmanager
 from pathlib import Path
 
 from benchmarks.http2_closes import SETTINGS
@@ -55,6 +57,7 @@
 
 
 def _turn(folder, path, hosts, bus, gets):
+    """(memory at rest in KB, CPU microseconds a GET, GETs that failed) of the front whose code is in `folder`."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     config = Path(path, "front.json")
@@ -109,8 +112,9 @@
     return memory, cpu, failed
 
 
-def measure(quick, against):
-    gets, turns = (2000, 3) if quick else (6000, 7)
+@contextmanager
+def _surroundings():
+    """Hosts that a front is to know and the address of its bus, while all of them run."""
     servers = [Process("lines") for _ in range(3)]
     hosts = [
         {
@@ -127,23 +131,38 @@
             (("s-01", "std"), ("s-02", "std"), ("s-31", "origin")), servers, strict=True
         )
     ]
-    bus, found = _Bus(), {"before": [], "after": []}
-    with tempfile.TemporaryDirectory() as folder:
-        archive = subprocess.run(
-            ["git", "archive", against, "sprucegate"], check=True, stdout=subprocess.PIPE
-        ).stdout
-        subprocess.run(["tar", "-x", "-C", folder], input=archive, check=True)
-        try:
-            for turn in range(turns):
-                order = list(found) if turn % 2 else list(found)[::-1]
-                for name in order:
-                    found[name].append(
-                        _turn(folder if name == "before" else os.getcwd(), folder, hosts, bus.address, gets)
-                    )
-                print(f"turn {turn + 1}:", {k: v[-1] for k, v in found.items()}, flush=True)
-        finally:
-            for one in servers:
-                one.stop()
+    try:
+        yield hosts, _Bus().address
+    finally:
+        for one in servers:
+            one.stop()
+
+
+def _check_out(revision, folder):
+    """Writes the package of a former revision of this repository into `folder`."""
+    command = ["git", "archive", revision, "sprucegate"]
+    archive = subprocess.run(command, check=True, stdout=subprocess.PIPE).stdout
+    subprocess.run(["tar", "-x", "-C", folder], input=archive, check=True)
+
+
+def alone(gets):
+    """Figures of one turn of the working tree's front."""
+    with tempfile.TemporaryDirectory() as folder, _surroundings() as (hosts, bus):
+        memory, cpu, failed = _turn(os.getcwd(), folder, hosts, bus, gets)
+    return {"gets_a_turn": gets, "memory_kb_after": memory, "cpu_us_after": round(cpu, 1), "failed": failed}
+
+
+def paired(against, gets, turns):
+    """Figures of the working tree's front and of a former revision's, in turns."""
+    found = {"before": [], "after": []}
+    with tempfile.TemporaryDirectory() as folder, _surroundings() as (hosts, bus):
+        _check_out(against, folder)
+        trees = {"before": folder, "after": os.getcwd()}
+        for turn in range(turns):
+            order = list(found) if turn % 2 else list(found)[::-1]
+            for name in order:
+                found[name].append(_turn(trees[name], folder, hosts, bus, gets))
+            print(f"turn {turn + 1}:", {k: v[-1] for k, v in found.items()}, flush=True)
     middle = {
         name: [statistics.median(column) for column in zip(*rows, strict=True)]
         for name, rows in found.items()
@@ -161,3 +180,9 @@
         "cpu_ratio": round(after[1] / before[1], 3),
         "failed": int(sum(row[2] for rows in found.values() for row in rows)),
     }
+
+
+def measure(quick, against, smoke=False):
+    if smoke:
+        return alone(gets=100)
+    return paired(against, gets=2000, turns=3) if quick else paired(against, gets=6000, turns=7)
--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -8,6 +8,7 @@
 import gc
 import time
 import tracemalloc
+from typing import NamedTuple
 
 import uvloop
 from hdrh.histogram import HdrHistogram
@@ -24,6 +25,21 @@
 OPEN = 1000
 
 
+class Size(NamedTuple):
+    """How much one run does; SMOKE shows only that every step still runs."""
+
+    gets: int  # of the soak
+    close_every: int  # mean number of GETs on a connection of the soak
+    service: float  # seconds that a server takes for a GET, of the runs side by side
+    seconds: float  # of each run side by side
+    most_seconds: float  # of each run at the most GETs a second
+
+
+FULL = Size(gets=50_000, close_every=90, service=2.0, seconds=20, most_seconds=8)
+QUICK = Size(gets=4000, close_every=90, service=2.0, seconds=4, most_seconds=2)
+SMOKE = Size(gets=200, close_every=20, service=0.1, seconds=0.3, most_seconds=0.2)
+
+
 async def _load(address, speaks, connections, rate, seconds):
     gc.collect()
     gc.freeze()  # as the front does
@@ -114,14 +130,15 @@
     return made
 
 
-def measure(quick):
+def measure(quick, smoke=False):
+    size = SMOKE if smoke else QUICK if quick else FULL
     print("soak ...", flush=True)
-    said = soak(4000 if quick else 50_000, 90)
+    said = soak(size.gets, size.close_every)
     print(said, flush=True)
     figures = dict(said)
-    rate, service, seconds = (500, 2.0, 4) if quick else (500, 2.0, 20)
+    rate, service = 500, size.service
     for connections in (1, 2, 4):
-        both = side_by_side(connections, rate, service, seconds)
+        both = side_by_side(connections, rate, service, size.seconds)
         for speaks, one in both.items():
             print(f"{speaks} over {connections}:", {k: round(v, 2) for k, v in one.items()}, flush=True)
             figures.update({f"{speaks}_{connections}_{k}": round(v, 3) for k, v in one.items()})
@@ -135,7 +152,7 @@
     }
     for speaks in ("lines", "http2"):
         process = Process(speaks, **({"limit": 2000} if speaks == "http2" else {}))
-        most = uvloop.run(_most(process.address, speaks, 2 if quick else 8))
+        most = uvloop.run(_most(process.address, speaks, size.most_seconds))
         process.stop()
         print(f"{speaks} at most:", {k: round(v) for k, v in most.items()}, flush=True)
         figures.update(
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -18,6 +18,7 @@
 import time
 from collections import Counter
 from concurrent.futures import ProcessPoolExecutor
+from typing import NamedTuple
 
 from benchmarks import exchange
 from sprucegate.fleet.chance import Chance
@@ -31,6 +32,55 @@
 from standins.fleet.simulated import MS, Fleet, S
 
 
+class Size(NamedTuple):
+    """How much one run does; SMOKE shows only that every step still runs."""
+
+    schedules: int
+    simulated: tuple  # sizes of simulated fleets
+    seeds: int  # of each simulated fleet and loss
+    real: tuple  # sizes of fleets of real processes
+    told: int  # purges and drains that each real fleet is told
+    facts: int  # that a front catches up with
+    returning: tuple  # (fronts, how many of them return at once)
+    model_seeds: int
+    model_rate: int  # GETs a second of the model
+
+
+FULL = Size(
+    2000,
+    simulated=(5, 20, 50, 200),
+    seeds=6,
+    real=(5, 20, 50),
+    told=60,
+    facts=100_000,
+    returning=(10, 7),
+    model_seeds=10,
+    model_rate=exchange.RATE,
+)
+QUICK = Size(
+    200,
+    simulated=(5, 20),
+    seeds=2,
+    real=(5, 20),
+    told=20,
+    facts=20_000,
+    returning=(10, 7),
+    model_seeds=2,
+    model_rate=exchange.RATE,
+)
+SMOKE = Size(
+    4,
+    simulated=(3,),
+    seeds=1,
+    real=(3,),
+    told=4,  # a purge, a drain, a purge, the end of the drain
+    facts=500,
+    returning=(4, 2),
+    model_seeds=1,
+    model_rate=20,
+)
+
+
 def _one(given):
     """One schedule: (broken promises, ms from telling to the last front acting, of each purge told in quiet)."""
     seed, size, loss = given
@@ -225,46 +275,45 @@
     return (rss() - before) / count
 
 
-def gains(seeds):
+def gains(seeds, rate):
     """What the exchange gains after a cache has come back empty and a front is new, by mode: a model."""
     for share in (0.1, 0.5):
         for mode in ("on", "guard facts alone", "off"):
             told = Counter()
             for seed in range(seeds):
-                told.update(exchange.played(mode, seed, share=share))
+                told.update(exchange.played(mode, seed, share=share, rate=rate))
             yield share, mode, told
 
 
-def measure(quick):
+def measure(quick, smoke=False):
+    size = SMOKE if smoke else QUICK if quick else FULL
     figures = {"schedules": 0, "guard_facts_lost": 0}
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        count, broken = schedules(200 if quick else 2000, pool)
+        count, broken = schedules(size.schedules, pool)
         figures |= {"schedules": count, "guard_facts_lost": broken}
         print(f"{count} schedules, {broken} broken promises", flush=True)
-        for size in (5, 20) if quick else (5, 20, 50, 200):
+        for fronts in size.simulated:
             for loss in (0.0, 0.1, 0.3):
-                told = list(
-                    pool.map(spread_simulated, [(size, loss, seed) for seed in range(2 if quick else 6)])
-                )
+                told = list(pool.map(spread_simulated, [(fronts, loss, seed) for seed in range(size.seeds)]))
                 times = [t for one, _, _ in told for t in one]
                 print(
-                    f"simulated, {size} fronts, {loss:.0%} lost: ms p50, p99, max {_quantiles(times)}, "
+                    f"simulated, {fronts} fronts, {loss:.0%} lost: ms p50, p99, max {_quantiles(times)}, "
                     f"{sum(m for _, m, _ in told)} not within 10 s, "
                     f"{statistics.mean(f for *_, f in told):.0f} frames a second and front",
                     flush=True,
                 )
     old = lost = 0
-    for size in (5, 20) if quick else (5, 20, 50):
-        times, late, gone, cpu, sent = spread_real(size, 20 if quick else 60)
+    for fronts in size.real:
+        times, late, gone, cpu, sent = spread_real(fronts, size.told)
         old, lost = old + late, lost + gone
         print(
-            f"real, {size} fronts: ms p50, p99, max {_quantiles(times)}; at rest {cpu:.1%} of a core and "
+            f"real, {fronts} fronts: ms p50, p99, max {_quantiles(times)}; at rest {cpu:.1%} of a core and "
             f"{sent:.0f} bytes a second sent a front",
             flush=True,
         )
-        figures[f"spread_ms_max_{size}"] = max(times)
+        figures[f"spread_ms_max_{fronts}"] = max(times)
     figures |= {"older_copies_served": old, "gets_lost": lost}
-    count = 20_000 if quick else 100_000
+    count = size.facts
     took, over, stall = catch_up(count, 3, 1)
     print(
         f"catch-up of {count} facts: live after {took:.1f} s, {over:.2f} of the least bytes, longest answer of a "
@@ -276,9 +325,10 @@
         "catch_up_bytes_over_least": round(over, 2),
         "loop_stall_ms_max": round(stall, 1),
     }
-    took, over, stall = catch_up(count, 10, 7)
+    took, over, stall = catch_up(count, *size.returning)
+    fronts, away = size.returning
     print(
-        f"seven in ten at once: {took:.1f} s, {over:.2f} of the least bytes, longest {stall:.1f} ms",
+        f"{away} in {fronts} at once: {took:.1f} s, {over:.2f} of the least bytes, longest {stall:.1f} ms",
         flush=True,
     )
     apart, stall = storm(count)
@@ -293,7 +343,7 @@
             "catch_up_s_7_of_10": round(took, 2),
             "bytes_a_fact": round(fresh.submit(memory, count).result()),
         }
-    for share, mode, told in gains(2 if quick else 10):
+    for share, mode, told in gains(size.model_seeds, size.model_rate):
         print(
             f"model, front 0 sees {share:.0%}, exchange {mode}: of {told['gets']} GETs hits {told['hit']}, fills "
             f"from siblings {told['sibling']}, from parents {told['parent']}, from origin {told['origin']}, in time "
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -13,7 +13,8 @@
 import threading
 import time
 from collections import Counter
-from concurrent.futures import ProcessPoolExecutor
+from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
+from typing import NamedTuple
 
 from standins.fleet import explore_keepers, keepers, rollouts
 from standins.fleet.agent import Agent
@@ -24,6 +25,71 @@
 AIM = 0.4  # seconds, of the rig's delivery service
 THING = 0x7F3A9C21E0B4D655
 BAD = ("bad-errors", "bad-slow", "bad-dies", "never")
+ROLLING = ("faults", "no faults", "one at a time", "timer", "none")
+
+
+class Size(NamedTuple):
+    """How much one run does; SMOKE shows only that every step still runs."""
+
+    schedules: tuple  # (fronts, caches, seconds, how many schedules) of troubles
+    logs: int  # schedules of keepers alone
+    bad_seeds: int  # of each bad release
+    good_seeds: int
+    depth: int  # of the exploration
+    kills: int  # of leaders
+    halts: int
+    rolling: tuple  # ways of replacing all caches, of ROLLING
+    rolling_fronts: int
+    rolling_caches: int
+    rolling_quiet: float  # seconds of load where nothing is replaced
+    rates: float  # seconds in which CPU at rest, and then grants, are counted
+    at_once: int = 1  # real fleets; one alone wherever something is measured
+
+
+# Most schedules are small, as the large ones take longest.
+FULL = Size(
+    ((4, 9, 25, 4512), (6, 12, 40, 440), (20, 40, 25, 40), (200, 200, 20, 8)),
+    logs=500,
+    bad_seeds=25,
+    good_seeds=200,
+    depth=6,
+    kills=30,
+    halts=10,
+    rolling=ROLLING,
+    rolling_fronts=12,
+    rolling_caches=30,
+    rolling_quiet=10,
+    rates=3,
+)
+QUICK = Size(
+    ((4, 9, 25, 200),),
+    logs=20,
+    bad_seeds=10,
+    good_seeds=20,
+    depth=4,
+    kills=5,
+    halts=3,
+    rolling=ROLLING,
+    rolling_fronts=4,
+    rolling_caches=8,
+    rolling_quiet=10,
+    rates=3,
+)
+SMOKE = Size(
+    ((4, 9, 25, 2),),
+    logs=1,
+    bad_seeds=1,
+    good_seeds=1,
+    depth=2,
+    kills=1,
+    halts=1,
+    rolling=("faults", "timer", "none"),  # the others take the same steps as the first
+    rolling_fronts=4,
+    rolling_caches=8,
+    rolling_quiet=1,
+    rates=0.5,
+    at_once=5,
+)
 
 
 def _schedule(given):
@@ -95,9 +161,9 @@
                 self.lost += status != 200
 
 
-def _rolling(folder, how, quick):
+def _rolling(folder, how, size):
     """One rolling replacement of all caches: (seconds, GETs, lost, late, late sends, most out, ran twice)."""
-    fronts, caches = (4, 8) if quick else (12, 30)
+    fronts, caches = size.rolling_fronts, size.rolling_caches
     budget = '"fleet cache 1 1.0"' if how == "one at a time" else '"fleet cache 3 0.5"'
     with Rig(pathlib.Path(folder), fronts, caches=caches, keepers=3, budgets=budget) as rig:
         rig.start_all(120)
@@ -128,7 +194,7 @@
                 time.sleep(0.02)
             stop.set()
         else:
-            time.sleep(10)
+            time.sleep(size.rolling_quiet)
         took = time.monotonic() - begun
         for one in [*loads, *agents]:
             one.stopped = True
@@ -214,15 +280,15 @@
     return (int(fields[11]) + int(fields[12])) / 100
 
 
-def _halts(folder, times):
+def _halts(folder, times, seconds):
     """(ms from a halt's word to the last permit of its release, grants a second through one front)."""
     with Rig(pathlib.Path(folder), 3, caches=6, keepers=3, budgets='"fleet cache 2 1.0"') as rig:
         rig.start_all()
         time.sleep(1)
         everyone = [*rig.keepers.values(), *rig.fronts.values()]
         before = [_cpu(one.process.pid) for one in everyone]
-        time.sleep(3)
-        rest = [(_cpu(one.process.pid) - was) / 3 for one, was in zip(everyone, before, strict=True)]
+        time.sleep(seconds)
+        rest = [(_cpu(one.process.pid) - was) / seconds for one, was in zip(everyone, before, strict=True)]
         print(
             f"at rest: a keeper {max(rest[:3]):.1%} of a core at most, a front {max(rest[3:]):.1%}",
             flush=True,
@@ -254,26 +320,26 @@
         agents[0].stopped = True
         agents[0].join(10)
         begun, count = time.monotonic(), 0
-        while time.monotonic() - begun < 3:
+        while time.monotonic() - begun < seconds:
             rig.propose("n0", "ask", f"g{count}", "s-10", "op", "")
             rig.propose("n0", "withdraw", f"g{count}")
             count += 1
         return longest, count / (time.monotonic() - begun)
 
 
-def measure(quick):
+def _in_a_folder(run, *given):
+    """What `run` gives, in a temporary folder of its own."""
+    with tempfile.TemporaryDirectory() as folder:
+        return run(folder, *given)
+
+
+def measure(quick, smoke=False):
+    size = SMOKE if smoke else QUICK if quick else FULL
     figures = {}
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        count = 200 if quick else 5000
-        # Most of them small, as the large ones take longest.
-        sizes = (
-            [(4, 9, 25, count)]
-            if quick
-            else [(4, 9, 25, count - 488), (6, 12, 40, 440), (20, 40, 25, 40), (200, 200, 20, 8)]
-        )
         wanted = [
             (seed, (3, 5)[seed % 2], fronts, caches, span)
-            for fronts, caches, span, many in sizes
+            for fronts, caches, span, many in size.schedules
             for seed in range(many)
         ]
         broke = Counter()
@@ -281,9 +347,9 @@
             broke += one
         print(f"{len(wanted)} schedules of troubles, broken: {dict(broke) or 'none'}", flush=True)
         logs = Counter()
-        for one in pool.map(_log, range(count // 10)):
+        for one in pool.map(_log, range(size.logs)):
             logs += one
-        print(f"{count // 10} schedules of keepers alone, broken: {dict(logs) or 'none'}", flush=True)
+        print(f"{size.logs} schedules of keepers alone, broken: {dict(logs) or 'none'}", flush=True)
         figures |= {
             "schedules": len(wanted),
             "over_budget": broke["over_budget"],
@@ -295,8 +361,7 @@
             "without_end": broke["without_end"],
             "last_gone": broke["last_gone"],
         }
-        many = 10 if quick else 25
-        bad = [(seed, version, 0.3) for version in BAD for seed in range(many)]
+        bad = [(seed, version, 0.3) for version in BAD for seed in range(size.bad_seeds)]
         caught = dict(zip(bad, pool.map(_release, bad), strict=True))
         for version in BAD:
             ends = [caught[one] for one in bad if one[1] == version]
@@ -307,7 +372,7 @@
                 flush=True,
             )
         stopped = [halted for halted, _ in caught.values()]
-        good = [(seed, "2", 0.5) for seed in range(20 if quick else 200)]
+        good = [(seed, "2", 0.5) for seed in range(size.good_seeds)]
         false = sum(halted for halted, _ in pool.map(_release, good))
         print(f"good releases on noisy days: {false} of {len(good)} halted", flush=True)
         figures |= {
@@ -316,17 +381,19 @@
             "false_halts": false,
             "good_releases": len(good),
         }
-    states = explore_keepers.explored(4 if quick else 6)
+    states = explore_keepers.explored(size.depth)
     print(f"explored: {states}", flush=True)
     figures["explored"] = states[0] if isinstance(states, tuple) else states
-    with tempfile.TemporaryDirectory() as folder:
-        times = _leaders(folder, 5 if quick else 30)
+    with ThreadPoolExecutor(size.at_once) as fleets:
+        leaders = fleets.submit(_in_a_folder, _leaders, size.kills)
+        halts = fleets.submit(_in_a_folder, _halts, size.halts, size.rates)
+        rolling = {how: fleets.submit(_in_a_folder, _rolling, how, size) for how in size.rolling}
+    times = leaders.result()
     print(
         f"from a killed leader to the next grant: ms p50 {times[len(times) // 2]:.0f}, max {times[-1]:.0f}",
         flush=True,
     )
-    with tempfile.TemporaryDirectory() as folder:
-        halt, grants = _halts(folder, 3 if quick else 10)
+    halt, grants = halts.result()
     print(f"from a halt to the last permit: {halt:.0f} ms; {grants:.0f} grants a second", flush=True)
     figures |= {
         "leader_to_grant_ms_p50": round(times[len(times) // 2]),
@@ -335,9 +402,8 @@
         "grants_a_second": round(grants),
     }
     lost = late = 0
-    for how in ("faults", "no faults", "one at a time", "timer", "none"):
-        with tempfile.TemporaryDirectory() as folder:
-            took, gets, gone, slow, sends, most, twice = _rolling(folder, how, quick)
+    for how in size.rolling:
+        took, gets, gone, slow, sends, most, twice = rolling[how].result()
         in_time = 1 - (slow + gone) / gets
         print(
             f"rolling, {how}: {took:.1f} s, {gets} GETs, lost {gone}, in time {in_time:.4f}, sends to a drained box "
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -14,6 +14,7 @@
 import threading
 import time
 from pathlib import Path
+from typing import NamedTuple
 
 from benchmarks.front import _Bus, _memory, _stat
 from benchmarks.http2_closes import SETTINGS
@@ -21,10 +22,22 @@
 from standins.ports import free_port
 from standins.processes import Process
 
-SIZES = (200, 800, 3200)
 CHANGED_AFTER = 100.0  # seconds in which each cache changes once
 OBJECTS = 1500
 WEIGHT = 200.0  # of all caches together, so that each has the less of it the more there are
+RATE = 100  # GETs a second
+
+
+class Size(NamedTuple):
+    """How much one run does; SMOKE shows only that every step still runs."""
+
+    caches: tuple  # the fleets' sizes, the usual one first
+    seconds: float  # of load for each
+
+
+FULL = Size((200, 800, 3200), seconds=30)
+QUICK = Size((200, 800, 3200), seconds=8)
+SMOKE = Size((100, 200), seconds=1.5)
 
 
 def _host(at, port, count, health="up"):
@@ -167,12 +180,12 @@
     }
 
 
-def measure(quick):
-    seconds, rate = (8, 100) if quick else (30, 100)
+def measure(quick, smoke=False):
+    size = SMOKE if smoke else QUICK if quick else FULL
     with tempfile.TemporaryDirectory() as path:
         rows = []
-        for count in SIZES:
-            rows.append(_run(path, count, seconds, rate))
+        for count in size.caches:
+            rows.append(_run(path, count, size.seconds, RATE))
             print(rows[-1], flush=True)
     usual, largest = rows[0], rows[-1]
     ratios = {
--- a/benchmarks/serverfiles.py
+++ b/benchmarks/serverfiles.py
@@ -18,6 +18,7 @@
 import time
 from collections import Counter
 from pathlib import Path
+from typing import NamedTuple
 
 import uvloop
 
@@ -39,6 +40,23 @@
 S = 1_000_000_000
 
 
+class Size(NamedTuple):
+    """How much one run does; SMOKE shows only that every step still runs."""
+
+    crashes: int
+    objects: int  # whose caches are compared before and after a weight has changed
+    entries: int  # of the large list
+    large_runs: int
+    rewrite_seconds: float
+    still_seconds: float  # of traffic without rewrites, to compare with
+
+
+FULL = Size(1000, objects=20_000, entries=20_000, large_runs=3, rewrite_seconds=120, still_seconds=20)
+QUICK = Size(200, objects=20_000, entries=20_000, large_runs=1, rewrite_seconds=10, still_seconds=5)
+# Two seconds are twenty rewrites: enough that a drain is lifted again.
+SMOKE = Size(20, objects=200, entries=300, large_runs=1, rewrite_seconds=2, still_seconds=0.5)
+
+
 def server(name, address, kind=0, state=State.SERVING, weight=1.0):
     return Server(Listed(number_of(name), 0, kind, 0, state, weight, 0), name, address)
 
@@ -344,13 +362,13 @@
     return figures | {"start_from_snapshot_s": round(front.ready, 2), "start_entries": read.get("entries", 0)}
 
 
-def moved_objects():
+def moved_objects(objects):
     """One weight from 1 to 2: objects that move, over the least that had to."""
     found = {}
     for count in (10, 100, 1000):
         before = [server(f"s-{n:x}", f"127.0.0.1:{n}") for n in range(1, count + 1)]
         after = [server("s-1", "127.0.0.1:1", weight=2.0), *before[1:]]
-        one = next(iter(moves.moves(before, after, 20_000).values()))
+        one = next(iter(moves.moves(before, after, objects).values()))
         found[count] = one.moved / max(1, one.least), one.moved / one.objects * 100
     return {
         "moved_over_least": round(max(ratio for ratio, _ in found.values()), 3),
@@ -388,16 +406,17 @@
     }
 
 
-def measure(quick):
-    figures = crashes(200 if quick else 1000)
+def measure(quick, smoke=False):
+    size = SMOKE if smoke else QUICK if quick else FULL
+    figures = crashes(size.crashes)
     print(figures, flush=True)
-    figures |= moved_objects()
+    figures |= moved_objects(size.objects)
     print(figures, flush=True)
-    stalls = [large(20_000) for _ in range(1 if quick else 3)]
+    stalls = [large(size.entries) for _ in range(size.large_runs)]
     for one in stalls:
         print(one, flush=True)
     figures |= {key: statistics.median(one[key] for one in stalls) for key in stalls[0]}
     figures["loop_stall_ms_max"] = max(one["loop_stall_ms_max"] for one in stalls)
-    said = under_traffic(10 if quick else 120, 5 if quick else 20)
+    said = under_traffic(size.rewrite_seconds, size.still_seconds)
     print(said, flush=True)
     return figures | said
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -6,8 +6,9 @@
 import tempfile
 import threading
 import time
-from concurrent.futures import ProcessPoolExecutor
+from concurrent.futures import ProcessPoolExecutor, ThreadPoolExecutor
 from pathlib import Path
+from typing import NamedTuple
 
 from standins.fleet import filling, sharing
 from standins.fleet.rig import Rig
@@ -15,12 +16,71 @@
 S = 1_000_000_000
 OF = {"gold": 1, "iron": 2, "greedy": 3}
 WEIGHTS = {"gold": 1, "iron": 1, "greedy": 1}
-PLACES, SIZE = 10, 8
-FRONTS = " ".join(f'"n{at}"' for at in range(SIZE))
-SHARES = (
-    'shares {{\n    header "X-Tenant"\n    tenants "gold 1" "iron 1" "greedy 1"\n'
-    f'    places "parent {PLACES}" "origin 5"\n    fronts {FRONTS}\n    longest (s)1\n}}}}\n'
+PLACES = 10
+TROUBLES = ("kill", "stop", "cut", "one-way")
+WAYS = ((True, False), (True, True), (False, False), (False, True))  # shares on; a greedy tenant beside
+
+
+class Size(NamedTuple):
+    """How much one run does; SMOKE shows only that every step still runs."""
+
+    schedules: tuple  # (fronts, how many schedules)
+    fronts: int  # real ones
+    settle: float  # seconds of load before a calm span is counted
+    calm: float  # seconds of each calm span
+    hits: float  # seconds of each run of hits alone
+    pairs: int  # of runs of hits, with shares and without
+    troubles: tuple  # those that are certain to come, in this order; then by chance
+    troubled: float  # seconds in which troubles begin
+    recover: float  # seconds after each trouble
+    objects: int = 40  # that are asked for where all are hits
+    at_once: int = 1  # real fleets; one alone wherever something is measured
+
+
+FULL = Size(
+    ((3, 2500), (4, 1500), (6, 800), (12, 200)),
+    fronts=8,
+    settle=2,
+    calm=20,
+    hits=10,
+    pairs=3,
+    troubles=(),
+    troubled=180,
+    recover=6,
+)
+QUICK = Size(
+    ((3, 27), (5, 21), (8, 12)),
+    fronts=8,
+    settle=2,
+    calm=6,
+    hits=3,
+    pairs=1,
+    troubles=(),
+    troubled=30,
+    recover=6,
 )
+SMOKE = Size(
+    ((3, 2),),
+    fronts=3,
+    settle=0.5,
+    calm=0.5,
+    hits=1,  # fewer seconds may not be one tick of the CPU clock
+    pairs=1,
+    troubles=TROUBLES,
+    troubled=0,
+    recover=0.5,
+    objects=4,
+    at_once=7,
+)
+
+
+def shares_of(fronts):
+    """The operator's block `shares` of each of so many fronts."""
+    names = " ".join(f'"n{at}"' for at in range(fronts))
+    return (
+        'shares {{\n    header "X-Tenant"\n    tenants "gold 1" "iron 1" "greedy 1"\n'
+        f'    places "parent {PLACES}" "origin 5"\n    fronts {names}\n    longest (s)1\n}}}}\n'
+    )
 
 
 def one(given):
@@ -66,10 +126,10 @@
             thread.join(5)
 
 
-def rig(folder, on):
+def rig(folder, on, fronts):
     boxes = filling.boxes([1, 1, 1.5, 2], {"s-14": PLACES, "s-15": 5}, folder / "fills")
-    more = SHARES if on else ""
-    return Rig(folder, SIZE, boxes=boxes, kinds=("std",) * 4 + ("parent", "origin"), more=more)
+    more = shares_of(fronts) if on else ""
+    return Rig(folder, fronts, boxes=boxes, kinds=("std",) * 4 + ("parent", "origin"), more=more)
 
 
 def cpu(made):
@@ -99,19 +159,19 @@
     return used, over
 
 
-def calm(on, greedy, seconds):
+def calm(on, greedy, size):
     """Rows, fills over, longest answer of a front's own in ms, place time: neighbours with half of their parts in
     demand, `greedy`: beside it or not."""
-    with tempfile.TemporaryDirectory() as folder, rig(Path(folder), on) as made:
+    with tempfile.TemporaryDirectory() as folder, rig(Path(folder), on, size.fronts) as made:
         ready(made, on)
         load = Load(made, 1)
         load.begin("gold", 10, 16)
         load.begin("iron", 10, 16)
         if greedy:
             load.begin("greedy", 400, 120)  # twenty times its part
-        time.sleep(2)
+        time.sleep(size.settle)
         begun, since, stall = time.time_ns(), len(load.rows), 0
-        until = time.monotonic() + seconds
+        until = time.monotonic() + size.calm
         while time.monotonic() < until:
             asked = time.monotonic()
             made.fronts["n0"].live()
@@ -138,35 +198,36 @@
         )
 
 
-def hits(on, seconds):
+def hits(on, size):
     """CPU seconds a GET where all are hits: what the seam costs those that never wait."""
-    with tempfile.TemporaryDirectory() as folder, rig(Path(folder), on) as made:
+    with tempfile.TemporaryDirectory() as folder, rig(Path(folder), on, size.fronts) as made:
         ready(made, on)
-        things = [OF["gold"] << 56 | n for n in range(40)]
+        things = [OF["gold"] << 56 | n for n in range(size.objects)]
         calls = iter(range(1 << 20, 1 << 40))
         for name in made.names:
             for thing in things:
                 made.get(name, thing, next(calls), extra="X-Tenant: gold\r\n")
-        spent, count, end = cpu(made), 0, time.monotonic() + seconds
+        spent, count, end = cpu(made), 0, time.monotonic() + size.hits
         while time.monotonic() < end:
             for name in made.names:
-                made.get(name, things[count % 40], next(calls), extra="X-Tenant: gold\r\n")
+                made.get(name, things[count % size.objects], next(calls), extra="X-Tenant: gold\r\n")
                 count += 1
         return (cpu(made) - spent) / count
 
 
-def troubled(seconds, seed):
+def troubled(size, seed):
     """All backlogged, the steward always the one hit. Of the 3 s before each next trouble the least of got over fair
     and the place time used; fills over, GETs lost, sheds late, ms from a killed steward to shares again."""
     chance, recover, least, used_share, spans, hit = random.Random(seed), [], [], [], [], []
-    with tempfile.TemporaryDirectory() as folder, rig(Path(folder), True) as made:
+    certain = list(size.troubles)
+    with tempfile.TemporaryDirectory() as folder, rig(Path(folder), True, size.fronts) as made:
         ready(made, True)
         load = Load(made, seed)
         for tenant, per_s in (("gold", 60), ("iron", 60), ("greedy", 400)):
             load.begin(tenant, per_s, 100 if tenant == "greedy" else 40)
-        time.sleep(4)
-        end = time.monotonic() + seconds
-        while time.monotonic() < end:
+        time.sleep(2 * size.settle)
+        end = time.monotonic() + size.troubled
+        while certain or time.monotonic() < end:
             steward = next(
                 (
                     row["steward"]
@@ -177,7 +238,7 @@
                 ),
                 made.names[0],
             )
-            what, front = chance.choice(("kill", "stop", "cut", "one-way")), made.fronts[steward]
+            what, front = certain.pop(0) if certain else chance.choice(TROUBLES), made.fronts[steward]
             others, begun = [name for name in made.names if name != steward], time.time_ns()
             lasts = chance.uniform(1, 3)
             if what == "kill":
@@ -198,7 +259,7 @@
                 front.signal(signal.SIGCONT)
             else:
                 made.trouble("heal")
-            time.sleep(6)
+            time.sleep(size.recover)
             hit.append((steward, begun, time.time_ns()))
             spans.append((what, time.time_ns() - 3 * S, time.time_ns()))
         load.end()
@@ -234,13 +295,12 @@
     return 6000
 
 
-def measure(quick):
-    sizes = [(3, 0.45), (5, 0.35), (8, 0.2)] if quick else [(3, 0.5), (4, 0.3), (6, 0.16), (12, 0.04)]
-    count = 60 if quick else 5000
+def measure(quick, smoke=False):
+    size = SMOKE if smoke else QUICK if quick else FULL
     jobs = [
-        (seed, size, (0.0, 0.1, 0.2)[seed % 3] * (seed % 10 != 9), seed % 10 == 9)
-        for size, part in sizes
-        for seed in range(int(count * part))
+        (seed, fronts, (0.0, 0.1, 0.2)[seed % 3] * (seed % 10 != 9), seed % 10 == 9)
+        for fronts, many in size.schedules
+        for seed in range(many)
     ]
     cries = {}
     with ProcessPoolExecutor(os.cpu_count()) as pool:
@@ -250,10 +310,15 @@
     for name, told in cries.items():
         print(f"{name}: {len(told)}, first {told[0]}", flush=True)
     print(f"simulated, {len(jobs)} schedules", flush=True)
-    span = 6 if quick else 20
     rows, told, stall = {}, {}, {}
-    for on, greedy in ((True, False), (True, True), (False, False), (False, True)):
-        rows[on, greedy], over, stall[on, greedy], used = calm(on, greedy, span)
+    with ThreadPoolExecutor(size.at_once) as fleets:
+        calms = {way: fleets.submit(calm, *way, size) for way in WAYS}
+        costs = [
+            (fleets.submit(hits, True, size), fleets.submit(hits, False, size)) for _ in range(size.pairs)
+        ]
+        troubles = fleets.submit(troubled, size, 3)
+    for on, greedy in WAYS:
+        rows[on, greedy], over, stall[on, greedy], used = calms[on, greedy].result()
         told[on, greedy] = over
         said = [row[4] for row in rows[on, greedy] if row[0] != "greedy"]
         answers = {status: said.count(status) for status in sorted(set(said))}
@@ -265,10 +330,10 @@
         )
     neighbours = "gold", "iron"
     ratio = {on: p99(rows[on, True], neighbours) / p99(rows[on, False], neighbours) for on in (True, False)}
-    pairs = [(hits(True, span / 2), hits(False, span / 2)) for _ in range(1 if quick else 3)]
+    pairs = [(on.result(), off.result()) for on, off in costs]
     costs = sorted(on / off for on, off in pairs)
     print(f"CPU a GET that is a hit, on and off: {pairs}", flush=True)
-    least, used, over, lost, late, times = troubled(30 if quick else 180, 3)
+    least, used, over, lost, late, times = troubles.result()
     parts, shares = [round(x, 2) for x in least], [round(x, 2) for x in used]
     print(
         f"under troubles: least part of each span {parts}, used {shares}, "
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -326,9 +326,11 @@
     )
 
 
-def measure(quick, seed=1, seconds=120, fronts=24, shrink=False, replay=None, keep=None):
+def measure(quick, seed=1, seconds=120, fronts=24, shrink=False, replay=None, keep=None, smoke=False):
     if quick:
         seconds, fronts = 30, 10
+    if smoke:  # the shortest schedule that has a moment of troubles
+        seconds, fronts = 9, 3
     troubles = None
     if replay:
         troubles = [Trouble(*one) for one in json.loads(Path(replay).read_text())]
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -7,6 +7,7 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
+from typing import NamedTuple
 
 from sprucegate.fleet.members.swim import Member, Standing
 from sprucegate.fleet.views.views import Views
@@ -18,6 +19,36 @@
 MS, S = 1_000_000, 1_000_000_000
 
 
+class Size(NamedTuple):
+    """How much one run does; SMOKE shows only that every step still runs."""
+
+    schedules: tuple  # (fronts, seconds, how many schedules)
+    real_fronts: int
+    rounds: int  # of one real front killed and one stopped
+    split_every: int  # rounds to a split of the real fronts
+    idle_fronts: int
+    idle_seconds: int
+
+
+FULL = Size(
+    ((3, 12, 2000), (5, 12, 1750), (8, 12, 1000), (20, 8, 225), (50, 4, 25)),
+    real_fronts=8,
+    rounds=24,
+    split_every=4,
+    idle_fronts=200,
+    idle_seconds=2,
+)
+QUICK = Size(
+    ((3, 12, 80), (5, 12, 70), (8, 12, 40)),
+    real_fronts=8,
+    rounds=4,
+    split_every=4,
+    idle_fronts=50,
+    idle_seconds=2,
+)
+SMOKE = Size(((3, 12, 2),), real_fronts=4, rounds=1, split_every=1, idle_fronts=3, idle_seconds=1)
+
+
 def one(given):
     """(cries, times to detect) of one schedule; large fleets are played for a while and not to their end."""
     seed, size, loss, span = given
@@ -29,7 +60,7 @@
     return round(sorted(times)[min(len(times) - 1, int(share * len(times)))] / MS, 1) if times else None
 
 
-def real(size, rounds):
+def real(size, rounds, split_every):
     """ms until the last of the others has a killed one as gone, a stopped one as no more live, a split as a part."""
     killed, silent, split, wrong = [], [], [], 0
     with tempfile.TemporaryDirectory() as folder, Rig(Path(folder), size) as rig:
@@ -69,7 +100,7 @@
                 for n in others
                 for line in rig.fronts[n].seen("fleet_member", since[n])
             )
-            if turn % 4 == 3:
+            if turn % split_every == split_every - 1:
                 since, begun = _marks(rig), time.time() * 1000
                 rig.split(names[: size // 2], names[size // 2 :])
                 seen = [rig.fronts[n].until("fleet_view", since[n], state="part")["at"] for n in names]
@@ -119,14 +150,12 @@
     return (time.process_time() - begun) / seconds / size
 
 
-def measure(quick):
-    sizes = [(3, 12), (5, 12), (8, 12)] + ([] if quick else [(20, 8), (50, 4)])
-    count = 200 if quick else 5000
-    parts = {3: 0.4, 5: 0.35, 8: 0.2, 20: 0.045, 50: 0.005}
+def measure(quick, smoke=False):
+    size = SMOKE if smoke else QUICK if quick else FULL
     jobs = [
-        (seed, size, (0.0, 0.1, 0.3)[seed % 3], span)
-        for size, span in sizes
-        for seed in range(max(2, int(count * parts[size])))
+        (seed, fronts, (0.0, 0.1, 0.3)[seed % 3], span)
+        for fronts, span, many in size.schedules
+        for seed in range(many)
     ]
     cries, times = {}, {"killed": [], "silent": []}
     with ProcessPoolExecutor(os.cpu_count()) as pool:
@@ -144,11 +173,12 @@
         f"{quantile(times['silent'], 0.99)}",
         flush=True,
     )
-    killed, silent, split, wrong = real(8, 4 if quick else 24)
+    killed, silent, split, wrong = real(size.real_fronts, size.rounds, size.split_every)
     print(
-        f"real, 8 fronts, ms to the last of the others, median and most: killed {statistics.median(killed):.0f}, "
-        f"{max(killed):.0f}; silent {statistics.median(silent):.0f}, {max(silent):.0f}; split "
-        f"{statistics.median(split):.0f}, {max(split):.0f}",
+        f"real, {size.real_fronts} fronts, ms to the last of the others, median and most: "
+        f"killed {statistics.median(killed):.0f}, {max(killed):.0f}; "
+        f"silent {statistics.median(silent):.0f}, {max(silent):.0f}; "
+        f"split {statistics.median(split):.0f}, {max(split):.0f}",
         flush=True,
     )
     return {
@@ -159,5 +189,5 @@
         "detect_silent_ms_p99": max(silent),
         "split_seen_ms_p99": max(split),
         "flaps_kept_out": flaps(),
-        "idle_core_share_200": round(idle(50 if quick else 200, 2), 4),
+        "idle_core_share_200": round(idle(size.idle_fronts, size.idle_seconds), 4),
     }
