--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+FORM = "`test id | command and seed | what was seen | issue`"
 MOST = 3  # lines of the list; more are not known faults but a state of affairs
 
 
@@ -12,13 +13,18 @@
 
 
 def known_red(text):
-    """{test id: cause} of the lines `test id | cause | issue`; raises Wrong."""
+    """{test id: reason} of the lines `test id | command and seed | what was seen | issue`; raises Wrong."""
     found = {}
     for at, line in enumerate(filter(str.strip, text.splitlines()), 1):
         parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts) or "::" not in parts[0] or not parts[2].lstrip("#").isdecimal():
-            raise Wrong(f"KNOWN-RED.txt, line {at}: `test id | cause | issue` is wanted")
-        found[parts[0]] = f"{parts[1]} (issue {parts[2]})"
+        if len(parts) != 4 or not all(parts):
+            raise Wrong(f"KNOWN-RED.txt, line {at}: {FORM} is wanted")
+        test, command, seen, issue = parts
+        if "::" not in test or not issue.lstrip("#").isdecimal():
+            raise Wrong(f"KNOWN-RED.txt, line {at}: {FORM} is wanted")
+        if test in found:
+            raise Wrong(f"KNOWN-RED.txt, line {at}: {test} is listed twice")
+        found[test] = f"{seen} (issue {issue}; {command})"
     if len(found) > MOST:
         raise Wrong(f"KNOWN-RED.txt: {len(found)} tests, {MOST} at most")
     return found
