--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -5,7 +5,7 @@
 decide. A count other than 0 in the log's `second` lines is to be reported with the lines around it.
 """
 
-from sprucegate.front.memory.connections import Phase
+from sprucegate.front.client_connections import Phase
 
 MS = 1_000_000
 GONE_LATE = 100 * MS  # an attempt that begins so long after its client went counts as a lost request
@@ -97,7 +97,7 @@
             self.log("invariant_broken", rule="left_over", ids=ids, buffers=buffers)
 
     def _effect(self, get):
-        ds = get.asked.ds
+        ds = get.asked.delivery_service
         return self.effects[ds] if ds < len(self.effects) and self.effects[ds] is not None else "idempotent"
 
     @staticmethod
--- a/sprucegate/front/stages/relay.py
+++ b/sprucegate/front/response_writer.py
@@ -2,12 +2,12 @@
 
 import asyncio
 
-from sprucegate.front.memory.connections import Phase
+from sprucegate.front.client_connections import Phase
 from sprucegate.front.protocol import http
-from sprucegate.servers.sockets import PendingWrite, send
+from sprucegate.upstream.sockets import PendingWrite, send
 
 
-class Relay:
+class ResponseWriter:
     def __init__(self, driver):
         self.driver, self.loop = driver, asyncio.get_running_loop()
         self.ending = False  # the front stops: each answer is its connection's last
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -8,8 +8,17 @@
 import sys
 from itertools import count
 
-from sprucegate.fleet.agreement.fitness import Begins, Begun, Fit, Fitness, Keep, PutBack, base, takes_in
-from sprucegate.fleet.agreement.keeper import (
+from sprucegate.fleet.consensus.durability_check import (
+    Begins,
+    Begun,
+    Fit,
+    Fitness,
+    Keep,
+    PutBack,
+    base,
+    takes_in,
+)
+from sprucegate.fleet.consensus.raft_node import (
     Apply,
     Config,
     Current,
@@ -20,7 +29,7 @@
     VoteAnswer,
     Write,
 )
-from sprucegate.fleet.chance import Chance
+from sprucegate.fleet.random_source import RandomSource
 from standins.fleet.schedules import reported
 
 MS, S = 1_000_000, 1_000_000_000
@@ -68,7 +77,7 @@
         self.fitness = Fitness(
             self.known_as, self.starts, being, others, self.known, self.clock(), green=term == 0
         )
-        chance = Chance(self.name, self.world.seed + self.generation)
+        chance = RandomSource(self.name, self.world.seed + self.generation)
         config = self.config if self.known_as == self.name else Config((), ())
         self.keeper = Keeper(self.known_as, config, chance, self.clock())
         self.keeper.loaded(term, vote, snapshot, entries)
