--- /dev/null
+++ b/tests/test_documentation.py
@@ -0,0 +1,49 @@
+"""Pages name modules, events and terms that are there."""
+
+import ast
+import pathlib
+import re
+
+import pytest
+
+ROOT = pathlib.Path(__file__).parent.parent
+PAGES = ("README.md", "docs/architecture.md", "docs/glossary.md", "docs/on-call.md")
+LOG_CALLS = {"log", "_log"}
+
+
+def paths_named(page):
+    """Paths in backquotes below the packages, as `front/driver.py` or `sprucegate/front/`."""
+    text = (ROOT / page).read_text()
+    return {path for path in re.findall(r"`((?:[a-z_0-9]+/)+(?:[a-z_0-9]+\.py)?)`", text)}
+
+
+def exists(path):
+    return any((ROOT / start / path).exists() for start in ("", "sprucegate"))
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_paths_that_a_page_names_exist(page):
+    assert sorted(path for path in paths_named(page) if not exists(path)) == []
+
+
+def events_logged():
+    """{event: file} of each log line whose name stands in the code as a literal."""
+    found = {}
+    for path in sorted((ROOT / "sprucegate").rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if not isinstance(node, ast.Call) or not node.args:
+                continue
+            name = getattr(node.func, "attr", getattr(node.func, "id", ""))
+            first = node.args[0]
+            if name in LOG_CALLS and isinstance(first, ast.Constant) and isinstance(first.value, str):
+                found[first.value] = str(path.relative_to(ROOT))
+    return found
+
+
+def test_each_event_of_the_log_is_on_a_page():
+    pages = "\n".join(
+        path.read_text()
+        for path in [ROOT / "docs" / "on-call.md", *(ROOT / "docs" / "operators").glob("*.md")]
+    )
+    missing = {event: path for event, path in events_logged().items() if f"`{event}`" not in pages}
+    assert missing == {}
