--- a/benchmarks/vocabulary.py
+++ b/benchmarks/vocabulary.py
@@ -6,7 +6,7 @@
 """
 
 from benchmarks.canonical import Vocabulary
-from sprucegate.fleet.consensus import raft_node
+from sprucegate.fleet.consensus import log_entry
 from sprucegate.routing import actions, events
 
 # What the rules ask for and tell, and the records that traces hold.
@@ -23,7 +23,7 @@
     events.EjectionGossip: 10,
     events.Endpoint: 11,
     events.Request: 12,
-    raft_node.Config: 13,
+    log_entry.ClusterConfiguration: 13,
 }
 
 # The third value of a trace entry.
--- a/sprucegate/fleet/consensus/codec.py
+++ b/sprucegate/fleet/consensus/codec.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from sprucegate.errors import ProtocolError
-from sprucegate.fleet.consensus import durability_check, log_follower, raft_node
+from sprucegate.fleet.consensus import durability_check, log_entry, log_follower, messages
 from sprucegate.fleet.consensus.storage import entry_of
 from sprucegate.fleet.rollout import commands
 
@@ -11,12 +11,12 @@
 _Starts = dict[str, tuple[int, int]]
 KINDS = (
     None,
-    raft_node.Vote,
-    raft_node.VoteAnswer,
-    raft_node.Append,
-    raft_node.AppendAnswer,
-    raft_node.Whole,
-    raft_node.Stand,
+    messages.RequestVote,
+    messages.RequestVoteResponse,
+    messages.AppendEntries,
+    messages.AppendEntriesResponse,
+    messages.InstallSnapshot,
+    messages.TimeoutNow,
     log_follower.Follow,
     log_follower.Entries,
     log_follower.State,
@@ -27,12 +27,12 @@
 )
 NUMBERS = {kind: number for number, kind in enumerate(KINDS) if kind}
 SHAPES = {
-    raft_node.Vote: tuple[int, int, int, bool, bool],
-    raft_node.VoteAnswer: tuple[int, bool, bool],
-    raft_node.Append: tuple[int, int, int, list[_Row], int, int],
-    raft_node.AppendAnswer: tuple[int, bool, int, int],
-    raft_node.Whole: tuple[int, int, int, tuple[list[str], list[str]], bytes, int],
-    raft_node.Stand: tuple[int],
+    messages.RequestVote: tuple[int, int, int, bool, bool],
+    messages.RequestVoteResponse: tuple[int, bool, bool],
+    messages.AppendEntries: tuple[int, int, int, list[_Row], int, int],
+    messages.AppendEntriesResponse: tuple[int, bool, int, int],
+    messages.InstallSnapshot: tuple[int, int, int, tuple[list[str], list[str]], bytes, int],
+    messages.TimeoutNow: tuple[int],
     log_follower.Follow: tuple[int, int, int, list],
     log_follower.Entries: tuple[int, int, list[tuple[int, object]], int, bool, str],
     log_follower.State: tuple[int, int, object, bool, str],
@@ -62,13 +62,15 @@
         made = kind(*_decoders[kind](data))
     except msgspec.MsgspecError as fault:
         raise ConsensusMessageError(f"a word that can't be read: {fault}") from None
-    if kind is raft_node.Append:
+    if kind is messages.AppendEntries:
         rows = [entry_of(row) for row in made.entries]
-        if [row.index for row in rows] != list(range(made.before + 1, made.before + 1 + len(rows))):
+        if [row.index for row in rows] != list(
+            range(made.prev_log_index + 1, made.prev_log_index + 1 + len(rows))
+        ):
             raise ConsensusMessageError("entries with a hole")
         return made._replace(entries=rows)
-    if kind is raft_node.Whole:
-        return made._replace(config=raft_node.Config(*map(tuple, made.config)))
+    if kind is messages.InstallSnapshot:
+        return made._replace(configuration=log_entry.ClusterConfiguration(*map(tuple, made.configuration)))
     if kind is log_follower.Propose and (fault := commands.fault(made.command)):
         raise ConsensusMessageError(fault)
     if kind is log_follower.Follow:
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -16,6 +16,14 @@
 from sprucegate import clock
 from sprucegate.fleet.components import FleetComponent
 from sprucegate.fleet.consensus import codec, durability_check, log_follower
+from sprucegate.fleet.consensus.actions import (
+    ApplyEntries,
+    LeadershipChanged,
+    PersistState,
+    ReadIndexReady,
+    RestoreSnapshot,
+    SendMessage,
+)
 from sprucegate.fleet.consensus.durability_check import (
     Begins,
     Begun,
@@ -26,6 +34,7 @@
     base,
     takes_in,
 )
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
 from sprucegate.fleet.consensus.log_follower import (
     Applied,
     Follow,
@@ -35,7 +44,8 @@
     Serving,
     Word,
 )
-from sprucegate.fleet.consensus.raft_node import Apply, Config, Current, Install, Keeper, Leads, Send, Write
+from sprucegate.fleet.consensus.raft_node import RaftNode
+from sprucegate.fleet.consensus.raft_state import Role
 from sprucegate.fleet.consensus.storage import ConsensusStorageError, Ledger
 from sprucegate.fleet.links.codec import ConsensusFrame
 from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
@@ -57,6 +67,13 @@
 COMPACT = 2000  # entries after which a snapshot is made
 PATIENCE = 2 * S  # of an operator's request
 SHOWN_MOST = 500  # permits in one answer
+# The words of operators' answers for a voter's role.
+ROLE_WORDS = {
+    Role.FOLLOWER: "follower",
+    Role.PRE_CANDIDATE: "asking",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
 
 
 class Voting:
@@ -93,22 +110,26 @@
         being = int.from_bytes(os.urandom(4), "big")
         # A keeper that ever took part in a vote has a term on its disk.
         self.fitness = Fitness(name, start, being, others, known, now, self.trusted, green=kept.term == 0)
-        first = Config(tuple(self.node.addresses), ()) if name == self.base else Config((), ())
-        self.keeper = Keeper(name, first, RandomSource(name, self.seed ^ being), now)
+        first = (
+            ClusterConfiguration(tuple(self.node.addresses), ())
+            if name == self.base
+            else ClusterConfiguration((), ())
+        )
+        self.keeper = RaftNode(name, first, RandomSource(name, self.seed ^ being), now)
         machine = Rollout()
         if kept.snapshot is not None and not machine.loaded(msgspec.msgpack.decode(kept.snapshot[3])):
             self.log("keeper_off", error="the state is of another format")
             self.keeper = None
             return
-        self.keeper.loaded(kept.term, kept.vote, kept.snapshot, kept.entries)
+        self.keeper.load(kept.term, kept.vote, kept.snapshot, kept.entries)
         self.serving = Serving(self.keeper, machine)
-        self.log("keeper_begins", keeper=name, start=start, term=kept.term, last=self.keeper.last())
+        self.log("keeper_begins", keeper=name, start=start, term=kept.term, last=self.keeper.log.last_index())
         if self.fitness.fit:
             self.log("keeper_fit", keeper=name, by="an operator" if self.trusted else "itself alone")
         if self.alone:
             self.alone = False
-            self.log("keeper_alone", keeper=name, last=self.keeper.last())
-            self.do(self.keeper.alone())
+            self.log("keeper_alone", keeper=name, last=self.keeper.log.last_index())
+            self.do(self.keeper.force_single_voter())
 
     def _opened(self):
         name, start = self.ledger.begin(self.base)
@@ -117,17 +138,17 @@
     def due(self, now):
         if self.keeper is None:
             return
-        self.do(self.fitness.due(now, self.keeper.name in self.keeper.config().voters))
+        self.do(self.fitness.due(now, self.keeper.name in self.keeper.configuration().voters))
         if self.keeper is None or not self.fitness.fit:
             return
-        if self.keeper.next_due() <= now:
-            self.do(self.keeper.due(now))
+        if self.keeper.next_deadline() <= now:
+            self.do(self.keeper.on_timer(now))
         if self.leading is not None and now - self.duties_at >= DUTIES * S:
             self.duties_at = now
             for command in self.leading.due(self.serving.heard_from, now):
                 self.do(self.keeper.propose(command, now)[1])
             if (step := takes_in(self.keeper, self.newcomers, self.node.addresses, now)) is not None:
-                index, actions = self.keeper.change(*step, now)
+                index, actions = self.keeper.change_membership(*step, now)
                 if index:
                     self.log("keepers_change", voters=list(step[0]), learners=list(step[1]))
                 self.do(actions)
@@ -146,21 +167,21 @@
             return  # what its former self was told is not its own
         if isinstance(message, Follow | Propose):
             return self.do(self.serving.heard(sender, message, now))
-        self.do(self.keeper.heard(sender, message, now))
+        self.do(self.keeper.on_message(sender, message, now))
 
     def do(self, actions):
         todo = deque(actions)
         while todo:
             action, now = todo.popleft(), time.monotonic_ns()
             match action:
-                case Send():
+                case SendMessage():
                     self.send(self.keeper.name, action.to, action.message)
-                case Write():
+                case PersistState():
                     self._write(action)
                 case Keep():
                     self.writes.append(action)
                     self._next_write()
-                case Apply():
+                case ApplyEntries():
                     sends, granted = self.serving.applied(action.entries, now)
                     for permit in granted:
                         if self.leading is not None:
@@ -172,19 +193,21 @@
                                 index=permit.index,
                             )
                     todo.extend(sends)
-                    if self.keeper.applied - self.keeper.base >= COMPACT:
+                    if self.keeper.last_applied - self.keeper.log.base_index >= COMPACT:
                         state = msgspec.msgpack.encode(self.serving.machine.told())
-                        todo.extend(self.keeper.compacted(self.keeper.applied, state))
-                case Install():
+                        todo.extend(self.keeper.compact_log(self.keeper.last_applied, state))
+                case RestoreSnapshot():
                     self.serving.installed(action.index, msgspec.msgpack.decode(action.state))
-                case Leads():
+                case LeadershipChanged():
                     self.log(
-                        "keeper_leads" if action.on else "keeper_leads_no_more",
+                        "keeper_leads" if action.is_leader else "keeper_leads_no_more",
                         keeper=self.keeper.name,
                         term=action.term,
                     )
-                    self.leading = Leading(self.serving.machine, now, self.node.gate) if action.on else None
-                    if not action.on:
+                    self.leading = (
+                        Leading(self.serving.machine, now, self.node.gate) if action.is_leader else None
+                    )
+                    if not action.is_leader:
                         todo.extend(self.serving.lost())
                 case Fit():
                     self.log("keeper_fit", keeper=self.keeper.name, by=action.by)
@@ -194,7 +217,7 @@
                     self.keeper, self.writes = None, deque()
                     self.loop.create_task(self._anew(action.name))
                     return
-                case Current():
+                case ReadIndexReady():
                     pass  # what operators are told is a follower's state, with its age
 
     # The disk: one write at a time, in order.
@@ -221,11 +244,11 @@
             self.do(
                 self.fitness.kept(action.number, now)
                 if isinstance(action, Keep)
-                else self.keeper.synced(action.number, now)
+                else self.keeper.on_persisted(action.number, now)
             )
             return self._next_write()
         self.log("keeper_not_kept", keeper=self.keeper.name, error=fault)
-        self.do(self.keeper.not_kept(now))
+        self.do(self.keeper.on_persist_failed(now))
         self.keeper, self.leading, self.writes = None, None, deque()
         await asyncio.sleep(AGAIN)
         await self.begins()  # as after a crash: by what the disk has, and a start that others confirm
@@ -248,9 +271,11 @@
         """A leader hands its place on first, so that nobody waits for an election."""
         if self.keeper is not None and self.leading is not None:
             others = [
-                n for n, m in self.keeper.match.items() if m == max(self.keeper.match.values(), default=0)
+                n
+                for n, m in self.keeper.match_index.items()
+                if m == max(self.keeper.match_index.values(), default=0)
             ]
-            self.do(self.keeper.moves(others[0], time.monotonic_ns()) if others else [])
+            self.do(self.keeper.transfer_leadership(others[0], time.monotonic_ns()) if others else [])
             await asyncio.sleep(0.1)
         self.stopped = True
         await self._disk(self.ledger.close)
@@ -259,16 +284,16 @@
     def shown(self):
         if self.keeper is None or not self.fitness.fit:
             return {"name": self.base, "role": "not fit to vote" if self.keeper else "off"}
-        config = self.keeper.config()
+        config = self.keeper.configuration()
         return {
             "name": self.keeper.name,
-            "role": self.keeper.role.name.lower(),
-            "term": self.keeper.term,
+            "role": ROLE_WORDS[self.keeper.role],
+            "term": self.keeper.current_term,
             "leader": self.keeper.leader,
             "voters": list(config.voters),
             "learners": list(config.learners),
-            "committed": self.keeper.committed,
-            "last": self.keeper.last(),
+            "committed": self.keeper.commit_index,
+            "last": self.keeper.log.last_index(),
         }
 
 
@@ -457,7 +482,7 @@
     def _do(self, actions):
         for action in actions:
             match action:
-                case Send():
+                case SendMessage():
                     self._send(self.name, action.to, action.message)
                 case Applied():
                     for index, command in action.entries:
--- a/sprucegate/fleet/consensus/durability_check.py
+++ b/sprucegate/fleet/consensus/durability_check.py
@@ -17,7 +17,8 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.consensus.raft_node import Role, Send
+from sprucegate.fleet.consensus.actions import SendMessage
+from sprucegate.fleet.consensus.raft_state import Role
 
 MS, S = 1_000_000, 1_000_000_000
 AGAIN = 100 * MS
@@ -104,7 +105,9 @@
             self.asked += 1
         self.at = now + (ON if self.fit and member else AGAIN)
         told = Begins(self.start, self.being, self._all())
-        return [Send(name, told) for name in self.others if not self.fit or not member or name in self.lack]
+        return [
+            SendMessage(name, told) for name in self.others if not self.fit or not member or name in self.lack
+        ]
 
     def heard(self, sender, message, now):
         if not self.trusted and self._past(message.known.get(self.name)):
@@ -172,7 +175,7 @@
         if own != (start, being) and told.start <= start:
             return [
                 *(self._keeps() if news else []),
-                Send(sender, Begun(*own, False, self.green and not self.fit, self._all())),
+                SendMessage(sender, Begun(*own, False, self.green and not self.fit, self._all())),
             ]
         if own == (start, being):
             # Asked again while its answer waits for the disk: one more write each time would put it off for ever,
@@ -188,7 +191,7 @@
         return keeps
 
     def _answer(self, sender, own):
-        return Send(sender, Begun(*own, True, self.green and not self.fit, self._all()))
+        return SendMessage(sender, Begun(*own, True, self.green and not self.fit, self._all()))
 
 
 def takes_in(keeper, newcomers, names, now):
@@ -197,7 +200,7 @@
     `newcomers`: name -> when it was last heard; `names`: who is to vote, by the file. One step at a time: it learns, it
     votes, its former self goes; so does one that the file names no more.
     """
-    config = keeper.config()
+    config = keeper.configuration()
     if keeper.role is not Role.LEADER:
         return None
     if dropped := [v for v in config.voters if base(v) not in names and v != keeper.name]:
@@ -215,6 +218,6 @@
             continue
         if name not in config.learners:
             return config.voters, (*[n for n in config.learners if base(n) != base(name)], name)
-        if keeper.match.get(name, 0) >= keeper.committed:
+        if keeper.match_index.get(name, 0) >= keeper.commit_index:
             return (*config.voters, name), tuple(n for n in config.learners if n != name)
     return None
--- a/sprucegate/fleet/consensus/log_follower.py
+++ b/sprucegate/fleet/consensus/log_follower.py
@@ -6,7 +6,9 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.consensus.raft_node import DATA, Role, Send
+from sprucegate.fleet.consensus.actions import SendMessage
+from sprucegate.fleet.consensus.log_entry import DATA
+from sprucegate.fleet.consensus.raft_state import Role
 
 MS, S = 1_000_000, 1_000_000_000
 EVERY = 100 * MS  # between two questions of a follower
@@ -152,7 +154,7 @@
             self.report,
             [],
         )  # once each: two hundred fronts' reports are what a leader hears
-        return [Send(self.keeper, Follow(self.index, self.life, self.number, report))]
+        return [SendMessage(self.keeper, Follow(self.index, self.life, self.number, report))]
 
     def _other(self):
         others = [k for k in self.keepers if k != self.keeper] or self.keepers
@@ -164,7 +166,7 @@
         for number, one in self.proposals.items():
             if to and now - one[3] >= AGAIN:
                 one[3] = now
-                done.append(Send(to, Propose(number, one[0])))
+                done.append(SendMessage(to, Propose(number, one[0])))
         return done
 
     def _proposed(self, message, now):
@@ -219,7 +221,7 @@
                     if term == entry.term
                     else Proposed(number, 0, "", "")
                 )
-                sends.append(Send(name, said))
+                sends.append(SendMessage(name, said))
         del self.recent[: -5 * ENTRIES_MOST]
         return sends, granted
 
@@ -233,27 +235,27 @@
                     self.heard_from[sender] = Heard(message.life, now, message.report, now)
                 else:
                     self.heard_from[sender] = last._replace(at=now)  # the last report of that life stands
-            return [Send(sender, self._followed(message, now))]
+            return [SendMessage(sender, self._followed(message, now))]
         index, done = self.keeper.propose(message.command, now)
         if not index:
-            return [Send(sender, Proposed(message.number, 0, "", self._leader()))]
+            return [SendMessage(sender, Proposed(message.number, 0, "", self._leader()))]
         while len(self.asked) > HINTS_MOST:
             del self.asked[next(iter(self.asked))]
-        self.asked[index] = [(sender, message.number, self.keeper.term)]
+        self.asked[index] = [(sender, message.number, self.keeper.current_term)]
         return done
 
     def lost(self):
         """This keeper leads no more: what it took may be committed by another, or not."""
         asked, self.asked = self.asked, {}
         return [
-            Send(name, Proposed(number, 0, "", self._leader()))
+            SendMessage(name, Proposed(number, 0, "", self._leader()))
             for whom in asked.values()
             for name, number, _ in whom
         ]
 
     def leads(self, now):
         """By a majority heard within an election time: one that stood still does not say so any more."""
-        return self.keeper.in_touch(now)
+        return self.keeper.in_contact_with_quorum(now)
 
     def _leader(self):
         return self.keeper.name if self.keeper.role is Role.LEADER else self.keeper.leader
--- a/sprucegate/fleet/consensus/storage.py
+++ b/sprucegate/fleet/consensus/storage.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from sprucegate.errors import StorageError
-from sprucegate.fleet.consensus.raft_node import CONFIG, Config, Entry
+from sprucegate.fleet.consensus.log_entry import CONFIG, ClusterConfiguration, LogEntry
 from sprucegate.storage.disk import replace_file
 from sprucegate.storage.log import AppendLog
 from sprucegate.storage.snapshots import SnapshotStore
@@ -39,7 +39,7 @@
 
 def entry_of(row):
     index, term, kind, data = row
-    return Entry(index, term, kind, Config(*map(tuple, data)) if kind == CONFIG else data)
+    return LogEntry(index, term, kind, ClusterConfiguration(*map(tuple, data)) if kind == CONFIG else data)
 
 
 class Ledger:
@@ -103,7 +103,7 @@
         kept.refused = [f"{one.name} {one.why}" for one in refused]
         if taken is not None:
             index, term, config, state = _whole(taken.payload)
-            kept.snapshot = index, term, Config(*map(tuple, config)), state
+            kept.snapshot = index, term, ClusterConfiguration(*map(tuple, config)), state
         logs = sorted(int(match[1]) for name in names if (match := self.named.fullmatch(name)))
         for number in [n for n in logs if taken is None or n >= taken.generation]:
             log = AppendLog(self.disk, self._path(number), LOG_MOST)
@@ -146,7 +146,7 @@
 
     @staticmethod
     def _packed(one):
-        return _encode((one.term, one.vote, one.cut, one.entries))
+        return _encode((one.term, one.voted_for, one.truncate_from, one.entries))
 
     def _next_log(self):
         log = AppendLog(self.disk, self._path(self.generation + 1), LOG_MOST)
--- a/standins/fleet/explore_fitness.py
+++ b/standins/fleet/explore_fitness.py
@@ -9,7 +9,8 @@
 import pickle
 import sys
 
-from sprucegate.fleet.consensus.durability_check import ASKS, Fit, Fitness, Keep, PutBack, Send, base
+from sprucegate.fleet.consensus.actions import SendMessage
+from sprucegate.fleet.consensus.durability_check import ASKS, Fit, Fitness, Keep, PutBack, base
 from standins.fleet import exploring
 
 NAMES = ("a", "b", "c")
@@ -54,7 +55,7 @@
     def does(self, name, actions):
         for action in actions:
             match action:
-                case Send(to, message) if self.reaches(name, base(to)):
+                case SendMessage(to, message) if self.reaches(name, base(to)):
                     self.does(base(to), self.up[base(to)].heard(self.disks[name][0], message, 0))
                 case Keep():
                     self.disks[name][2] = dict(action.known)
--- a/standins/fleet/explore_keepers.py
+++ b/standins/fleet/explore_keepers.py
@@ -7,7 +7,10 @@
 
 import sys
 
-from sprucegate.fleet.consensus.raft_node import Apply, Config, Keeper, Leads, Send, Vote, VoteAnswer, Write
+from sprucegate.fleet.consensus.actions import ApplyEntries, LeadershipChanged, PersistState, SendMessage
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
+from sprucegate.fleet.consensus.messages import RequestVote, RequestVoteResponse
+from sprucegate.fleet.consensus.raft_node import RaftNode
 from standins.fleet import exploring
 
 NAMES = ("a", "b", "c")
@@ -33,7 +36,7 @@
             (),
         )
         self.disks, self.writes = {n: [] for n in NAMES}, {n: [] for n in NAMES}
-        self.keepers = {n: Keeper(n, Config(NAMES, ()), half, 0) for n in NAMES}
+        self.keepers = {n: RaftNode(n, ClusterConfiguration(NAMES, ()), half, 0) for n in NAMES}
         self.flying, self.leads, self.votes, self.applied, self.now = [], {}, {}, {}, S
 
     def contested(self):
@@ -44,7 +47,9 @@
             for sender, to in ((name, "c"), ("c", name)):
                 at = next(at for at, (s, t, _) in enumerate(self.flying) if (s, t) == (sender, to))
                 self.step("come", at)
-        self.flying = [one for one in self.flying if not isinstance(one[2], Vote) or not one[2].pre]
+        self.flying = [
+            one for one in self.flying if not isinstance(one[2], RequestVote) or not one[2].pre_vote
+        ]
         return self
 
     def possible(self):
@@ -62,45 +67,53 @@
             sender, to, message = self.flying.pop(given)
             self.losses -= what == "lose"
             return (
-                self.done(to, self.keepers[to].heard(sender, message, self.now)) if what == "come" else None
+                self.done(to, self.keepers[to].on_message(sender, message, self.now))
+                if what == "come"
+                else None
             )
         keeper = self.keepers[given]
         if what == "sync":
             write = self.writes[given].pop(0)
             self.disks[given].append(write)
-            return self.done(given, keeper.synced(write.number, self.now))
+            return self.done(given, keeper.on_persisted(write.number, self.now))
         if what == "time":
             self.timeouts -= 1
-            keeper.heard_at = dict.fromkeys(
-                keeper.heard_at, self.now
+            keeper.last_contact = dict.fromkeys(
+                keeper.last_contact, self.now
             )  # a leader stays one: to step down is safe
-            return self.done(given, keeper.due(max(self.now, keeper.due_at)))
+            return self.done(given, keeper.on_timer(max(self.now, keeper.timer_deadline)))
         if what == "give":
             self.entries -= 1
             return self.done(given, keeper.propose(self.entries, self.now)[1])
         self.crashes -= 1
         term, vote, entries = 0, "", []
         for record in self.disks[given]:
-            term, vote = record.term, record.vote
-            entries = [e for e in entries if not record.cut or e.index < record.cut] + record.entries
+            term, vote = record.term, record.voted_for
+            entries = [
+                e for e in entries if not record.truncate_from or e.index < record.truncate_from
+            ] + record.entries
         self.writes[given] = []
-        self.keepers[given] = Keeper(given, Config(NAMES, ()), half, self.now)
-        self.keepers[given].loaded(term, vote, None, entries)
+        self.keepers[given] = RaftNode(given, ClusterConfiguration(NAMES, ()), half, self.now)
+        self.keepers[given].load(term, vote, None, entries)
 
     def done(self, name, actions):
         for action in actions:
             match action:
-                case Send(to, message):
-                    if isinstance(message, VoteAnswer) and message.granted and not message.pre:
+                case SendMessage(to, message):
+                    if (
+                        isinstance(message, RequestVoteResponse)
+                        and message.vote_granted
+                        and not message.pre_vote
+                    ):
                         self.once(self.votes, (name, message.term), to, "votes")
                     if (name, to, message) not in self.flying:
                         self.flying.append((name, to, message))
-                case Write():
+                case PersistState():
                     self.writes[name].append(action)
-                case Leads(True, term):
+                case LeadershipChanged(True, term):
                     self.once(self.leads, term, name, "leaders")
                     self.once(self.votes, (name, term), name, "votes")
-                case Apply(entries):
+                case ApplyEntries(entries):
                     for entry in entries:
                         self.once(self.applied, entry.index, entry, "applied")
 
@@ -118,24 +131,27 @@
                 self.entries,
                 [
                     (
-                        k.term,
-                        k.vote,
+                        k.current_term,
+                        k.voted_for,
                         k.role.name,
-                        k.log,
-                        k.committed,
-                        k.applied,
+                        k.log.entries,
+                        k.commit_index,
+                        k.last_applied,
                         sorted(k.votes.items()),
-                        sorted(k.match.items()),
-                        sorted(k.next.items()),
+                        sorted(k.match_index.items()),
+                        sorted(k.next_index.items()),
                         len(self.writes[n]),
-                        k.number,
-                        k.done_number,
-                        list(k.held),
+                        k.write_number,
+                        k.persisted_number,
+                        list(k.held_messages),
                         k.leader,
                     )
                     for n, k in self.keepers.items()
                 ],
-                [[(r.term, r.vote, r.cut, r.entries) for r in disk] for disk in self.disks.values()],
+                [
+                    [(r.term, r.voted_for, r.truncate_from, r.entries) for r in disk]
+                    for disk in self.disks.values()
+                ],
             )
         )
 
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -8,6 +8,14 @@
 import sys
 from itertools import count
 
+from sprucegate.fleet.consensus.actions import (
+    ApplyEntries,
+    LeadershipChanged,
+    PersistState,
+    ReadIndexReady,
+    RestoreSnapshot,
+    SendMessage,
+)
 from sprucegate.fleet.consensus.durability_check import (
     Begins,
     Begun,
@@ -18,17 +26,9 @@
     base,
     takes_in,
 )
-from sprucegate.fleet.consensus.raft_node import (
-    Apply,
-    Config,
-    Current,
-    Install,
-    Keeper,
-    Leads,
-    Send,
-    VoteAnswer,
-    Write,
-)
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
+from sprucegate.fleet.consensus.messages import RequestVoteResponse
+from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.random_source import RandomSource
 from standins.fleet.schedules import reported
 
@@ -68,19 +68,19 @@
         others, being = [n for n in self.world.names if n != self.name], self.world.chance.getrandbits(32)
         term, vote, snapshot, entries = 0, "", None, []
         for record in self.disk:
-            term, vote = record.term, record.vote
+            term, vote = record.term, record.voted_for
             if record.snapshot is not None:
                 snapshot, entries = record.snapshot, []
-            elif record.cut:
-                entries = [e for e in entries if e.index < record.cut]
+            elif record.truncate_from:
+                entries = [e for e in entries if e.index < record.truncate_from]
             entries += record.entries
         self.fitness = Fitness(
             self.known_as, self.starts, being, others, self.known, self.clock(), green=term == 0
         )
         chance = RandomSource(self.name, self.world.seed + self.generation)
-        config = self.config if self.known_as == self.name else Config((), ())
-        self.keeper = Keeper(self.known_as, config, chance, self.clock())
-        self.keeper.loaded(term, vote, snapshot, entries)
+        config = self.config if self.known_as == self.name else ClusterConfiguration((), ())
+        self.keeper = RaftNode(self.known_as, config, chance, self.clock())
+        self.keeper.load(term, vote, snapshot, entries)
         self.installs(0, snapshot[3] if snapshot is not None else [])
         self.world.note(self.name, "start", self.known_as, self.starts, being, term == 0)
         self.done([])
@@ -113,15 +113,15 @@
                     world.note(self.name, "fit", self.known_as)
                 case Keep():
                     world.later(MS, self, self._known, self.generation, action)
-                case Send():
+                case SendMessage():
                     if (
-                        isinstance(action.message, VoteAnswer)
-                        and action.message.granted
-                        and not action.message.pre
+                        isinstance(action.message, RequestVoteResponse)
+                        and action.message.vote_granted
+                        and not action.message.pre_vote
                     ):
                         world.note(self.keeper.name, "votes", action.message.term, action.to)
                     world.send(self.keeper.name, action.to, action.message)
-                case Write():
+                case PersistState():
                     self.pending.append(action)
                     if self.full:
                         world.later(MS, self, self._not_kept, self.generation)
@@ -133,24 +133,24 @@
                             self.generation,
                             action.number,
                         )
-                case Apply():
+                case ApplyEntries():
                     for entry in action.entries:
                         world.note(self.name, "applies", entry.index, entry.term, entry.data)
                     self.applies(action.entries)
-                case Install():
+                case RestoreSnapshot():
                     self.installs(action.index, action.state)
                     world.note(self.name, "installs", action.index)
-                case Leads():
+                case LeadershipChanged():
                     name = self.keeper.name
-                    world.note(name, "leads" if action.on else "leads-no-more", action.term)
-                    self.leads(action.on)
-                    if action.on:
+                    world.note(name, "leads" if action.is_leader else "leads-no-more", action.term)
+                    self.leads(action.is_leader)
+                    if action.is_leader:
                         world.note(name, "votes", action.term, name)
-                case Current():
+                case ReadIndexReady():
                     world.note(self.name, "current", action.token, action.index)
         keeper = self.keeper
-        if keeper.applied - keeper.base >= COMPACT:
-            return self.done(keeper.compacted(keeper.applied, self.whole()))
+        if keeper.last_applied - keeper.log.base_index >= COMPACT:
+            return self.done(keeper.compact_log(keeper.last_applied, self.whole()))
         world.wake(self)
 
     # The machine that the log drives: here a list of all that was applied.
@@ -174,14 +174,14 @@
             return self.fitness.heard(sender, message, self.clock())
         if not self.fitness.fit or to != self.keeper.name:
             return []  # what its former self was told is not its own
-        return self.keeper.heard(sender, message, self.clock())
+        return self.keeper.on_message(sender, message, self.clock())
 
     def _synced(self, generation, number):
         if generation != self.generation or not self.up:
             return []
         while self.pending and self.pending[0].number <= number:
             self.disk.append(self.pending.pop(0))
-        return self.keeper.synced(number, self.clock())
+        return self.keeper.on_persisted(number, self.clock())
 
     def _known(self, generation, action):
         if generation != self.generation or not self.up or self.full:
@@ -193,25 +193,27 @@
     def due(self):
         """What it says by itself: it asks whether it may vote; as a leader it takes in who came back as another."""
         now, keeper = self.clock(), self.keeper
-        done = self.fitness.due(now, keeper.name in keeper.config().voters)
+        done = self.fitness.due(now, keeper.name in keeper.configuration().voters)
         if not self.fitness.fit:
             return done
-        if keeper.next_due() <= now:
-            done += keeper.due(now)
-            names = {base(name) for name in keeper.config().voters}
+        if keeper.next_deadline() <= now:
+            done += keeper.on_timer(now)
+            names = {base(name) for name in keeper.configuration().voters}
             if (step := takes_in(keeper, self.newcomers, names, now)) is not None:
-                index, actions = keeper.change(*step, now)
+                index, actions = keeper.change_membership(*step, now)
                 if index:
                     self.world.note(keeper.name, "changes", index, step)
                 done += actions
         return done
 
     def next_due(self):
-        due = self.fitness.next_due(self.keeper.name in self.keeper.config().voters)
-        return min(self.keeper.next_due(), due) if self.fitness.fit else due
+        due = self.fitness.next_due(self.keeper.name in self.keeper.configuration().voters)
+        return min(self.keeper.next_deadline(), due) if self.fitness.fit else due
 
     def _not_kept(self, generation):
-        return self.keeper.not_kept(self.clock()) if generation == self.generation and self.up else []
+        return (
+            self.keeper.on_persist_failed(self.clock()) if generation == self.generation and self.up else []
+        )
 
 
 class World:
@@ -223,9 +225,9 @@
         self.seed, self.chance, self.now, self.trace, self.loss = seed, random.Random(seed), 0, [], loss
         self.events, self.order, self.cut, self.armed = [], count(), set(), {}
         names = self.names = [f"k{at}" for at in range(size + spare)]
-        first = Config(tuple(names[:size]), ())
+        first = ClusterConfiguration(tuple(names[:size]), ())
         self.boxes = {
-            name: self.made(self, name, first if at < size else Config((), ()))
+            name: self.made(self, name, first if at < size else ClusterConfiguration((), ()))
             for at, name in enumerate(names)
         }
         self.numbers = count(1)
@@ -302,14 +304,14 @@
             number = next(self.numbers)
             index, actions = box.keeper.propose(number, box.clock())
             if index:
-                self.note(box.name, "proposes", index, box.keeper.term, number)
+                self.note(box.name, "proposes", index, box.keeper.current_term, number)
             box.done(actions)
 
     def read(self):
         for box in self.leaders():
             token = next(self.numbers)
             self.note(box.name, "asks", token)
-            box.done(box.keeper.read(token, box.clock()))
+            box.done(box.keeper.read_index(token, box.clock()))
 
     def pause(self, name, on):
         box = self.boxes[name]
@@ -340,7 +342,7 @@
     def change(self):
         """A spare joins as learner, then votes; one of the first goes: a step at a time, as far as may be."""
         for box in self.leaders():
-            config = box.keeper.config()
+            config = box.keeper.configuration()
             spare = [n for n in self.boxes if n not in config.voters]
             learners = [n for n in config.learners if n not in config.voters]
             if learners and len(config.voters) <= 3:
@@ -352,7 +354,7 @@
                 step = config.voters, (self.chance.choice(spare),)
             else:
                 continue
-            index, actions = box.keeper.change(*step, box.clock())
+            index, actions = box.keeper.change_membership(*step, box.clock())
             if index:
                 self.note(box.name, "changes", index, step)
             box.done(actions)
@@ -409,7 +411,10 @@
             world.at(when, world.cuts, cut | ({(b, a) for a, b in cut} if what == "split" else set()))
             world.at(when + lasts, world.cuts, ())
         elif what == "move":
-            world.at(when, lambda n=name: [b.done(b.keeper.moves(n, b.clock())) for b in world.leaders()])
+            world.at(
+                when,
+                lambda n=name: [b.done(b.keeper.transfer_leadership(n, b.clock())) for b in world.leaders()],
+            )
         elif what == "change" and spare:
             for step in range(6):
                 world.at(when + step * 400 * MS, world.change)
@@ -424,18 +429,18 @@
     for name, box in world.boxes.items():
         world.fills(name, False)
         world.pause(name, False)
-        if box.up and box.keeper.failed:
+        if box.up and box.keeper.storage_failed:
             box.crash(chance)
         world.restart(name)
     world.run(world.now + 4 * S)
     world.propose()
     world.run(world.now + 2 * S)
     # By the leader's word: one that was removed while it was away doesn't know of it.
-    voters = {name for box in world.leaders() for name in box.keeper.config().voters}
+    voters = {name for box in world.leaders() for name in box.keeper.configuration().voters}
     world.note("", "voters", sorted(voters))
     for box in world.boxes.values():
         if (name := box.known_as) in voters:
-            world.note(name, "dump", box.keeper.applied, list(box.state))
+            world.note(name, "dump", box.keeper.last_applied, list(box.state))
     return world
 
 
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from sprucegate.fleet.consensus.actions import SendMessage
 from sprucegate.fleet.consensus.durability_check import base
 from sprucegate.fleet.consensus.log_follower import Follow, Follower, Propose, Serving, State
-from sprucegate.fleet.consensus.raft_node import Send
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.leader import Leading, front_lease
@@ -77,7 +77,7 @@
             done = self.serving.heard(sender, message, self.clock())
             return [
                 a._replace(message=a.message._replace(state=msgspec.msgpack.encode(a.message.state)))
-                if isinstance(a, Send) and isinstance(a.message, State)
+                if isinstance(a, SendMessage) and isinstance(a.message, State)
                 else a
                 for a in done
             ]
@@ -132,7 +132,7 @@
 
     def done(self, actions):
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self.world.send(self.name, action.to, action.message)
             elif type(action).__name__ == "Applied":
                 for index, command in action.entries:
@@ -425,7 +425,7 @@
         if isinstance(box, KeeperBox):
             box.full = False
         world.pause(name, False)
-        if isinstance(box, KeeperBox) and box.up and box.keeper.failed:
+        if isinstance(box, KeeperBox) and box.up and box.keeper.storage_failed:
             box.crash(world.chance)
         world.restart(name)
     for cache in world.caches.values():
--- a/tests/fleet/test_fleet_agreement.py
+++ b/tests/fleet/test_fleet_agreement.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from sprucegate.fleet.consensus import raft_node
+from sprucegate.fleet.consensus import messages
+from sprucegate.fleet.consensus.actions import LeadershipChanged, PersistState, ReadIndexReady, SendMessage
 from sprucegate.fleet.consensus.durability_check import (
     ASKS,
     Begins,
@@ -13,25 +14,18 @@
     PutBack,
     takes_in,
 )
-from sprucegate.fleet.consensus.raft_node import (
-    Config,
-    Current,
-    Entry,
-    Keeper,
-    Leads,
-    Role,
-    Send,
-    Vote,
-    VoteAnswer,
-    Write,
-)
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration, LogEntry
+from sprucegate.fleet.consensus.messages import RequestVote, RequestVoteResponse
+from sprucegate.fleet.consensus.raft_node import RaftNode
+from sprucegate.fleet.consensus.raft_state import Role
 from sprucegate.fleet.consensus.storage import Ledger
 from sprucegate.fleet.random_source import RandomSource
+from sprucegate.units import MILLISECOND, SECOND
 from standins.disk import Crashed, FaultyDisk
 from standins.fleet import explore_fitness, explore_keepers, keepers
 from standins.fleet.keepers import broken, played
 
-THREE = Config(("a", "b", "c"), ())
+THREE = ClusterConfiguration(("a", "b", "c"), ())
 
 
 @pytest.mark.parametrize(("size", "loss", "spare"), [(3, 0.0, 0), (3, 0.1, 2), (5, 0.2, 0), (5, 0.05, 1)])
@@ -61,45 +55,45 @@
 
 
 def _vote_given_again(monkeypatch):
-    whole = Keeper._vote
+    whole = RaftNode._on_request_vote
 
     def vote(self, sender, asked, now):
-        if not asked.pre and asked.term == self.term:
-            self.vote, self.role = "", raft_node.Role.FOLLOWER
+        if not asked.pre_vote and asked.term == self.current_term:
+            self.voted_for, self.role = "", Role.FOLLOWER
         return whole(self, sender, asked, now)
 
-    monkeypatch.setattr(Keeper, "_vote", vote)
+    monkeypatch.setattr(RaftNode, "_on_request_vote", vote)
 
 
 def _no_majority_needed(monkeypatch):
-    monkeypatch.setattr(Keeper, "_quorum", lambda self, names: True)
+    monkeypatch.setattr(RaftNode, "_is_quorum", lambda self, names: True)
 
 
 def _read_at_once(monkeypatch):
     def read(self, token, now):
-        return [Current(token, self.committed if self.role is raft_node.Role.LEADER else -1)]
+        return [ReadIndexReady(token, self.commit_index if self.role is Role.LEADER else -1)]
 
-    monkeypatch.setattr(Keeper, "read", read)
+    monkeypatch.setattr(RaftNode, "read_index", read)
     # Without it a leader that stood still steps down before it can be asked.
     monkeypatch.setattr(
-        Keeper,
-        "_quorum",
-        lambda self, names: 2 * len({*names, self.name} & set(self.config().voters))
-        > len(self.config().voters)
-        or self.role is raft_node.Role.LEADER,
+        RaftNode,
+        "_is_quorum",
+        lambda self, names: 2 * len({*names, self.name} & set(self.configuration().voters))
+        > len(self.configuration().voters)
+        or self.role is Role.LEADER,
     )
 
 
 def _counts_itself_before_its_disk(monkeypatch):
-    whole = Keeper._commits
+    whole = RaftNode._advance_commit
 
     def commits(self, now):
-        self.committed = (
-            max(self.committed, self.last()) if self.role is raft_node.Role.LEADER else self.committed
+        self.commit_index = (
+            max(self.commit_index, self.log.last_index()) if self.role is Role.LEADER else self.commit_index
         )
         return whole(self, now)
 
-    monkeypatch.setattr(Keeper, "_commits", commits)
+    monkeypatch.setattr(RaftNode, "_advance_commit", commits)
 
 
 @pytest.mark.parametrize(
@@ -125,91 +119,93 @@
 
 def leader(entries=(), term=1, config=THREE):
     """Keeper a, elected by b; its own and b's disks have all."""
-    made = Keeper("a", config, lambda _: 0.0, 0)
-    made.loaded(term - 1, "", None, list(entries))
-    made.due(made.next_due())
-    now = made.next_due()
-    made.heard("b", VoteAnswer(term, True, True), now)
-    done = made.synced(made.number, now)
-    assert any(isinstance(a, Send) and isinstance(a.message, Vote) for a in done)
-    done = made.heard("b", VoteAnswer(term, False, True), now)
-    assert any(isinstance(a, Leads) and a.on for a in done)
-    made.synced(made.number, now)
+    made = RaftNode("a", config, lambda _: 0.0, 0)
+    made.load(term - 1, "", None, list(entries))
+    made.on_timer(made.next_deadline())
+    now = made.next_deadline()
+    made.on_message("b", RequestVoteResponse(term, True, True), now)
+    done = made.on_persisted(made.write_number, now)
+    assert any(isinstance(a, SendMessage) and isinstance(a.message, RequestVote) for a in done)
+    done = made.on_message("b", RequestVoteResponse(term, False, True), now)
+    assert any(isinstance(a, LeadershipChanged) and a.is_leader for a in done)
+    made.on_persisted(made.write_number, now)
     return made, now
 
 
 def test_a_vote_is_not_said_before_it_is_on_disk_and_given_once():
-    made = Keeper("c", THREE, lambda _: 0.0, 0)
-    done = made.heard("a", Vote(3, 0, 0, False, False), raft_node.S)
-    assert [type(a) for a in done] == [Write, Write] and done[-1].vote == "a"
-    assert [a.message.granted for a in made.synced(2, raft_node.S)] == [True]
-    again = made.heard("b", Vote(3, 5, 2, False, False), raft_node.S)
-    assert [a.message.granted for a in again if isinstance(a, Send)] == [False]
+    made = RaftNode("c", THREE, lambda _: 0.0, 0)
+    done = made.on_message("a", RequestVote(3, 0, 0, False, False), SECOND)
+    assert [type(a) for a in done] == [PersistState, PersistState] and done[-1].voted_for == "a"
+    assert [a.message.vote_granted for a in made.on_persisted(2, SECOND)] == [True]
+    again = made.on_message("b", RequestVote(3, 5, 2, False, False), SECOND)
+    assert [a.message.vote_granted for a in again if isinstance(a, SendMessage)] == [False]
 
 
 def test_one_that_hears_a_leader_helps_nobody_to_depose_it():
-    made = Keeper("c", THREE, lambda _: 0.0, 0)
-    made.heard("a", raft_node.Append(1, 0, 0, [], 0, 1), raft_node.S)
-    made.synced(made.number, raft_node.S)
-    (answer,) = made.heard("b", Vote(9, 9, 9, True, False), raft_node.S + 100 * raft_node.MS)
-    assert not answer.message.granted and made.term == 1
+    made = RaftNode("c", THREE, lambda _: 0.0, 0)
+    made.on_message("a", messages.AppendEntries(1, 0, 0, [], 0, 1), SECOND)
+    made.on_persisted(made.write_number, SECOND)
+    (answer,) = made.on_message("b", RequestVote(9, 9, 9, True, False), SECOND + 100 * MILLISECOND)
+    assert not answer.message.vote_granted and made.current_term == 1
     assert (
-        made.heard("b", Vote(9, 9, 9, False, False), raft_node.S + 100 * raft_node.MS) == []
-        and made.term == 1
+        made.on_message("b", RequestVote(9, 9, 9, False, False), SECOND + 100 * MILLISECOND) == []
+        and made.current_term == 1
     )
 
 
 def test_an_entry_of_an_older_term_is_committed_only_with_one_of_the_leaders_own():
     # Figure 3.7 of the thesis: a majority has it on disk, and it can still be replaced.
-    made, now = leader([Entry(1, 1, "data", "old")], term=3)
-    made.heard("b", raft_node.AppendAnswer(3, True, 1, 0), now)
-    assert made.committed == 0
-    made.heard("b", raft_node.AppendAnswer(3, True, 2, 0), now)
-    assert made.committed == 2
+    made, now = leader([LogEntry(1, 1, "data", "old")], term=3)
+    made.on_message("b", messages.AppendEntriesResponse(3, True, 1, 0), now)
+    assert made.commit_index == 0
+    made.on_message("b", messages.AppendEntriesResponse(3, True, 2, 0), now)
+    assert made.commit_index == 2
 
 
 def test_members_change_one_at_a_time_and_not_before_an_entry_of_the_leaders_own_term():
     made, now = leader()
-    assert made.change(("a", "b", "c"), ("d",), now)[0] == 0  # nothing of its term is committed yet
-    made.heard("b", raft_node.AppendAnswer(1, True, 1, 0), now)
-    assert made.change(("a", "b", "c", "d"), (), now)[0] == 0  # no learner yet
-    assert made.change(("a", "b", "c"), ("d",), now)[0] == 2
-    assert made.change(("a", "b", "c", "d"), (), now)[0] == 0  # the last change is not committed
-    made.synced(made.number, now)
-    made.heard("b", raft_node.AppendAnswer(1, True, 2, 0), now)
-    assert made.change(("a", "d"), (), now)[0] == 0  # two at once
-    assert made.change(("a", "b", "c", "d"), (), now)[0] == 3
+    assert (
+        made.change_membership(("a", "b", "c"), ("d",), now)[0] == 0
+    )  # nothing of its term is committed yet
+    made.on_message("b", messages.AppendEntriesResponse(1, True, 1, 0), now)
+    assert made.change_membership(("a", "b", "c", "d"), (), now)[0] == 0  # no learner yet
+    assert made.change_membership(("a", "b", "c"), ("d",), now)[0] == 2
+    assert made.change_membership(("a", "b", "c", "d"), (), now)[0] == 0  # the last change is not committed
+    made.on_persisted(made.write_number, now)
+    made.on_message("b", messages.AppendEntriesResponse(1, True, 2, 0), now)
+    assert made.change_membership(("a", "d"), (), now)[0] == 0  # two at once
+    assert made.change_membership(("a", "b", "c", "d"), (), now)[0] == 3
 
 
 def test_a_leader_that_hears_no_majority_leads_no_more_and_tells_its_reads():
     made, now = leader()
-    made.heard("b", raft_node.AppendAnswer(1, True, 1, 0), now)
-    made.read("t", now)
-    done = made.due(now + 400 * raft_node.MS)
-    assert Leads(False, 1) in done and Current("t", -1) in done
+    made.on_message("b", messages.AppendEntriesResponse(1, True, 1, 0), now)
+    made.read_index("t", now)
+    done = made.on_timer(now + 400 * MILLISECOND)
+    assert LeadershipChanged(False, 1) in done and ReadIndexReady("t", -1) in done
     assert made.propose("x", now)[0] == 0
 
 
 def test_a_disk_that_fails_ends_leading_and_all_promises():
     made, now = leader()
-    assert Leads(False, 1) in made.not_kept(now)
+    assert LeadershipChanged(False, 1) in made.on_persist_failed(now)
     assert (
-        made.heard("b", Vote(9, 9, 9, False, False), now + raft_node.S) == []
-        and made.due(now + 9 * raft_node.S) == []
+        made.on_message("b", RequestVote(9, 9, 9, False, False), now + SECOND) == []
+        and made.on_timer(now + 9 * SECOND) == []
     )
 
 
 def test_leadership_goes_on_to_one_that_has_the_whole_log():
     made, now = leader()
-    made.heard("b", raft_node.AppendAnswer(1, True, 1, 0), now)
-    assert made.moves("b", now) == [Send("b", raft_node.Stand(1))]
+    made.on_message("b", messages.AppendEntriesResponse(1, True, 1, 0), now)
+    assert made.transfer_leadership("b", now) == [SendMessage("b", messages.TimeoutNow(1))]
     assert made.propose("x", now)[0] == 0
-    other = Keeper("b", THREE, lambda _: 0.0, 0)
-    other.heard("a", raft_node.Append(1, 0, 0, [Entry(1, 1, "nothing", None)], 1, 1), now)
-    other.synced(other.number, now)
-    done = other.heard("a", raft_node.Stand(1), now)
-    done += other.synced(other.number, now)
-    assert {a.to for a in done if isinstance(a, Send) and a.message.moved} == {"a", "c"}
+    other = RaftNode("b", THREE, lambda _: 0.0, 0)
+    other.on_message("a", messages.AppendEntries(1, 0, 0, [LogEntry(1, 1, "nothing", None)], 1, 1), now)
+    other.on_persisted(other.write_number, now)
+    done = other.on_message("a", messages.TimeoutNow(1), now)
+    done += other.on_persisted(other.write_number, now)
+    assert {a.to for a in done if isinstance(a, SendMessage) and a.message.leadership_transfer} == {"a", "c"}
 
 
 def test_every_interleaving_of_three_keepers_to_a_depth_keeps_the_log():
@@ -229,11 +225,11 @@
 
 
 def written(ledger, number, term, vote, cut, entries, snapshot=None):
-    return ledger.write(Write(number, term, vote, cut, entries, snapshot), 0)
+    return ledger.write(PersistState(number, term, vote, cut, entries, snapshot), 0)
 
 
 def entries(first, past, term=1):
-    return [Entry(n, term, "data", ["ask", n]) for n in range(first, past)]
+    return [LogEntry(n, term, "data", ["ask", n]) for n in range(first, past)]
 
 
 def test_a_ledger_gives_back_what_was_written():
@@ -249,17 +245,17 @@
     kept = two.open(0)
     assert (kept.term, kept.vote, kept.refused) == (2, "", [])
     assert kept.entries == entries(1, 4) + entries(4, 6, term=2)
-    config = Config(("k0", "k1"), ("k2",))
+    config = ClusterConfiguration(("k0", "k1"), ("k2",))
     assert written(two, 3, 2, "k0", 4, entries(4, 6, term=2), (3, 1, config, b"state")) is None
-    assert written(two, 4, 2, "k0", 0, [Entry(6, 2, "config", config)]) is None
+    assert written(two, 4, 2, "k0", 0, [LogEntry(6, 2, "config", config)]) is None
     two.close()
     kept = Ledger(two.disk.after_crash(), "/k").open(0)
     assert kept.snapshot == (3, 1, config, b"state")
-    assert kept.entries == [*entries(4, 6, term=2), Entry(6, 2, "config", config)]
+    assert kept.entries == [*entries(4, 6, term=2), LogEntry(6, 2, "config", config)]
 
 
 def test_a_crash_at_any_call_of_the_disk_loses_nothing_that_was_synced():
-    config, at = Config(("k0",), ()), 0
+    config, at = ClusterConfiguration(("k0",), ()), 0
     while True:
         at += 1
         disk, sure = FaultyDisk(seed=at, crash_at=at), 0
@@ -294,7 +290,7 @@
     except OSError:
         return
     for n in range(1, 9):
-        snapshot = (n - 1, 1, Config(("k0",), ()), n) if n == 5 else None
+        snapshot = (n - 1, 1, ClusterConfiguration(("k0",), ()), n) if n == 5 else None
         if written(one, n, 1, "", n if snapshot else 0, entries(n, n + 1), snapshot) is not None:
             break  # the keeper steps down and writes no more
         sure = n
@@ -335,7 +331,7 @@
     while todo and at_most:
         at_most -= 1
         name, action = todo.pop(0)
-        if isinstance(action, Send):
+        if isinstance(action, SendMessage):
             if action.to in keepers:
                 todo += [(action.to, a) for a in keepers[action.to].heard(name, action.message, 0)]
         elif isinstance(action, Keep):
@@ -409,7 +405,7 @@
     # Asked again meanwhile: another write each time would put the answer off for ever.
     assert [type(a) for a in kept] == [Keep] and one.heard("k1", Begins(1, 1, {}), 0) == []
     assert one.kept(0, 0) == []
-    assert one.kept(1, 0) == [Send("k1", Begun(1, 1, True, False, {"k1": (1, 1), "k0": (1, 0)}))]
+    assert one.kept(1, 0) == [SendMessage("k1", Begun(1, 1, True, False, {"k1": (1, 1), "k0": (1, 0)}))]
 
 
 def test_every_interleaving_of_starts_with_a_folder_put_back_to_a_depth(monkeypatch):
@@ -438,15 +434,15 @@
 
 
 def test_a_newcomer_takes_the_place_of_its_former_self_in_three_steps():
-    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
+    keeper = RaftNode("k1", ClusterConfiguration(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
     keeper.role, steps = Role.LEADER, []
     for _ in range(6):
         step = takes_in(keeper, {"k0^9": 0, "stranger": 0}, ("k0", "k1", "k2"), 0)
         if step is None:
             break
         steps.append(step)
-        keeper.base_config = Config(*step)
-        keeper.match["k0^9"] = keeper.committed
+        keeper.log.base_configuration = ClusterConfiguration(*step)
+        keeper.match_index["k0^9"] = keeper.commit_index
     assert steps == [
         (("k0", "k1", "k2"), ("k0^9",)),
         (("k0", "k1", "k2", "k0^9"), ()),
@@ -455,25 +451,31 @@
 
 
 def test_voters_follow_the_names_of_the_file_one_at_a_time():
-    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
+    keeper = RaftNode("k1", ClusterConfiguration(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
     keeper.role = Role.LEADER
     assert takes_in(keeper, {}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ())
-    keeper.base_config = Config(("k1", "k2"), ())
+    keeper.log.base_configuration = ClusterConfiguration(("k1", "k2"), ())
     assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ("k3",))
     assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 9 * 10**9) is None  # it is not there any more
 
 
 def test_one_that_is_left_goes_on_alone_by_an_operators_word():
-    keeper = Keeper("k1", Config(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
-    keeper.loaded(3, "k2", None, entries(1, 4, term=3))
-    writes = keeper.alone()
-    assert keeper.config() == Config(("k1",), ()) and keeper.term == 4 and keeper.last() == 4
-    assert keeper.synced(writes[0].number, 0) == []
-    done = keeper.due(keeper.next_due())
-    number = max(a.number for a in done if isinstance(a, Write))
-    done += keeper.synced(number, 10**9)
-    done += keeper.synced(keeper.number, 10**9)
-    assert any(isinstance(a, Leads) for a in done) and keeper.committed == keeper.last()
+    keeper = RaftNode("k1", ClusterConfiguration(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
+    keeper.load(3, "k2", None, entries(1, 4, term=3))
+    writes = keeper.force_single_voter()
+    assert (
+        keeper.configuration() == ClusterConfiguration(("k1",), ())
+        and keeper.current_term == 4
+        and keeper.log.last_index() == 4
+    )
+    assert keeper.on_persisted(writes[0].number, 0) == []
+    done = keeper.on_timer(keeper.next_deadline())
+    number = max(a.number for a in done if isinstance(a, PersistState))
+    done += keeper.on_persisted(number, 10**9)
+    done += keeper.on_persisted(keeper.write_number, 10**9)
+    assert (
+        any(isinstance(a, LeadershipChanged) for a in done) and keeper.commit_index == keeper.log.last_index()
+    )
 
 
 class Trusting(Fitness):
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -7,6 +7,7 @@
 
 from sprucegate.fleet.consensus import codec, log_follower
 from sprucegate.fleet.consensus.durability_check import Begins, Begun
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration, LogEntry
 from sprucegate.fleet.consensus.log_follower import (
     Applied,
     Entries,
@@ -19,17 +20,15 @@
     State,
     Word,
 )
-from sprucegate.fleet.consensus.raft_node import (
-    Append,
-    AppendAnswer,
-    Config,
-    Entry,
-    Keeper,
-    Stand,
-    Vote,
-    VoteAnswer,
-    Whole,
+from sprucegate.fleet.consensus.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
+from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout import gates
 from sprucegate.fleet.rollout.follower import Words
@@ -651,13 +650,13 @@
 
 
 def serving(now=0):
-    keeper = Keeper("k0", Config(("k0",), ()), RandomSource("k0", 1), now)
+    keeper = RaftNode("k0", ClusterConfiguration(("k0",), ()), RandomSource("k0", 1), now)
     return keeper, Serving(keeper, Rollout())
 
 
 def test_a_keeper_answers_with_entries_or_its_whole_state_and_leads_only_in_touch():
     keeper, one = serving()
-    one.applied([Entry(n, 1, "data", ["front", f"f{n}", 1, True]) for n in range(1, 1500)], 0)
+    one.applied([LogEntry(n, 1, "data", ["front", f"f{n}", 1, True]) for n in range(1, 1500)], 0)
     near = one.heard("x", Follow(1400, 1, 5, []), S)[0].message
     assert [e[0] for e in near.entries] == list(range(1401, 1500)) and not near.leads
     far = one.heard("x", Follow(3, 1, 6, []), S)[0].message
@@ -669,14 +668,14 @@
 
 # On the way.
 
-CONFIG = Config(("k0", "k1"), ())
+CONFIG = ClusterConfiguration(("k0", "k1"), ())
 SAID = [
-    Vote(1, 2, 1, True, False),
-    VoteAnswer(2, True, False),
-    Append(3, 4, 2, [Entry(5, 3, "data", ["ask", "h"]), Entry(6, 3, "config", CONFIG)], 4, 9),
-    AppendAnswer(3, True, 6, 9),
-    Whole(3, 9, 2, CONFIG, b"state", 1),
-    Stand(4),
+    RequestVote(1, 2, 1, True, False),
+    RequestVoteResponse(2, True, False),
+    AppendEntries(3, 4, 2, [LogEntry(5, 3, "data", ["ask", "h"]), LogEntry(6, 3, "config", CONFIG)], 4, 9),
+    AppendEntriesResponse(3, True, 6, 9),
+    InstallSnapshot(3, 9, 2, CONFIG, b"state", 1),
+    TimeoutNow(4),
     Follow(7, 1 << 40, 2, ([("c0", 1, 2, 3, 4, 5, 6)], ["c1"], {"origin": "rests"})),
     Entries(1, 2, [(3, ["ask", "h"]), (4, None)], 5, True, "k1"),
     State(1, 9, [1, 9], True, "k1"),
@@ -701,8 +700,8 @@
         Propose(1, ["once", "q", ["once", "r", ["withdraw", "h"]]]),
         Propose(1, ["once", "", ["withdraw", "h"]]),
         Propose(1, ["ask", "h", "c0", "op", "why", "v2", "2"]),  # a release's own request is no operator's
-        Append(3, 4, 2, [Entry(6, 3, "data", None)], 4, 9),
-        Whole(1, 2, 3, (1, 2), b"", 4),
+        AppendEntries(3, 4, 2, [LogEntry(6, 3, "data", None)], 4, 9),
+        InstallSnapshot(1, 2, 3, (1, 2), b"", 4),
     ],
 )
 def test_a_word_that_would_trip_all_is_refused_at_the_door(said):
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -27,8 +27,8 @@
 from sprucegate import clock
 from sprucegate.discovery import service as membership
 from sprucegate.discovery import view as membership_view
+from sprucegate.fleet.consensus import actions, durability_check, log_entry, log_follower, messages, raft_node
 from sprucegate.fleet.consensus import codec as consensus_codec
-from sprucegate.fleet.consensus import durability_check, log_follower, raft_node
 from sprucegate.fleet.consensus.storage import Ledger
 from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.links import codec
@@ -68,12 +68,12 @@
 
 # Words of the agreed log, as links/agreed numbers them. They travel inside a routed message.
 AGREED_KINDS = {
-    "01-vote": raft_node.Vote,
-    "02-vote-answer": raft_node.VoteAnswer,
-    "03-append": raft_node.Append,
-    "04-append-answer": raft_node.AppendAnswer,
-    "05-whole": raft_node.Whole,
-    "06-stand": raft_node.Stand,
+    "01-vote": messages.RequestVote,
+    "02-vote-answer": messages.RequestVoteResponse,
+    "03-append": messages.AppendEntries,
+    "04-append-answer": messages.AppendEntriesResponse,
+    "05-whole": messages.InstallSnapshot,
+    "06-stand": messages.TimeoutNow,
     "07-follow": log_follower.Follow,
     "08-entries": log_follower.Entries,
     "09-state": log_follower.State,
@@ -116,14 +116,14 @@
     codec.ComponentMessage: "part data",
     codec.Greeting: "format fleet role name address life",
     codec.Question: "what given",
-    raft_node.Vote: "term last last_term pre moved",
-    raft_node.VoteAnswer: "term pre granted",
-    raft_node.Append: "term before before_term entries committed round",
-    raft_node.AppendAnswer: "term ok match round",
-    raft_node.Whole: "term index index_term config state round",
-    raft_node.Stand: "term",
-    raft_node.Entry: "index term kind data",
-    raft_node.Config: "voters learners",
+    messages.RequestVote: "term last_log_index last_log_term pre_vote leadership_transfer",
+    messages.RequestVoteResponse: "term pre_vote vote_granted",
+    messages.AppendEntries: "term prev_log_index prev_log_term entries leader_commit round",
+    messages.AppendEntriesResponse: "term success match_index round",
+    messages.InstallSnapshot: "term last_included_index last_included_term configuration state round",
+    messages.TimeoutNow: "term",
+    log_entry.LogEntry: "index term kind data",
+    log_entry.ClusterConfiguration: "voters learners",
     log_follower.Follow: "index life number report",
     log_follower.Entries: "number before entries committed leads leader",
     log_follower.State: "number index state leads leader",
@@ -298,17 +298,19 @@
     ledger.open(unix_time)
     for number, (term, vote, cut, rows, snapshot) in enumerate(writes, 1):
         entries = [
-            raft_node.Entry(index, at, kind, _entry_data(kind, data)) for index, at, kind, data in rows
+            log_entry.LogEntry(index, at, kind, _entry_data(kind, data)) for index, at, kind, data in rows
         ]
         if snapshot is not None:
             index, at, members, state = snapshot
-            snapshot = index, at, raft_node.Config(*members), state
-        assert ledger.write(raft_node.Write(number, term, vote, cut, entries, snapshot), unix_time) is None
+            snapshot = index, at, log_entry.ClusterConfiguration(*members), state
+        assert (
+            ledger.write(actions.PersistState(number, term, vote, cut, entries, snapshot), unix_time) is None
+        )
     ledger.close()
 
 
 def _entry_data(kind, data):
-    return raft_node.Config(*data) if kind == raft_node.CONFIG else data
+    return log_entry.ClusterConfiguration(*data) if kind == log_entry.CONFIG else data
 
 
 def read_voter_folder(folder, name, unix_time):
@@ -335,9 +337,9 @@
     ledger.begin(name)
     kept = ledger.open(unix_time)
     ledger.close()
-    voter = raft_node.Keeper(name, raft_node.Config((name,), ()), RandomSource(name, 1), 0)
-    voter.loaded(kept.term, kept.vote, kept.snapshot, kept.entries)
-    return voter.term, voter.vote, voter.last(), plain(voter.config())
+    voter = raft_node.RaftNode(name, log_entry.ClusterConfiguration((name,), ()), RandomSource(name, 1), 0)
+    voter.load(kept.term, kept.vote, kept.snapshot, kept.entries)
+    return voter.current_term, voter.voted_for, voter.log.last_index(), plain(voter.configuration())
 
 
 class _Front:
