--- a/sprucegate/fleet/consensus/codec.py
+++ b/sprucegate/fleet/consensus/codec.py
@@ -22,8 +22,8 @@
     log_follower.State,
     log_follower.Propose,
     log_follower.Proposed,
-    durability_check.Begins,
-    durability_check.Begun,
+    durability_check.StartAnnouncement,
+    durability_check.StartConfirmation,
 )
 NUMBERS = {kind: number for number, kind in enumerate(KINDS) if kind}
 SHAPES = {
@@ -38,8 +38,8 @@
     log_follower.State: tuple[int, int, object, bool, str],
     log_follower.Propose: tuple[int, list],
     log_follower.Proposed: tuple[int, int, str, str],
-    durability_check.Begins: tuple[int, int, _Starts],
-    durability_check.Begun: tuple[int, int, bool, bool, _Starts],
+    durability_check.StartAnnouncement: tuple[int, int, _Starts],
+    durability_check.StartConfirmation: tuple[int, int, bool, bool, _Starts],
 }
 _encode = msgspec.msgpack.Encoder().encode
 _decoders = {kind: msgspec.msgpack.Decoder(shape).decode for kind, shape in SHAPES.items()}
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -25,14 +25,13 @@
     SendMessage,
 )
 from sprucegate.fleet.consensus.durability_check import (
-    Begins,
-    Begun,
-    Fit,
-    Fitness,
-    Keep,
-    PutBack,
-    base,
-    takes_in,
+    DurabilityCheck,
+    PersistStarts,
+    StartAnnouncement,
+    StartConfirmation,
+    StorageRolledBack,
+    VotingAllowed,
+    base_name,
 )
 from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
 from sprucegate.fleet.consensus.log_follower import (
@@ -44,6 +43,7 @@
     Serving,
     Word,
 )
+from sprucegate.fleet.consensus.member_replacement import next_membership
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.consensus.raft_state import Role
 from sprucegate.fleet.consensus.storage import ConsensusStorageError, Ledger
@@ -109,7 +109,9 @@
         others = [one for one in self.node.addresses if one != self.base]
         being = int.from_bytes(os.urandom(4), "big")
         # A keeper that ever took part in a vote has a term on its disk.
-        self.fitness = Fitness(name, start, being, others, known, now, self.trusted, green=kept.term == 0)
+        self.fitness = DurabilityCheck(
+            name, start, being, others, known, now, self.trusted, never_voted=kept.term == 0
+        )
         first = (
             ClusterConfiguration(tuple(self.node.addresses), ())
             if name == self.base
@@ -124,7 +126,7 @@
         self.keeper.load(kept.term, kept.vote, kept.snapshot, kept.entries)
         self.serving = Serving(self.keeper, machine)
         self.log("keeper_begins", keeper=name, start=start, term=kept.term, last=self.keeper.log.last_index())
-        if self.fitness.fit:
+        if self.fitness.may_vote:
             self.log("keeper_fit", keeper=name, by="an operator" if self.trusted else "itself alone")
         if self.alone:
             self.alone = False
@@ -138,8 +140,8 @@
     def due(self, now):
         if self.keeper is None:
             return
-        self.do(self.fitness.due(now, self.keeper.name in self.keeper.configuration().voters))
-        if self.keeper is None or not self.fitness.fit:
+        self.do(self.fitness.on_timer(now, self.keeper.name in self.keeper.configuration().voters))
+        if self.keeper is None or not self.fitness.may_vote:
             return
         if self.keeper.next_deadline() <= now:
             self.do(self.keeper.on_timer(now))
@@ -147,7 +149,7 @@
             self.duties_at = now
             for command in self.leading.due(self.serving.heard_from, now):
                 self.do(self.keeper.propose(command, now)[1])
-            if (step := takes_in(self.keeper, self.newcomers, self.node.addresses, now)) is not None:
+            if (step := next_membership(self.keeper, self.newcomers, self.node.addresses, now)) is not None:
                 index, actions = self.keeper.change_membership(*step, now)
                 if index:
                     self.log("keepers_change", voters=list(step[0]), learners=list(step[1]))
@@ -157,13 +159,13 @@
         now = time.monotonic_ns()
         if self.keeper is None:
             return
-        if isinstance(message, Begins | Begun):
-            if isinstance(message, Begins):
+        if isinstance(message, StartAnnouncement | StartConfirmation):
+            if isinstance(message, StartAnnouncement):
                 self.newcomers[sender] = now
-                while len(self.newcomers) > durability_check.KNOWN_MOST:
+                while len(self.newcomers) > durability_check.KNOWN_STARTS_MAX:
                     del self.newcomers[next(iter(self.newcomers))]
-            return self.do(self.fitness.heard(sender, message, now))
-        if not self.fitness.fit or to != self.keeper.name:
+            return self.do(self.fitness.on_message(sender, message, now))
+        if not self.fitness.may_vote or to != self.keeper.name:
             return  # what its former self was told is not its own
         if isinstance(message, Follow | Propose):
             return self.do(self.serving.heard(sender, message, now))
@@ -178,7 +180,7 @@
                     self.send(self.keeper.name, action.to, action.message)
                 case PersistState():
                     self._write(action)
-                case Keep():
+                case PersistStarts():
                     self.writes.append(action)
                     self._next_write()
                 case ApplyEntries():
@@ -209,10 +211,10 @@
                     )
                     if not action.is_leader:
                         todo.extend(self.serving.lost())
-                case Fit():
-                    self.log("keeper_fit", keeper=self.keeper.name, by=action.by)
-                    self.fitness.at = now
-                case PutBack():
+                case VotingAllowed():
+                    self.log("keeper_fit", keeper=self.keeper.name, by=action.confirmed_by)
+                    self.fitness.deadline = now
+                case StorageRolledBack():
                     self.log("keeper_put_back", keeper=self.keeper.name, name=action.name, by=action.by)
                     self.keeper, self.writes = None, deque()
                     self.loop.create_task(self._anew(action.name))
@@ -232,8 +234,8 @@
             self.writing = self.loop.create_task(self._written(self.writes.popleft(), self.keeper))
 
     async def _written(self, action, keeper):
-        if isinstance(action, Keep):
-            fault = await self._disk(self.ledger.knows, action.known)
+        if isinstance(action, PersistStarts):
+            fault = await self._disk(self.ledger.knows, action.known_starts)
         else:
             fault = await self._disk(self.ledger.write, action, clock.unix())
         self.writing = None
@@ -242,8 +244,8 @@
         now = time.monotonic_ns()
         if fault is None:
             self.do(
-                self.fitness.kept(action.number, now)
-                if isinstance(action, Keep)
+                self.fitness.on_persisted(action.number, now)
+                if isinstance(action, PersistStarts)
                 else self.keeper.on_persisted(action.number, now)
             )
             return self._next_write()
@@ -282,7 +284,7 @@
         self.pool.shutdown(wait=False)
 
     def shown(self):
-        if self.keeper is None or not self.fitness.fit:
+        if self.keeper is None or not self.fitness.may_vote:
             return {"name": self.base, "role": "not fit to vote" if self.keeper else "off"}
         config = self.keeper.configuration()
         return {
@@ -424,7 +426,7 @@
 
     def _send(self, sender, to, message):
         number, data = codec.packed(message)
-        process = base(to)
+        process = base_name(to)
         if process == self.name:
             self.loop.call_soon(self.heard, ConsensusFrame(sender, to, number, data))
         else:
@@ -439,14 +441,14 @@
             return self.log("agreed_refused", peer=routed.sender, error=str(fault))
         if isinstance(message, log_follower.Entries | log_follower.State | log_follower.Proposed):
             if self.follower is not None:
-                self._do(self.follower.heard(base(routed.sender), message, time.monotonic_ns()))
+                self._do(self.follower.heard(base_name(routed.sender), message, time.monotonic_ns()))
         elif self.voting is not None:
             self.voting.heard(routed.sender, self._addressed(routed.to, message), message)
 
     def _addressed(self, to, message):
         """A front knows keepers by the file's names; whom it means is whoever votes there now."""
         own = self.voting.keeper.name if self.voting.keeper is not None else ""
-        return own if isinstance(message, Follow | Propose) and base(to) == base(own) else to
+        return own if isinstance(message, Follow | Propose) and base_name(to) == base_name(own) else to
 
     # A front's side.
 
--- a/sprucegate/fleet/consensus/durability_check.py
+++ b/sprucegate/fleet/consensus/durability_check.py
@@ -1,223 +1,265 @@
-"""Whether a keeper may vote by what its folder says, and how one that may not comes back. No I/O, no clock.
+"""Whether a voter may vote by what its folder says, and how one that may not comes back. No I/O, no clock.
 
-A folder that was put back from an older copy, or lost, would have a keeper vote a second time in a term, and forget
-what it had promised. It can't tell by itself; others can: each start is counted on disk and told to the other keepers,
-which keep it, before anything else is said. Whoever tells a start that is not past the one they know is not what it
-was: it comes back under another name, as a member that has promised nothing, and the leader takes it in.
+A voter whose folder was lost, or restored from an older copy, would vote a second time in a term and forget what it had
+promised. It can't tell by itself; others can: each start is counted on disk and announced to the other voters, which
+persist it, before the voter says anything else. Whoever announces a start that isn't later than the one known of it has
+lost state: it comes back under another name, as a member that has promised nothing, and the leader admits it.
 
-A majority is a majority: one whose folder has voted before needs the word of so many others as make a majority with
-itself, and has asked all of them `ASKS` times, so that whoever knows better could have said so. What one keeper knows
-of starts it tells on to all, and whoever asks is told: one that knows can be gone later. A folder that never voted is
-no whole one: it needs most of the others, as all do when a fleet begins, and its own word counts for such alone.
+A voter whose folder has voted before needs as many confirmations as make a majority with itself, and must have asked
+all peers `ANNOUNCEMENTS_MIN` times, so that a peer that knows a later start could have said so. Known starts are passed
+on to all peers, as the one that knows can be gone later. A folder that never voted needs most of its peers, and its own
+confirmation counts only for other such folders.
 
-No longer promised: that a folder put back votes for nothing while none that knows of its later start can be asked.
-One that finds out later stops at once, by the first word of such a one. Two folders put back at one time are not told
-apart.
+Not covered: a restored folder votes where no peer that knows of its later start can be asked; it stops at the first
+message of such a peer. Two folders that are restored at one time are not told apart.
 """
 
 from typing import NamedTuple
 
 from sprucegate.fleet.consensus.actions import SendMessage
-from sprucegate.fleet.consensus.raft_state import Role
-
-MS, S = 1_000_000, 1_000_000_000
-AGAIN = 100 * MS
-ASKS = 6  # turns in which all are asked before some are enough; no time, as one may stand still
-ON = S  # between two words to those that don't know of all starts yet
-HERE = 2 * S  # since a newcomer was last heard
-KNOWN_MOST = 1000
-BETWEEN = "^"  # before what makes a name another one; a twin among fronts has ~ there
+from sprucegate.units import MILLISECOND, SECOND
+
+ANNOUNCEMENT_INTERVAL = 100 * MILLISECOND
+ANNOUNCEMENTS_MIN = 6  # before some peers are enough; a count, as a process may stand still
+GOSSIP_INTERVAL = SECOND  # between announcements to peers that lack a known start
+KNOWN_STARTS_MAX = 1000
+NAME_SEPARATOR = (
+    "^"  # before what distinguishes a later identity of one voter; a twin among fronts has ~ there
+)
 NEVER = 1 << 62
 
+Starts = dict[str, tuple[int, int]]  # voter -> (count of starts, incarnation)
 
-class Begins(NamedTuple):
-    """This keeper's start, for the others to keep, and all that it knows of theirs."""
 
-    start: int
-    being: int
-    known: dict
+class StartAnnouncement(NamedTuple):
+    """A voter's start, for its peers to persist, and all starts that it knows.
+
+    :ivar start_count: how often the folder was opened
+    :ivar incarnation: random number of this start
+    :ivar known_starts: the starts known to the sender, its own among them
+    """
+
+    start_count: int
+    incarnation: int
+    known_starts: Starts
 
 
-class Begun(NamedTuple):
-    """`ok`: it is kept, on disk; else a start as late is known already. `green`: by one that never voted.
+class StartConfirmation(NamedTuple):
+    """The answer to a StartAnnouncement, once the start is on the sender's disk.
 
-    `known`: all starts that this one knows, its own among them.
+    :ivar start_count: as announced
+    :ivar incarnation: as announced
+    :ivar accepted: the start is persisted; else a start as late is known already
+    :ivar never_voted: the sender itself never took part in a vote
+    :ivar known_starts: the starts known to the sender, its own among them
     """
 
-    start: int
-    being: int
-    ok: bool
-    green: bool
-    known: dict
+    start_count: int
+    incarnation: int
+    accepted: bool
+    never_voted: bool
+    known_starts: Starts
+
+
+class VotingAllowed(NamedTuple):
+    """Action: this voter may vote from here on.
 
+    :ivar confirmed_by: the peers that confirmed its start
+    """
+
+    confirmed_by: list[str]
 
-class Fit(NamedTuple):
-    by: list
 
+class StorageRolledBack(NamedTuple):
+    """Action: the folder lost state; set it aside and begin under another name.
 
-class PutBack(NamedTuple):
-    """The folder is not what it was: another name from here on."""
+    :ivar name: the name to be used from here on
+    :ivar by: the peer that knew of a later start
+    """
 
     name: str
     by: str
 
 
-class Keep(NamedTuple):
-    """The starts of others, to be synced; then `kept(number)`."""
+class PersistStarts(NamedTuple):
+    """Action: write the known starts and sync, then call `DurabilityCheck.on_persisted(number)`."""
 
     number: int
-    known: dict
+    known_starts: Starts
 
 
-def base(name):
-    return name.partition(BETWEEN)[0]
+CheckAction = SendMessage | VotingAllowed | StorageRolledBack | PersistStarts
 
 
-class Fitness:
-    def __init__(self, name, start, being, others, known, now, trusted=False, green=False):
-        """`others`: who else votes, by the operator's file; `trusted`: an operator's word that it is whole; `green`: by
-        its folder it never took part in a vote."""
-        self.name, self.start, self.being, self.others, self.known = (
-            name,
-            start,
-            being,
-            list(others),
-            dict(known),
-        )
-        self.trusted, self.green, self.fit = trusted, green, trusted or not others
-        self.by, self.asked, self.at, self.number, self.held = [], 0, now, 0, []
-        self.lack = [] if trusted else list(others)  # who may not know of all starts that this one knows
+def base_name(name: str) -> str:
+    """Return the name by which the operator's file has a voter, without the mark of a later identity."""
+    return name.partition(NAME_SEPARATOR)[0]
+
 
-    def needed(self):
-        """How many others have to say so: most of them where this one was never there, else a majority with itself."""
-        return len(self.others) // 2 + 1 if self.green else (len(self.others) + 1) // 2
+class DurabilityCheck:
+    """One voter's check of its own start, and its answers to its peers. Times in ns on a monotonic clock.
 
-    def next_due(self, member=True):
-        return self.at if not self.fit or not member or self.lack else NEVER
+    :ivar name: the voter's name
+    :ivar start_count: how often its folder was opened
+    :ivar incarnation: random number of this start
+    :ivar peers: the other voters by the operator's file
+    :ivar known_starts: the latest start known of each other voter
+    :ivar trusted: an operator says that the folder is whole
+    :ivar never_voted: by its folder it never took part in a vote
+    :ivar may_vote: the outcome
+    :ivar confirmed_by: peers that confirmed this start
+    :ivar deadline: when the next announcement is due
+    :ivar uninformed_peers: peers that may lack a known start
+    """
 
-    def due(self, now, member=True):
-        """Asks until it is fit; goes on where it is no `member`, to be taken in, or where others lack a start."""
-        if now < self.next_due(member):
+    def __init__(  # noqa: PLR0913  identity, peers and the operator's word are independent inputs
+        self,
+        name: str,
+        start_count: int,
+        incarnation: int,
+        peers: list[str],
+        known_starts: Starts,
+        now: int,
+        trusted: bool = False,
+        never_voted: bool = False,
+    ) -> None:
+        self.name = name
+        self.start_count = start_count
+        self.incarnation = incarnation
+        self.peers = list(peers)
+        self.known_starts = dict(known_starts)
+        self.trusted = trusted
+        self.never_voted = never_voted
+        self.may_vote = trusted or not peers
+        self.confirmed_by: list[str] = []
+        self.announcements = 0
+        self.deadline = now
+        self.write_number = 0
+        self.held_confirmations: list[tuple[int, SendMessage]] = []
+        self.uninformed_peers: list[str] = [] if trusted else list(peers)
+
+    def confirmations_needed(self) -> int:
+        """Return how many peers must confirm: most of them for a new folder, else a majority together with itself."""
+        if self.never_voted:
+            return len(self.peers) // 2 + 1
+        return (len(self.peers) + 1) // 2
+
+    def next_deadline(self, is_member: bool = True) -> int:
+        """Return when `on_timer` is to be called next; `is_member`: whether this name is among the voters."""
+        if not self.may_vote or not is_member or self.uninformed_peers:
+            return self.deadline
+        return NEVER
+
+    def on_timer(self, now: int, is_member: bool = True) -> list[CheckAction]:
+        """Announce the start until voting is allowed, then while this name is no member or peers lack a start."""
+        if now < self.next_deadline(is_member):
             return []
-        if not self.fit:
-            if self.asked >= ASKS and len(self.by) >= self.needed():
-                return self._is_fit()
-            self.asked += 1
-        self.at = now + (ON if self.fit and member else AGAIN)
-        told = Begins(self.start, self.being, self._all())
-        return [
-            SendMessage(name, told) for name in self.others if not self.fit or not member or name in self.lack
-        ]
-
-    def heard(self, sender, message, now):
-        if not self.trusted and self._past(message.known.get(self.name)):
-            return self._put_back(sender)
-        news = self._learns(message.known)
-        if isinstance(message, Begins):
-            return self._begins(sender, message, news)
-        done = self._keeps() if news else []
-        sender = base(sender)
-        if (message.start, message.being) != (self.start, self.being) or sender not in self.others:
-            return done
-        if not message.ok:
-            return done if self.trusted else self._put_back(sender)
-        if sender in self.lack and all(
-            message.known.get(n, (0, 0))[0] >= at for n, (at, _) in self._all().items()
-        ):
-            self.lack.remove(sender)
-        if sender not in self.by and (self.green or not message.green):
-            self.by.append(sender)
-        if not self.fit and len(self.by) == len(self.others):
-            return done + self._is_fit()
-        return done
-
-    def kept(self, number, now):
-        """The starts told of up to that one are on disk: those that told them may know."""
-        done = [send for at, send in self.held if at <= number]
-        self.held = [(at, send) for at, send in self.held if at > number]
-        return done
-
-    def _all(self):
-        return {**self.known, self.name: (self.start, self.being)}
-
-    def _past(self, known):
-        """Whether that start of this one's name is another, and not before its own."""
-        return known is not None and known[0] >= self.start and tuple(known) != (self.start, self.being)
-
-    def _is_fit(self):
-        self.fit = True
-        return [Fit(list(self.by))]
-
-    def _put_back(self, sender):
-        return [PutBack(f"{base(self.name)}{BETWEEN}{self.being:x}", base(sender))]
-
-    def _learns(self, told):
-        """Later starts than those known here; whether there were any."""
+        if not self.may_vote:
+            if (
+                self.announcements >= ANNOUNCEMENTS_MIN
+                and len(self.confirmed_by) >= self.confirmations_needed()
+            ):
+                return self._allow_voting()
+            self.announcements += 1
+        settled = self.may_vote and is_member
+        self.deadline = now + (GOSSIP_INTERVAL if settled else ANNOUNCEMENT_INTERVAL)
+        announcement = StartAnnouncement(self.start_count, self.incarnation, self._all_starts())
+        receivers = [name for name in self.peers if not settled or name in self.uninformed_peers]
+        return [SendMessage(name, announcement) for name in receivers]
+
+    def on_message(
+        self, sender: str, message: StartAnnouncement | StartConfirmation, now: int
+    ) -> list[CheckAction]:
+        """Take a peer's message. A start of this name that isn't before its own means lost state."""
+        if not self.trusted and self._is_later_self(message.known_starts.get(self.name)):
+            return self._roll_back(sender)
+        has_news = self._learn(message.known_starts)
+        if isinstance(message, StartAnnouncement):
+            return self._on_announcement(sender, message, has_news)
+        return self._on_confirmation(base_name(sender), message, has_news)
+
+    def on_persisted(self, number: int, now: int) -> list[CheckAction]:
+        """Known starts up to that write are on disk: send the confirmations that waited for it."""
+        ready: list[CheckAction] = [send for at, send in self.held_confirmations if at <= number]
+        self.held_confirmations = [(at, send) for at, send in self.held_confirmations if at > number]
+        return ready
+
+    def _on_confirmation(self, sender: str, message: StartConfirmation, has_news: bool) -> list[CheckAction]:
+        actions = self._persist_starts() if has_news else []
+        own = (self.start_count, self.incarnation)
+        if (message.start_count, message.incarnation) != own or sender not in self.peers:
+            return actions
+        if not message.accepted:
+            return actions if self.trusted else self._roll_back(sender)
+        if sender in self.uninformed_peers and self._knows_all(message.known_starts):
+            self.uninformed_peers.remove(sender)
+        if sender not in self.confirmed_by and (self.never_voted or not message.never_voted):
+            self.confirmed_by.append(sender)
+        if not self.may_vote and len(self.confirmed_by) == len(self.peers):
+            return actions + self._allow_voting()
+        return actions
+
+    def _on_announcement(self, sender: str, message: StartAnnouncement, has_news: bool) -> list[CheckAction]:
+        known = self.known_starts.get(sender, (0, 0))
+        announced = (message.start_count, message.incarnation)
+        if announced == known:
+            # Repeated while its confirmation waits for the disk: another write each time would postpone it for ever,
+            # as each write makes this voter announce again in turn.
+            actions = self._persist_starts() if has_news else []
+            if any(send.to == sender for _, send in self.held_confirmations):
+                return actions
+            return [*actions, self._confirmation(sender, announced, accepted=True)]
+        if message.start_count <= known[0]:
+            actions = self._persist_starts() if has_news else []
+            return [*actions, self._confirmation(sender, announced, accepted=False)]
+        if len(self.known_starts) >= KNOWN_STARTS_MAX and sender not in self.known_starts:
+            return []  # it can't be kept, so nothing is confirmed
+        self.known_starts[sender] = announced
+        actions = self._persist_starts()
+        self.held_confirmations = [(at, send) for at, send in self.held_confirmations if send.to != sender]
+        self.held_confirmations.append(
+            (self.write_number, self._confirmation(sender, announced, accepted=True))
+        )
+        return actions
+
+    def _confirmation(self, sender: str, announced: tuple[int, int], accepted: bool) -> SendMessage:
+        never_voted = self.never_voted and not self.may_vote
+        return SendMessage(sender, StartConfirmation(*announced, accepted, never_voted, self._all_starts()))
+
+    def _all_starts(self) -> Starts:
+        return {**self.known_starts, self.name: (self.start_count, self.incarnation)}
+
+    def _knows_all(self, starts: Starts) -> bool:
+        return all(starts.get(name, (0, 0))[0] >= count for name, (count, _) in self._all_starts().items())
+
+    def _is_later_self(self, known: tuple[int, int] | None) -> bool:
+        """Return whether that start of this name is another one, and not before its own."""
+        if known is None or known[0] < self.start_count:
+            return False
+        return tuple(known) != (self.start_count, self.incarnation)
+
+    def _allow_voting(self) -> list[CheckAction]:
+        self.may_vote = True
+        return [VotingAllowed(list(self.confirmed_by))]
+
+    def _roll_back(self, sender: str) -> list[CheckAction]:
+        name = f"{base_name(self.name)}{NAME_SEPARATOR}{self.incarnation:x}"
+        return [StorageRolledBack(name, base_name(sender))]
+
+    def _learn(self, starts: Starts) -> bool:
+        """Take over later starts than those known here. Returns whether there were any."""
         news = {
-            name: tuple(one)
-            for name, one in told.items()
-            if name != self.name and one[0] > self.known.get(name, (0, 0))[0]
+            name: tuple(start)
+            for name, start in starts.items()
+            if name != self.name and start[0] > self.known_starts.get(name, (0, 0))[0]
         }
         for name in sorted(news):
-            if name in self.known or len(self.known) < KNOWN_MOST:
-                self.known[name] = news[name]
+            if name in self.known_starts or len(self.known_starts) < KNOWN_STARTS_MAX:
+                self.known_starts[name] = (news[name][0], news[name][1])
         return bool(news)
 
-    def _keeps(self):
-        self.lack = [] if self.trusted else list(self.others)
-        self.at = 0  # told on at once
-        self.number += 1
-        return [Keep(self.number, dict(self.known))]
-
-    def _begins(self, sender, told, news):
-        start, being = self.known.get(sender, (0, 0))
-        own = told.start, told.being
-        if own != (start, being) and told.start <= start:
-            return [
-                *(self._keeps() if news else []),
-                SendMessage(sender, Begun(*own, False, self.green and not self.fit, self._all())),
-            ]
-        if own == (start, being):
-            # Asked again while its answer waits for the disk: one more write each time would put it off for ever,
-            # as each write makes this one ask the others again in turn.
-            done = self._keeps() if news else []
-            return done + ([] if any(s.to == sender for _, s in self.held) else [self._answer(sender, own)])
-        if len(self.known) >= KNOWN_MOST and sender not in self.known:
-            return []  # it can't be kept, so nothing is said
-        self.known[sender] = own
-        keeps = self._keeps()
-        self.held = [(at, send) for at, send in self.held if send.to != sender]
-        self.held.append((self.number, self._answer(sender, own)))
-        return keeps
-
-    def _answer(self, sender, own):
-        return SendMessage(sender, Begun(*own, True, self.green and not self.fit, self._all()))
-
-
-def takes_in(keeper, newcomers, names, now):
-    """(voters, learners) of the next step by which a newcomer takes the place of its former self, or None.
-
-    `newcomers`: name -> when it was last heard; `names`: who is to vote, by the file. One step at a time: it learns, it
-    votes, its former self goes; so does one that the file names no more.
-    """
-    config = keeper.configuration()
-    if keeper.role is not Role.LEADER:
-        return None
-    if dropped := [v for v in config.voters if base(v) not in names and v != keeper.name]:
-        return tuple(v for v in config.voters if v != dropped[0]), config.learners
-    for name in config.voters:
-        older = [v for v in config.voters if v != name and base(v) == base(name) and len(v) < len(name)]
-        if older:
-            return tuple(v for v in config.voters if v != older[0]), config.learners
-        # Put back twice: two names of later selves; the one that is not heard goes.
-        twin = [v for v in config.voters if v != name and base(v) == base(name)]
-        if twin and now - newcomers.get(name, -HERE) > HERE:
-            return tuple(v for v in config.voters if v != name), config.learners
-    for name, at in sorted(newcomers.items()):
-        if now - at > HERE or name in config.voters or base(name) not in names:
-            continue
-        if name not in config.learners:
-            return config.voters, (*[n for n in config.learners if base(n) != base(name)], name)
-        if keeper.match_index.get(name, 0) >= keeper.commit_index:
-            return (*config.voters, name), tuple(n for n in config.learners if n != name)
-    return None
+    def _persist_starts(self) -> list[CheckAction]:
+        self.uninformed_peers = [] if self.trusted else list(self.peers)
+        self.deadline = 0  # passed on at once
+        self.write_number += 1
+        return [PersistStarts(self.write_number, dict(self.known_starts))]
--- a/standins/fleet/explore_fitness.py
+++ b/standins/fleet/explore_fitness.py
@@ -10,7 +10,14 @@
 import sys
 
 from sprucegate.fleet.consensus.actions import SendMessage
-from sprucegate.fleet.consensus.durability_check import ASKS, Fit, Fitness, Keep, PutBack, base
+from sprucegate.fleet.consensus.durability_check import (
+    ANNOUNCEMENTS_MIN,
+    DurabilityCheck,
+    PersistStarts,
+    StorageRolledBack,
+    VotingAllowed,
+    base_name,
+)
 from standins.fleet import exploring
 
 NAMES = ("a", "b", "c")
@@ -38,33 +45,35 @@
         disk = self.disks[name]
         disk[1] += 1
         self.beings += 1
-        self.up[name] = Fitness(
-            disk[0], disk[1], self.beings, [n for n in NAMES if n != name], disk[2], 0, green=disk[3]
+        self.up[name] = DurabilityCheck(
+            disk[0], disk[1], self.beings, [n for n in NAMES if n != name], disk[2], 0, never_voted=disk[3]
         )
 
     def reaches(self, one, other):
         return one in self.up and other in self.up and frozenset((one, other)) not in self.cut
 
     def asks(self, name):
-        now = self.up[name].at
-        for _ in range(ASKS + 1):
+        now = self.up[name].deadline
+        for _ in range(ANNOUNCEMENTS_MIN + 1):
             if name in self.up:
-                now = max(now, self.up[name].at)
-                self.does(name, self.up[name].due(now))
+                now = max(now, self.up[name].deadline)
+                self.does(name, self.up[name].on_timer(now))
 
     def does(self, name, actions):
         for action in actions:
             match action:
-                case SendMessage(to, message) if self.reaches(name, base(to)):
-                    self.does(base(to), self.up[base(to)].heard(self.disks[name][0], message, 0))
-                case Keep():
-                    self.disks[name][2] = dict(action.known)
-                    self.does(name, self.up[name].kept(action.number, 0))
-                case PutBack(other, _):
+                case SendMessage(to, message) if self.reaches(name, base_name(to)):
+                    self.does(
+                        base_name(to), self.up[base_name(to)].on_message(self.disks[name][0], message, 0)
+                    )
+                case PersistStarts():
+                    self.disks[name][2] = dict(action.known_starts)
+                    self.does(name, self.up[name].on_persisted(action.number, 0))
+                case StorageRolledBack(other, _):
                     self.disks[name] = [other, 0, {}, True]
                     self.start(name)
                     return
-                case Fit():
+                case VotingAllowed():
                     self.disks[name][3] = False
                     self.holds(name)
 
@@ -72,10 +81,10 @@
         own = self.up[name]
         for other in NAMES:
             if other != name and self.reaches(name, other):
-                known = self.up[other].known.get(own.name, (0, 0))
-                if known[0] >= own.start and known != (own.start, own.being):
+                known = self.up[other].known_starts.get(own.name, (0, 0))
+                if known[0] >= own.start_count and known != (own.start_count, own.incarnation):
                     raise Broken(
-                        f"{own.name} is fit in its start {own.start}; {other} knows {known}", self.steps
+                        f"{own.name} is fit in its start {own.start_count}; {other} knows {known}", self.steps
                     )
 
     def possible(self):
@@ -109,13 +118,13 @@
                 [
                     (
                         n,
-                        k.start,
-                        k.being,
-                        k.fit,
-                        sorted(k.by),
-                        k.asked,
-                        sorted(k.known.items()),
-                        sorted(k.lack),
+                        k.start_count,
+                        k.incarnation,
+                        k.may_vote,
+                        sorted(k.confirmed_by),
+                        k.announcements,
+                        sorted(k.known_starts.items()),
+                        sorted(k.uninformed_peers),
                     )
                     for n, k in sorted(self.up.items())
                 ],
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -17,16 +17,16 @@
     SendMessage,
 )
 from sprucegate.fleet.consensus.durability_check import (
-    Begins,
-    Begun,
-    Fit,
-    Fitness,
-    Keep,
-    PutBack,
-    base,
-    takes_in,
+    DurabilityCheck,
+    PersistStarts,
+    StartAnnouncement,
+    StartConfirmation,
+    StorageRolledBack,
+    VotingAllowed,
+    base_name,
 )
 from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
+from sprucegate.fleet.consensus.member_replacement import next_membership
 from sprucegate.fleet.consensus.messages import RequestVoteResponse
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.random_source import RandomSource
@@ -74,8 +74,8 @@
             elif record.truncate_from:
                 entries = [e for e in entries if e.index < record.truncate_from]
             entries += record.entries
-        self.fitness = Fitness(
-            self.known_as, self.starts, being, others, self.known, self.clock(), green=term == 0
+        self.fitness = DurabilityCheck(
+            self.known_as, self.starts, being, others, self.known, self.clock(), never_voted=term == 0
         )
         chance = RandomSource(self.name, self.world.seed + self.generation)
         config = self.config if self.known_as == self.name else ClusterConfiguration((), ())
@@ -104,14 +104,14 @@
         world = self.world
         for action in actions:
             match action:
-                case PutBack():
+                case StorageRolledBack():
                     world.note(self.name, "put-back", action.name)
                     self.crash(world.chance)
                     self.known_as, self.starts, self.known, self.disk = action.name, 0, {}, []
                     return self.start()
-                case Fit():
+                case VotingAllowed():
                     world.note(self.name, "fit", self.known_as)
-                case Keep():
+                case PersistStarts():
                     world.later(MS, self, self._known, self.generation, action)
                 case SendMessage():
                     if (
@@ -168,11 +168,11 @@
         pass
 
     def comes(self, sender, to, message):
-        if isinstance(message, Begins | Begun):
-            if isinstance(message, Begins):
+        if isinstance(message, StartAnnouncement | StartConfirmation):
+            if isinstance(message, StartAnnouncement):
                 self.newcomers[sender] = self.clock()
-            return self.fitness.heard(sender, message, self.clock())
-        if not self.fitness.fit or to != self.keeper.name:
+            return self.fitness.on_message(sender, message, self.clock())
+        if not self.fitness.may_vote or to != self.keeper.name:
             return []  # what its former self was told is not its own
         return self.keeper.on_message(sender, message, self.clock())
 
@@ -186,20 +186,20 @@
     def _known(self, generation, action):
         if generation != self.generation or not self.up or self.full:
             return []
-        self.known = action.known
-        self.world.note(self.name, "knows", action.known)
-        return self.fitness.kept(action.number, self.clock())
+        self.known = action.known_starts
+        self.world.note(self.name, "knows", action.known_starts)
+        return self.fitness.on_persisted(action.number, self.clock())
 
     def due(self):
         """What it says by itself: it asks whether it may vote; as a leader it takes in who came back as another."""
         now, keeper = self.clock(), self.keeper
-        done = self.fitness.due(now, keeper.name in keeper.configuration().voters)
-        if not self.fitness.fit:
+        done = self.fitness.on_timer(now, keeper.name in keeper.configuration().voters)
+        if not self.fitness.may_vote:
             return done
         if keeper.next_deadline() <= now:
             done += keeper.on_timer(now)
-            names = {base(name) for name in keeper.configuration().voters}
-            if (step := takes_in(keeper, self.newcomers, names, now)) is not None:
+            names = {base_name(name) for name in keeper.configuration().voters}
+            if (step := next_membership(keeper, self.newcomers, names, now)) is not None:
                 index, actions = keeper.change_membership(*step, now)
                 if index:
                     self.world.note(keeper.name, "changes", index, step)
@@ -207,8 +207,8 @@
         return done
 
     def next_due(self):
-        due = self.fitness.next_due(self.keeper.name in self.keeper.configuration().voters)
-        return min(self.keeper.next_deadline(), due) if self.fitness.fit else due
+        due = self.fitness.next_deadline(self.keeper.name in self.keeper.configuration().voters)
+        return min(self.keeper.next_deadline(), due) if self.fitness.may_vote else due
 
     def _not_kept(self, generation):
         return (
@@ -255,7 +255,7 @@
         heapq.heappush(self.events, (when, next(self.order), action, given))
 
     def send(self, sender, to, message):
-        if (base(sender), base(to)) in self.cut or base(to) not in self.boxes:
+        if (base_name(sender), base_name(to)) in self.cut or base_name(to) not in self.boxes:
             return
         for _ in range(2 if self.chance.random() < self.loss / 3 else 1):
             if self.chance.random() >= self.loss:
@@ -266,7 +266,7 @@
                 )
 
     def _comes(self, sender, to, message):
-        box = self.boxes[base(to)]
+        box = self.boxes[base_name(to)]
         if box.up:
             # By call, so that one that stood still takes what came at the time when it wakes.
             box.event(box.comes, sender, to, message)
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from sprucegate.fleet.consensus.actions import SendMessage
-from sprucegate.fleet.consensus.durability_check import base
+from sprucegate.fleet.consensus.durability_check import base_name
 from sprucegate.fleet.consensus.log_follower import Follow, Follower, Propose, Serving, State
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout.follower import Words
@@ -72,7 +72,7 @@
 
     def comes(self, sender, to, message):
         if isinstance(message, Follow | Propose):
-            if not self.fitness.fit:
+            if not self.fitness.may_vote:
                 return []
             done = self.serving.heard(sender, message, self.clock())
             return [
@@ -128,7 +128,7 @@
             self.done(action(*given) or [])
 
     def comes(self, sender, to, message):
-        return self.follower.heard(base(sender), message, self.clock())
+        return self.follower.heard(base_name(sender), message, self.clock())
 
     def done(self, actions):
         for action in actions:
--- a/tests/fleet/test_fleet_agreement.py
+++ b/tests/fleet/test_fleet_agreement.py
@@ -5,16 +5,16 @@
 from sprucegate.fleet.consensus import messages
 from sprucegate.fleet.consensus.actions import LeadershipChanged, PersistState, ReadIndexReady, SendMessage
 from sprucegate.fleet.consensus.durability_check import (
-    ASKS,
-    Begins,
-    Begun,
-    Fit,
-    Fitness,
-    Keep,
-    PutBack,
-    takes_in,
+    ANNOUNCEMENTS_MIN,
+    DurabilityCheck,
+    PersistStarts,
+    StartAnnouncement,
+    StartConfirmation,
+    StorageRolledBack,
+    VotingAllowed,
 )
 from sprucegate.fleet.consensus.log_entry import ClusterConfiguration, LogEntry
+from sprucegate.fleet.consensus.member_replacement import next_membership
 from sprucegate.fleet.consensus.messages import RequestVote, RequestVoteResponse
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.consensus.raft_state import Role
@@ -313,7 +313,7 @@
 
 def fits(*names, **given):
     return {
-        name: Fitness(name, 1, at, [n for n in names if n != name], {}, 0, **given)
+        name: DurabilityCheck(name, 1, at, [n for n in names if n != name], {}, 0, **given)
         for at, name in enumerate(names)
     }
 
@@ -322,7 +322,7 @@
     """Messages carried until there are none; what each keeper came to."""
     events, todo = {}, []
     for _ in range(turns):
-        todo += [(n, a) for n, k in keepers.items() for a in k.due(k.at)]
+        todo += [(n, a) for n, k in keepers.items() for a in k.on_timer(k.deadline)]
         _carried(keepers, todo, events, at_most)
     return events
 
@@ -333,27 +333,33 @@
         name, action = todo.pop(0)
         if isinstance(action, SendMessage):
             if action.to in keepers:
-                todo += [(action.to, a) for a in keepers[action.to].heard(name, action.message, 0)]
-        elif isinstance(action, Keep):
-            todo += [(name, a) for a in keepers[name].kept(action.number, 0)]
+                todo += [(action.to, a) for a in keepers[action.to].on_message(name, action.message, 0)]
+        elif isinstance(action, PersistStarts):
+            todo += [(name, a) for a in keepers[name].on_persisted(action.number, 0)]
         else:
             events.setdefault(name, []).append(action)
 
 
 def test_keepers_that_begin_together_are_fit_by_each_others_word():
-    keepers = fits("k0", "k1", "k2", green=True)
-    assert {n: type(e[0]) for n, e in told(keepers).items()} == {"k0": Fit, "k1": Fit, "k2": Fit}
+    keepers = fits("k0", "k1", "k2", never_voted=True)
+    assert {n: type(e[0]) for n, e in told(keepers).items()} == {
+        "k0": VotingAllowed,
+        "k1": VotingAllowed,
+        "k2": VotingAllowed,
+    }
 
 
-@pytest.mark.parametrize("start, being, said", [(2, 9, Fit), (1, 9, PutBack), (1, 0, Fit)])
+@pytest.mark.parametrize(
+    "start, being, said", [(2, 9, VotingAllowed), (1, 9, StorageRolledBack), (1, 0, VotingAllowed)]
+)
 def test_a_start_that_others_know_already_is_no_new_one(start, being, said):
     keepers = fits("k0", "k1", "k2")
     told(keepers)
     # A folder that was lost or put back counts its start as one that was; the very same question again is no other.
-    keepers["k0"] = Fitness("k0", start, being, ["k1", "k2"], {}, 0)
+    keepers["k0"] = DurabilityCheck("k0", start, being, ["k1", "k2"], {}, 0)
     found = told({n: keepers[n] for n in ("k0", "k1", "k2")})["k0"][0]
     assert type(found) is said
-    if said is PutBack:
+    if said is StorageRolledBack:
         assert found.name == "k0^9"
 
 
@@ -366,52 +372,65 @@
 ):
     # Two of three were killed and one came back: it waited for the third for ever, though two are a majority.
     keepers = {
-        "k0": Fitness("k0", 2, 9, ["k1", "k2"], {}, 0, green=green),
-        "k1": Fitness("k1", 2, 8, ["k0", "k2"], {}, 0, green=other_green),
+        "k0": DurabilityCheck("k0", 2, 9, ["k1", "k2"], {}, 0, never_voted=green),
+        "k1": DurabilityCheck("k1", 2, 8, ["k0", "k2"], {}, 0, never_voted=other_green),
     }
-    assert told(keepers, turns=ASKS) == {}  # whoever knows better has had no time to say so
+    assert told(keepers, turns=ANNOUNCEMENTS_MIN) == {}  # whoever knows better has had no time to say so
     assert bool(told(keepers, turns=1).get("k0")) is fit
-    assert Fitness("k0", 1, 1, ["k1", "k2"], {}, 0, trusted=True, green=True).fit
+    assert DurabilityCheck("k0", 1, 1, ["k1", "k2"], {}, 0, trusted=True, never_voted=True).may_vote
 
 
 def test_what_one_knows_of_starts_goes_on_to_all_and_reaches_one_that_was_away():
     keepers = fits("k0", "k1", "k2")
     told(keepers)
     away = keepers.pop("k2")
-    keepers["k0"] = Fitness("k0", 2, 9, ["k1", "k2"], {"k1": (1, 1), "k2": (1, 2)}, 0)
-    assert Fit in map(type, told(keepers, turns=ASKS + 1)["k0"])
+    keepers["k0"] = DurabilityCheck("k0", 2, 9, ["k1", "k2"], {"k1": (1, 1), "k2": (1, 2)}, 0)
+    assert VotingAllowed in map(type, told(keepers, turns=ANNOUNCEMENTS_MIN + 1)["k0"])
     # The one that started anew is gone before the third is back: by the second's word it knows of that start.
     del keepers["k0"]
-    keepers["k2"] = Fitness("k2", 2, 7, ["k0", "k1"], away.known, 0)
-    assert Fit in map(type, told(keepers, turns=ASKS + 1)["k2"]) and keepers["k2"].known["k0"] == (2, 9)
+    keepers["k2"] = DurabilityCheck("k2", 2, 7, ["k0", "k1"], away.known_starts, 0)
+    assert VotingAllowed in map(type, told(keepers, turns=ANNOUNCEMENTS_MIN + 1)["k2"]) and keepers[
+        "k2"
+    ].known_starts["k0"] == (2, 9)
     del keepers["k1"]
-    keepers["k0"] = Fitness("k0", 2, 5, ["k1", "k2"], {}, 0)
-    assert {type(e) for e in told(keepers)["k0"]} == {PutBack}
-    assert keepers["k2"].lack == ["k0"]  # it goes on to tell, and only to whom it has not told
+    keepers["k0"] = DurabilityCheck("k0", 2, 5, ["k1", "k2"], {}, 0)
+    assert {type(e) for e in told(keepers)["k0"]} == {StorageRolledBack}
+    assert keepers["k2"].uninformed_peers == ["k0"]  # it goes on to tell, and only to whom it has not told
 
 
 def test_one_that_is_fit_and_hears_of_a_later_start_of_its_own_stops_at_once():
-    one = Fitness("k0", 2, 9, ["k1", "k2"], {}, 0)
-    one.fit = True
-    assert one.heard("k2", Begins(1, 7, {"k0": (2, 5)}), 0) == [PutBack("k0^9", "k2")]
-    assert one.heard("k2", Begun(2, 9, False, False, {}), 0) == [PutBack("k0^9", "k2")]
-    trusted = Fitness("k0", 2, 9, ["k1", "k2"], {}, 0, trusted=True)
-    assert not any(isinstance(a, PutBack) for a in trusted.heard("k2", Begins(1, 7, {"k0": (2, 5)}), 0))
+    one = DurabilityCheck("k0", 2, 9, ["k1", "k2"], {}, 0)
+    one.may_vote = True
+    assert one.on_message("k2", StartAnnouncement(1, 7, {"k0": (2, 5)}), 0) == [
+        StorageRolledBack("k0^9", "k2")
+    ]
+    assert one.on_message("k2", StartConfirmation(2, 9, False, False, {}), 0) == [
+        StorageRolledBack("k0^9", "k2")
+    ]
+    trusted = DurabilityCheck("k0", 2, 9, ["k1", "k2"], {}, 0, trusted=True)
+    assert not any(
+        isinstance(a, StorageRolledBack)
+        for a in trusted.on_message("k2", StartAnnouncement(1, 7, {"k0": (2, 5)}), 0)
+    )
 
 
 def test_a_start_is_confirmed_only_once_it_is_on_disk():
     one = fits("k0", "k1")["k0"]
-    kept = one.heard("k1", Begins(1, 1, {}), 0)
+    kept = one.on_message("k1", StartAnnouncement(1, 1, {}), 0)
     # Asked again meanwhile: another write each time would put the answer off for ever.
-    assert [type(a) for a in kept] == [Keep] and one.heard("k1", Begins(1, 1, {}), 0) == []
-    assert one.kept(0, 0) == []
-    assert one.kept(1, 0) == [SendMessage("k1", Begun(1, 1, True, False, {"k1": (1, 1), "k0": (1, 0)}))]
+    assert [type(a) for a in kept] == [PersistStarts] and one.on_message(
+        "k1", StartAnnouncement(1, 1, {}), 0
+    ) == []
+    assert one.on_persisted(0, 0) == []
+    assert one.on_persisted(1, 0) == [
+        SendMessage("k1", StartConfirmation(1, 1, True, False, {"k1": (1, 1), "k0": (1, 0)}))
+    ]
 
 
 def test_every_interleaving_of_starts_with_a_folder_put_back_to_a_depth(monkeypatch):
     assert explore_fitness.explored(6) > 1000
     # Seen to fail: by whoever knows better nothing is refused.
-    monkeypatch.setattr(explore_fitness, "Fitness", Trusting)
+    monkeypatch.setattr(explore_fitness, "DurabilityCheck", Trusting)
     with pytest.raises(explore_fitness.Broken, match="knows"):
         explore_fitness.explored(7)
 
@@ -422,12 +441,14 @@
 
 
 def test_the_checkers_of_starts_cry_out(monkeypatch):
-    monkeypatch.setattr(Fitness, "needed", lambda self: len(self.others))  # as it was: both others of three
+    monkeypatch.setattr(
+        DurabilityCheck, "confirmations_needed", lambda self: len(self.peers)
+    )  # as it was: both others of three
     assert "majority_waits" in {
         name for seed in (16, 17) for name, _ in broken(played(seed, 3, back=1).trace)
     }
     monkeypatch.undo()
-    monkeypatch.setattr(keepers, "Fitness", Trusting)
+    monkeypatch.setattr(keepers, "DurabilityCheck", Trusting)
     assert "fit_though_known" in {
         name for seed in (0, 1) for name, _ in broken(played(seed, 3, back=1).trace)
     }
@@ -437,7 +458,7 @@
     keeper = RaftNode("k1", ClusterConfiguration(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
     keeper.role, steps = Role.LEADER, []
     for _ in range(6):
-        step = takes_in(keeper, {"k0^9": 0, "stranger": 0}, ("k0", "k1", "k2"), 0)
+        step = next_membership(keeper, {"k0^9": 0, "stranger": 0}, ("k0", "k1", "k2"), 0)
         if step is None:
             break
         steps.append(step)
@@ -453,10 +474,12 @@
 def test_voters_follow_the_names_of_the_file_one_at_a_time():
     keeper = RaftNode("k1", ClusterConfiguration(("k0", "k1", "k2"), ()), RandomSource("k1", 1), 0)
     keeper.role = Role.LEADER
-    assert takes_in(keeper, {}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ())
+    assert next_membership(keeper, {}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ())
     keeper.log.base_configuration = ClusterConfiguration(("k1", "k2"), ())
-    assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ("k3",))
-    assert takes_in(keeper, {"k3": 0}, ("k1", "k2", "k3"), 9 * 10**9) is None  # it is not there any more
+    assert next_membership(keeper, {"k3": 0}, ("k1", "k2", "k3"), 0) == (("k1", "k2"), ("k3",))
+    assert (
+        next_membership(keeper, {"k3": 0}, ("k1", "k2", "k3"), 9 * 10**9) is None
+    )  # it is not there any more
 
 
 def test_one_that_is_left_goes_on_alone_by_an_operators_word():
@@ -478,16 +501,16 @@
     )
 
 
-class Trusting(Fitness):
+class Trusting(DurabilityCheck):
     """A keeper that goes by whatever its folder says."""
 
-    def _put_back(self, sender):
+    def _roll_back(self, sender):
         return []
 
-    def _past(self, known):
+    def _is_later_self(self, known):
         return False
 
-    def needed(self):
+    def confirmations_needed(self):
         return 0
 
 
@@ -495,7 +518,7 @@
 def test_a_folder_that_is_trusted_breaks_what_one_that_is_asked_about_keeps(seed, monkeypatch):
     trace = played(seed, 3, (0.0, 0.1, 0.3)[seed % 3]).trace
     assert not broken(trace) and any(what == "put-back" for _, _, what, *_ in trace)
-    monkeypatch.setattr(keepers, "Fitness", Trusting)
+    monkeypatch.setattr(keepers, "DurabilityCheck", Trusting)
     trace = played(seed, 3, (0.0, 0.1, 0.3)[seed % 3]).trace
     found = {check.__name__ for check in keepers.ALL if check(trace)}
     assert found & {"lost", "applied_apart", "stale_reads", "votes_twice"}
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -6,7 +6,7 @@
 import pytest
 
 from sprucegate.fleet.consensus import codec, log_follower
-from sprucegate.fleet.consensus.durability_check import Begins, Begun
+from sprucegate.fleet.consensus.durability_check import StartAnnouncement, StartConfirmation
 from sprucegate.fleet.consensus.log_entry import ClusterConfiguration, LogEntry
 from sprucegate.fleet.consensus.log_follower import (
     Applied,
@@ -681,8 +681,8 @@
     State(1, 9, [1, 9], True, "k1"),
     Propose(1, ["halt", "v2", "op", "why"]),
     Proposed(1, 0, "", "k1"),
-    Begins(2, 77, {"k1": (3, 5)}),
-    Begun(2, 77, False, True, {}),
+    StartAnnouncement(2, 77, {"k1": (3, 5)}),
+    StartConfirmation(2, 77, False, True, {}),
 ]
 
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -79,8 +79,8 @@
     "09-state": log_follower.State,
     "10-propose": log_follower.Propose,
     "11-proposed": log_follower.Proposed,
-    "12-begins": durability_check.Begins,
-    "13-begun": durability_check.Begun,
+    "12-begins": durability_check.StartAnnouncement,
+    "13-begun": durability_check.StartConfirmation,
 }
 
 # Words on shares, as shares/part numbers them. They travel inside a word for a part of the fleet.
@@ -129,8 +129,8 @@
     log_follower.State: "number index state leads leader",
     log_follower.Propose: "number command",
     log_follower.Proposed: "number index word leader",
-    durability_check.Begins: "start being known",
-    durability_check.Begun: "start being ok green known",
+    durability_check.StartAnnouncement: "start_count incarnation known_starts",
+    durability_check.StartConfirmation: "start_count incarnation accepted never_voted known_starts",
     terms.Need: "life steward turn number echo grant old held rows",
     terms.Lent: "turn number stamp grant rows",
     terms.Asks: "life size",
