--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -16,16 +16,24 @@
 from sprucegate import clock
 from sprucegate.fleet.components import FleetComponent
 from sprucegate.fleet.consensus import codec, durability_check, log_follower
+from sprucegate.fleet.consensus.actions import (
+    ApplyEntries,
+    LeadershipChanged,
+    PersistState,
+    ReadIndexReady,
+    RestoreSnapshot,
+    SendMessage,
+)
 from sprucegate.fleet.consensus.durability_check import (
-    Begins,
-    Begun,
-    Fit,
-    Fitness,
-    Keep,
-    PutBack,
-    base,
-    takes_in,
+    DurabilityCheck,
+    PersistStarts,
+    StartAnnouncement,
+    StartConfirmation,
+    StorageRolledBack,
+    VotingAllowed,
+    base_name,
 )
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
 from sprucegate.fleet.consensus.log_follower import (
     Applied,
     Follow,
@@ -35,7 +43,9 @@
     Serving,
     Word,
 )
-from sprucegate.fleet.consensus.raft_node import Apply, Config, Current, Install, Keeper, Leads, Send, Write
+from sprucegate.fleet.consensus.member_replacement import next_membership
+from sprucegate.fleet.consensus.raft_node import RaftNode
+from sprucegate.fleet.consensus.raft_state import Role
 from sprucegate.fleet.consensus.storage import ConsensusStorageError, Ledger
 from sprucegate.fleet.links.codec import ConsensusFrame
 from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
@@ -57,6 +67,13 @@
 COMPACT = 2000  # entries after which a snapshot is made
 PATIENCE = 2 * S  # of an operator's request
 SHOWN_MOST = 500  # permits in one answer
+# The words of operators' answers for a voter's role.
+ROLE_WORDS = {
+    Role.FOLLOWER: "follower",
+    Role.PRE_CANDIDATE: "asking",
+    Role.CANDIDATE: "candidate",
+    Role.LEADER: "leader",
+}
 
 
 class Voting:
@@ -92,23 +109,29 @@
         others = [one for one in self.node.addresses if one != self.base]
         being = int.from_bytes(os.urandom(4), "big")
         # A keeper that ever took part in a vote has a term on its disk.
-        self.fitness = Fitness(name, start, being, others, known, now, self.trusted, green=kept.term == 0)
-        first = Config(tuple(self.node.addresses), ()) if name == self.base else Config((), ())
-        self.keeper = Keeper(name, first, RandomSource(name, self.seed ^ being), now)
+        self.fitness = DurabilityCheck(
+            name, start, being, others, known, now, self.trusted, never_voted=kept.term == 0
+        )
+        first = (
+            ClusterConfiguration(tuple(self.node.addresses), ())
+            if name == self.base
+            else ClusterConfiguration((), ())
+        )
+        self.keeper = RaftNode(name, first, RandomSource(name, self.seed ^ being), now)
         machine = Rollout()
         if kept.snapshot is not None and not machine.loaded(msgspec.msgpack.decode(kept.snapshot[3])):
             self.log("keeper_off", error="the state is of another format")
             self.keeper = None
             return
-        self.keeper.loaded(kept.term, kept.vote, kept.snapshot, kept.entries)
+        self.keeper.load(kept.term, kept.vote, kept.snapshot, kept.entries)
         self.serving = Serving(self.keeper, machine)
-        self.log("keeper_begins", keeper=name, start=start, term=kept.term, last=self.keeper.last())
-        if self.fitness.fit:
+        self.log("keeper_begins", keeper=name, start=start, term=kept.term, last=self.keeper.log.last_index())
+        if self.fitness.may_vote:
             self.log("keeper_fit", keeper=name, by="an operator" if self.trusted else "itself alone")
         if self.alone:
             self.alone = False
-            self.log("keeper_alone", keeper=name, last=self.keeper.last())
-            self.do(self.keeper.alone())
+            self.log("keeper_alone", keeper=name, last=self.keeper.log.last_index())
+            self.do(self.keeper.force_single_voter())
 
     def _opened(self):
         name, start = self.ledger.begin(self.base)
@@ -117,17 +140,17 @@
     def due(self, now):
         if self.keeper is None:
             return
-        self.do(self.fitness.due(now, self.keeper.name in self.keeper.config().voters))
-        if self.keeper is None or not self.fitness.fit:
+        self.do(self.fitness.on_timer(now, self.keeper.name in self.keeper.configuration().voters))
+        if self.keeper is None or not self.fitness.may_vote:
             return
-        if self.keeper.next_due() <= now:
-            self.do(self.keeper.due(now))
+        if self.keeper.next_deadline() <= now:
+            self.do(self.keeper.on_timer(now))
         if self.leading is not None and now - self.duties_at >= DUTIES * S:
             self.duties_at = now
             for command in self.leading.due(self.serving.heard_from, now):
                 self.do(self.keeper.propose(command, now)[1])
-            if (step := takes_in(self.keeper, self.newcomers, self.node.addresses, now)) is not None:
-                index, actions = self.keeper.change(*step, now)
+            if (step := next_membership(self.keeper, self.newcomers, self.node.addresses, now)) is not None:
+                index, actions = self.keeper.change_membership(*step, now)
                 if index:
                     self.log("keepers_change", voters=list(step[0]), learners=list(step[1]))
                 self.do(actions)
@@ -136,31 +159,31 @@
         now = time.monotonic_ns()
         if self.keeper is None:
             return
-        if isinstance(message, Begins | Begun):
-            if isinstance(message, Begins):
+        if isinstance(message, StartAnnouncement | StartConfirmation):
+            if isinstance(message, StartAnnouncement):
                 self.newcomers[sender] = now
-                while len(self.newcomers) > durability_check.KNOWN_MOST:
+                while len(self.newcomers) > durability_check.KNOWN_STARTS_MAX:
                     del self.newcomers[next(iter(self.newcomers))]
-            return self.do(self.fitness.heard(sender, message, now))
-        if not self.fitness.fit or to != self.keeper.name:
+            return self.do(self.fitness.on_message(sender, message, now))
+        if not self.fitness.may_vote or to != self.keeper.name:
             return  # what its former self was told is not its own
         if isinstance(message, Follow | Propose):
             return self.do(self.serving.heard(sender, message, now))
-        self.do(self.keeper.heard(sender, message, now))
+        self.do(self.keeper.on_message(sender, message, now))
 
     def do(self, actions):
         todo = deque(actions)
         while todo:
             action, now = todo.popleft(), time.monotonic_ns()
             match action:
-                case Send():
+                case SendMessage():
                     self.send(self.keeper.name, action.to, action.message)
-                case Write():
+                case PersistState():
                     self._write(action)
-                case Keep():
+                case PersistStarts():
                     self.writes.append(action)
                     self._next_write()
-                case Apply():
+                case ApplyEntries():
                     sends, granted = self.serving.applied(action.entries, now)
                     for permit in granted:
                         if self.leading is not None:
@@ -172,29 +195,31 @@
                                 index=permit.index,
                             )
                     todo.extend(sends)
-                    if self.keeper.applied - self.keeper.base >= COMPACT:
+                    if self.keeper.last_applied - self.keeper.log.base_index >= COMPACT:
                         state = msgspec.msgpack.encode(self.serving.machine.told())
-                        todo.extend(self.keeper.compacted(self.keeper.applied, state))
-                case Install():
+                        todo.extend(self.keeper.compact_log(self.keeper.last_applied, state))
+                case RestoreSnapshot():
                     self.serving.installed(action.index, msgspec.msgpack.decode(action.state))
-                case Leads():
+                case LeadershipChanged():
                     self.log(
-                        "keeper_leads" if action.on else "keeper_leads_no_more",
+                        "keeper_leads" if action.is_leader else "keeper_leads_no_more",
                         keeper=self.keeper.name,
                         term=action.term,
                     )
-                    self.leading = Leading(self.serving.machine, now, self.node.gate) if action.on else None
-                    if not action.on:
+                    self.leading = (
+                        Leading(self.serving.machine, now, self.node.gate) if action.is_leader else None
+                    )
+                    if not action.is_leader:
                         todo.extend(self.serving.lost())
-                case Fit():
-                    self.log("keeper_fit", keeper=self.keeper.name, by=action.by)
-                    self.fitness.at = now
-                case PutBack():
+                case VotingAllowed():
+                    self.log("keeper_fit", keeper=self.keeper.name, by=action.confirmed_by)
+                    self.fitness.deadline = now
+                case StorageRolledBack():
                     self.log("keeper_put_back", keeper=self.keeper.name, name=action.name, by=action.by)
                     self.keeper, self.writes = None, deque()
                     self.loop.create_task(self._anew(action.name))
                     return
-                case Current():
+                case ReadIndexReady():
                     pass  # what operators are told is a follower's state, with its age
 
     # The disk: one write at a time, in order.
@@ -209,8 +234,8 @@
             self.writing = self.loop.create_task(self._written(self.writes.popleft(), self.keeper))
 
     async def _written(self, action, keeper):
-        if isinstance(action, Keep):
-            fault = await self._disk(self.ledger.knows, action.known)
+        if isinstance(action, PersistStarts):
+            fault = await self._disk(self.ledger.knows, action.known_starts)
         else:
             fault = await self._disk(self.ledger.write, action, clock.unix())
         self.writing = None
@@ -219,13 +244,13 @@
         now = time.monotonic_ns()
         if fault is None:
             self.do(
-                self.fitness.kept(action.number, now)
-                if isinstance(action, Keep)
-                else self.keeper.synced(action.number, now)
+                self.fitness.on_persisted(action.number, now)
+                if isinstance(action, PersistStarts)
+                else self.keeper.on_persisted(action.number, now)
             )
             return self._next_write()
         self.log("keeper_not_kept", keeper=self.keeper.name, error=fault)
-        self.do(self.keeper.not_kept(now))
+        self.do(self.keeper.on_persist_failed(now))
         self.keeper, self.leading, self.writes = None, None, deque()
         await asyncio.sleep(AGAIN)
         await self.begins()  # as after a crash: by what the disk has, and a start that others confirm
@@ -248,27 +273,29 @@
         """A leader hands its place on first, so that nobody waits for an election."""
         if self.keeper is not None and self.leading is not None:
             others = [
-                n for n, m in self.keeper.match.items() if m == max(self.keeper.match.values(), default=0)
+                n
+                for n, m in self.keeper.match_index.items()
+                if m == max(self.keeper.match_index.values(), default=0)
             ]
-            self.do(self.keeper.moves(others[0], time.monotonic_ns()) if others else [])
+            self.do(self.keeper.transfer_leadership(others[0], time.monotonic_ns()) if others else [])
             await asyncio.sleep(0.1)
         self.stopped = True
         await self._disk(self.ledger.close)
         self.pool.shutdown(wait=False)
 
     def shown(self):
-        if self.keeper is None or not self.fitness.fit:
+        if self.keeper is None or not self.fitness.may_vote:
             return {"name": self.base, "role": "not fit to vote" if self.keeper else "off"}
-        config = self.keeper.config()
+        config = self.keeper.configuration()
         return {
             "name": self.keeper.name,
-            "role": self.keeper.role.name.lower(),
-            "term": self.keeper.term,
+            "role": ROLE_WORDS[self.keeper.role],
+            "term": self.keeper.current_term,
             "leader": self.keeper.leader,
             "voters": list(config.voters),
             "learners": list(config.learners),
-            "committed": self.keeper.committed,
-            "last": self.keeper.last(),
+            "committed": self.keeper.commit_index,
+            "last": self.keeper.log.last_index(),
         }
 
 
@@ -399,7 +426,7 @@
 
     def _send(self, sender, to, message):
         number, data = codec.packed(message)
-        process = base(to)
+        process = base_name(to)
         if process == self.name:
             self.loop.call_soon(self.heard, ConsensusFrame(sender, to, number, data))
         else:
@@ -414,14 +441,14 @@
             return self.log("agreed_refused", peer=routed.sender, error=str(fault))
         if isinstance(message, log_follower.Entries | log_follower.State | log_follower.Proposed):
             if self.follower is not None:
-                self._do(self.follower.heard(base(routed.sender), message, time.monotonic_ns()))
+                self._do(self.follower.heard(base_name(routed.sender), message, time.monotonic_ns()))
         elif self.voting is not None:
             self.voting.heard(routed.sender, self._addressed(routed.to, message), message)
 
     def _addressed(self, to, message):
         """A front knows keepers by the file's names; whom it means is whoever votes there now."""
         own = self.voting.keeper.name if self.voting.keeper is not None else ""
-        return own if isinstance(message, Follow | Propose) and base(to) == base(own) else to
+        return own if isinstance(message, Follow | Propose) and base_name(to) == base_name(own) else to
 
     # A front's side.
 
@@ -457,7 +484,7 @@
     def _do(self, actions):
         for action in actions:
             match action:
-                case Send():
+                case SendMessage():
                     self._send(self.name, action.to, action.message)
                 case Applied():
                     for index, command in action.entries:
