--- a/sprucegate/storage/disk.py
+++ b/sprucegate/storage/disk.py
@@ -1,53 +1,68 @@
-"""The disk calls that state is kept by. Each is one boundary at which a test may fail or stop the program.
+"""The disk calls that durable state is kept by: each is one boundary at which a test may fail or stop the program.
 
-Errors are OSError, as the calls give them; who keeps state turns them into values.
+Errors are OSError as the system calls raise them; the callers that keep state turn them into values.
 """
 
+import errno
 import os
+from pathlib import Path
+
+CREATED_FILE_MODE = 0o640
 
 
 class Disk:
-    def names(self, folder):
-        """Names in a folder, sorted; none where it is missing."""
+    """The real disk. Paths are strings, as a test's disk in memory uses them as keys; handles are file descriptors."""
+
+    def names(self, folder: str) -> list[str]:
+        """Return the sorted names in a folder; none where it is missing."""
         try:
-            return sorted(os.listdir(folder))
+            return sorted(entry.name for entry in Path(folder).iterdir())
         except FileNotFoundError:
             return []
 
-    def read(self, path, most):
-        """At most `most` bytes; one more tells a longer file."""
-        with open(path, "rb") as file:
-            return file.read(most + 1)
+    def read(self, path: str, max_bytes: int) -> bytes:
+        """Return up to `max_bytes` + 1 bytes of a file: the one more tells the caller that the file is too large."""
+        with Path(path).open("rb") as file:
+            return file.read(max_bytes + 1)
 
-    def make_folder(self, folder):
-        os.makedirs(folder, exist_ok=True)
+    def make_folder(self, folder: str) -> None:
+        """Create a folder and its parents; one that exists is left as it is."""
+        Path(folder).mkdir(parents=True, exist_ok=True)
 
-    def create(self, path):
-        return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o640)
+    def create(self, path: str) -> int:
+        """Open a new, empty file for writing, and truncate one that exists; return its handle."""
+        return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, CREATED_FILE_MODE)
 
-    def append(self, path):
-        return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o640)
+    def append(self, path: str) -> int:
+        """Open a file for writes at its end, and create it where it is missing; return its handle."""
+        return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, CREATED_FILE_MODE)
 
-    def write(self, handle, data):
-        """How many bytes were taken; it may be fewer."""
+    def write(self, handle: int, data: bytes | memoryview) -> int:
+        """Write data and return how many bytes the system accepted, which may be fewer than given."""
         return os.write(handle, data)
 
-    def sync(self, handle):
+    def sync(self, handle: int) -> None:
+        """Wait until what was written to the file is on the disk (fsync)."""
         os.fsync(handle)
 
-    def close(self, handle):
+    def close(self, handle: int) -> None:
+        """Close a file without syncing it."""
         os.close(handle)
 
-    def truncate(self, path, size):
+    def truncate(self, path: str, size: int) -> None:
+        """Cut a file to its first `size` bytes."""
         os.truncate(path, size)
 
-    def rename(self, old, new):
-        os.replace(old, new)
+    def rename(self, old: str, new: str) -> None:
+        """Rename a file atomically over whatever has the new name."""
+        Path(old).replace(new)
 
-    def remove(self, path):
-        os.remove(path)
+    def remove(self, path: str) -> None:
+        """Remove a file."""
+        Path(path).unlink()
 
-    def sync_folder(self, folder):
+    def sync_folder(self, folder: str) -> None:
+        """Wait until the folder's entries are on the disk: names that were created, renamed or removed."""
         handle = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(handle)
@@ -55,23 +70,32 @@
             os.close(handle)
 
 
-def write_all(disk, handle, data):
-    """A short write is gone on with; none at all is a full disk in disguise."""
-    data = memoryview(data)
-    while data:
-        if not (size := disk.write(handle, data)):
-            raise OSError(28, "no byte was taken")
-        data = data[size:]
+def write_all(disk: Disk, handle: int, data: bytes) -> None:
+    """Write all of `data`, repeating short writes.
+
+    Raises OSError (ENOSPC) for a write that accepts nothing without an error of its own, as no repetition would end.
+    """
+    remaining = memoryview(data)
+    while remaining:
+        written = disk.write(handle, remaining)
+        if not written:
+            raise OSError(errno.ENOSPC, "no byte was taken")
+        remaining = remaining[written:]
+
 
+def replace_file(disk: Disk, folder: str, name: str, data: bytes) -> None:
+    """Replace a file atomically and durably: after a crash at any point it is whole, the new one or the former one.
 
-def replace_file(disk, folder, name, data):
-    """The whole file or the former one, whatever happens in between: new name, sync, rename, sync of the folder."""
-    path, fresh = os.path.join(folder, name), os.path.join(folder, name + ".new")
-    handle = disk.create(fresh)
+    The data goes to a file with the suffix `.new`, is synced and renamed, and the folder is synced. Raises OSError;
+    the former file then stands unless only the last sync failed.
+    """
+    path = str(Path(folder) / name)
+    temporary_path = path + ".new"
+    handle = disk.create(temporary_path)
     try:
         write_all(disk, handle, data)
         disk.sync(handle)
     finally:
         disk.close(handle)
-    disk.rename(fresh, path)
+    disk.rename(temporary_path, path)
     disk.sync_folder(folder)
--- a/sprucegate/storage/log.py
+++ b/sprucegate/storage/log.py
@@ -1,46 +1,72 @@
-"""A log of checksummed records: appended, synced, and after a crash read up to its last whole record."""
+"""An append-only log of checksummed records: synced at each append, read after a crash up to its last whole record."""
 
-import os
+from pathlib import Path
 
 from sprucegate.storage import records
-from sprucegate.storage.disk import write_all
+from sprucegate.storage.disk import Disk, write_all
+from sprucegate.storage.records import ScanResult
+
+LOG_BYTES_MAX = 256 << 20
 
 
 class AppendLog:
-    """One writer a file. After a failed append nothing more is written: what follows a torn record is lost."""
+    """One log file with one writer. `recover` has to be called once, before the first append.
+
+    After a failed write or sync nothing more is appended, as records after a torn one would be lost to a reader.
+
+    :ivar size: length of the file in bytes, as far as it is known to be whole.
+    :ivar fault: the first failure of an append as text, or None; it stays for good.
+    """
 
-    def __init__(self, disk, path, most=256 << 20):
-        self.disk, self.path, self.most, self.handle, self.size, self.fault = disk, path, most, None, 0, None
+    def __init__(self, disk: Disk, path: str, max_bytes: int = LOG_BYTES_MAX) -> None:
+        self.disk = disk
+        self.path = path
+        self.max_bytes = max_bytes
+        self.handle: int | None = None
+        self.size = 0
+        self.fault: str | None = None
 
-    def recover(self):
-        """The records that are whole; the torn rest is cut off, so that appends follow the last whole one."""
+    def recover(self) -> ScanResult:
+        """Return the whole records, cut off the torn rest, and open the file for appends; it is created if missing.
+
+        Raises OSError where the file can't be read, truncated or opened.
+        """
         try:
-            data = self.disk.read(self.path, self.most)
+            data = self.disk.read(self.path, self.max_bytes)
         except FileNotFoundError:
             data = b""
         scanned = records.scan(data)
-        if scanned.good < len(data):
-            self.disk.truncate(self.path, scanned.good)
-        self.handle, self.size = self.disk.append(self.path), scanned.good
-        self.disk.sync_folder(os.path.dirname(self.path))
+        if scanned.valid_bytes < len(data):
+            self.disk.truncate(self.path, scanned.valid_bytes)
+        self.handle = self.disk.append(self.path)
+        self.size = scanned.valid_bytes
+        self.disk.sync_folder(str(Path(self.path).parent))
         return scanned
 
-    def append(self, *payloads):
-        """None once all of them last, or the fault as text; then some may be there and some not."""
+    def append(self, *payloads: bytes) -> str | None:
+        """Write and sync records; return None once all of them are durable, else the fault as text.
+
+        After a fault some of them may be on the disk and some not. A log that is full refuses the records whole, and
+        may still take smaller ones.
+        """
         data = b"".join(map(records.record, payloads))
-        if self.fault is None and self.size + len(data) > self.most:
+        if self.fault is not None:
+            return self.fault
+        if self.size + len(data) > self.max_bytes:
             return "the log is full"
+        assert self.handle is not None, "recover comes before append"
         try:
-            if self.fault is None:
-                write_all(self.disk, self.handle, data)
-                self.disk.sync(self.handle)
-                self.size += len(data)
+            write_all(self.disk, self.handle, data)
+            self.disk.sync(self.handle)
         except OSError as fault:
-            # After a failed sync the kernel may drop what it could not write and call the next sync good.
+            # After a failed sync the kernel may drop what it could not write and report the next sync as good.
             self.fault = f"{type(fault).__name__}: {fault}"
-        return self.fault
+            return self.fault
+        self.size += len(data)
+        return None
 
-    def close(self):
+    def close(self) -> None:
+        """Close the file; a second call does nothing."""
         if self.handle is not None:
             self.disk.close(self.handle)
             self.handle = None
--- a/sprucegate/storage/snapshots.py
+++ b/sprucegate/storage/snapshots.py
@@ -1,106 +1,149 @@
-"""Snapshots by generation: replaced atomically, bounded in count, refused when torn, newer in version or too old."""
+"""Snapshots numbered by generation: replaced atomically, bounded in count, rejected when torn, newer or too old.
 
-import os
+A snapshot file is two records: a header in JSON (kind, version, generation, time of writing) and the payload.
+"""
+
+import contextlib
 import re
+from pathlib import Path
 from typing import NamedTuple
 
 import orjson
 
 from sprucegate.storage import records
-from sprucegate.storage.disk import replace_file
+from sprucegate.storage.disk import Disk, replace_file
+from sprucegate.units import SECOND
 
 VERSION = 1
-SIZE_MOST = 32 << 20  # bytes of one snapshot
-S = 1_000_000_000
+SNAPSHOT_BYTES_MAX = 32 << 20
+RECORDS_IN_SNAPSHOT = 2  # header and payload
+
 
+class Snapshot(NamedTuple):
+    """A snapshot that was read whole.
+
+    :ivar generation: its number, rising by each that is saved.
+    :ivar at: Unix time of writing, ns.
+    :ivar payload: the state, as its owner encoded it.
+    """
 
-class Taken(NamedTuple):
     generation: int
-    at: int  # Unix time of writing, ns
+    at: int
     payload: bytes
 
 
-class Refused(NamedTuple):
+class RejectedSnapshot(NamedTuple):
+    """A file that can't be used.
+
+    :ivar name: the file's name in the folder.
+    :ivar why: what is wrong with it, to follow the name in a sentence.
+    """
+
     name: str
     why: str
 
 
 class SnapshotStore:
-    def __init__(self, disk, folder, kind, keep=3):
-        self.disk, self.folder, self.kind, self.keep = disk, folder, kind, keep
-        self.named = re.compile(re.escape(kind) + r"-([0-9]{16})\.snap")
+    """The snapshots of one kind in one folder, with one writer.
+
+    `keep`: how many of the newest stay, so that a torn one has a predecessor.
+    """
+
+    def __init__(self, disk: Disk, folder: str, kind: str, keep: int = 3) -> None:
+        self.disk = disk
+        self.folder = folder
+        self.kind = kind
+        self.keep = keep
+        self.name_pattern = re.compile(re.escape(kind) + r"-([0-9]{16})\.snap")
+
+    def save(self, generation: int, at: int, payload: bytes) -> str | None:
+        """Write a snapshot; return None once it is durable, else the fault as text: the former snapshots then stand.
 
-    def save(self, generation, at, payload):
-        """None, or the fault as text: the former snapshots stand then."""
-        head = orjson.dumps({"kind": self.kind, "version": VERSION, "generation": generation, "at": at})
+        `at`: Unix time of writing, ns.
+        """
+        header = orjson.dumps({"kind": self.kind, "version": VERSION, "generation": generation, "at": at})
+        name = f"{self.kind}-{generation:016d}.snap"
+        data = records.record(header) + records.record(payload)
         try:
             self.disk.make_folder(self.folder)
-            replace_file(
-                self.disk,
-                self.folder,
-                f"{self.kind}-{generation:016d}.snap",
-                records.record(head) + records.record(payload),
-            )
+            replace_file(self.disk, self.folder, name, data)
         except OSError as fault:
             return f"{type(fault).__name__}: {fault}"
-        self._tidy()
+        self._remove_old()
         return None
 
-    def _tidy(self):
-        """Old ones and what a crash left go; one that can't be removed does no harm."""
+    def _remove_old(self) -> None:
+        """Remove all but the newest `keep`, and temporary files that a crash left."""
         names = self.disk.names(self.folder)
-        whole = [name for name in names if self.named.fullmatch(name)]
-        left = [name for name in names if name.startswith(self.kind + "-") and name.endswith(".new")]
-        for name in whole[: -self.keep] + left:
-            try:
-                self.disk.remove(os.path.join(self.folder, name))
-            except OSError:
-                pass
-
-    def logs_before(self, named):
-        """Logs by generation (`named` matches it) go that no kept snapshot needs; those that the oldest needs stay, as
-        the newest may turn out to be torn."""
+        complete = [name for name in names if self.name_pattern.fullmatch(name)]
+        temporary = [name for name in names if name.startswith(self.kind + "-") and name.endswith(".new")]
+        for name in complete[: -self.keep] + temporary:
+            self._remove(name)
+
+    def _remove(self, name: str) -> None:
+        # A file that can't be removed does no harm, and is tried again with the next snapshot.
+        with contextlib.suppress(OSError):
+            self.disk.remove(str(Path(self.folder) / name))
+
+    def logs_before(self, log_pattern: re.Pattern[str]) -> None:
+        """Remove the logs that no kept snapshot needs; `log_pattern` matches a log's name and groups its generation.
+
+        Logs from the oldest kept snapshot on stay, as the newer snapshots may turn out to be torn.
+        """
         names = self.disk.names(self.folder)
-        held = [int(match[1]) for name in names if (match := self.named.fullmatch(name))]
+        generations = [int(match[1]) for name in names if (match := self.name_pattern.fullmatch(name))]
+        oldest = min(generations, default=0)
         for name in names:
-            if (match := named.fullmatch(name)) and int(match[1]) < min(held, default=0):
-                try:
-                    self.disk.remove(os.path.join(self.folder, name))
-                except OSError:
-                    pass
-
-    def newest(self, now, oldest):
-        """(Taken or None, [Refused]): the newest that may be used, and why others before it may not."""
-        refused = []
+            match = log_pattern.fullmatch(name)
+            if match and int(match[1]) < oldest:
+                self._remove(name)
+
+    def newest(self, now: int, max_age: int) -> tuple[Snapshot | None, list[RejectedSnapshot]]:
+        """Return the newest snapshot that may be used, or None, and why newer files may not.
+
+        `now`: Unix time, ns; `max_age`: a snapshot older than this (ns) is rejected. Raises OSError where the folder
+        can't be listed; a missing folder holds no snapshots.
+        """
+        rejected: list[RejectedSnapshot] = []
         for name in reversed(self.disk.names(self.folder)):
-            if not (match := self.named.fullmatch(name)):
+            match = self.name_pattern.fullmatch(name)
+            if not match:
                 continue
-            taken = self._read(name, int(match[1]))
-            if isinstance(taken, Taken) and now - taken.at > oldest:
-                taken = Refused(name, f"is {(now - taken.at) // S} s old, more than {oldest // S}")
-            if isinstance(taken, Taken):
-                return taken, refused
-            refused.append(taken)
-        return None, refused
-
-    def _read(self, name, generation):
+            found = self._read(name, int(match[1]))
+            if isinstance(found, Snapshot) and now - found.at > max_age:
+                age = (now - found.at) // SECOND
+                found = RejectedSnapshot(name, f"is {age} s old, more than {max_age // SECOND}")
+            if isinstance(found, Snapshot):
+                return found, rejected
+            rejected.append(found)
+        return None, rejected
+
+    def _read(self, name: str, generation: int) -> Snapshot | RejectedSnapshot:
         try:
-            data = self.disk.read(os.path.join(self.folder, name), SIZE_MOST)
+            data = self.disk.read(str(Path(self.folder) / name), SNAPSHOT_BYTES_MAX)
         except OSError as fault:
-            return Refused(name, f"can't be read: {fault}")
-        if len(data) > SIZE_MOST:
-            return Refused(name, "is larger than its bound")
-        found, _, fault = records.scan(data)
-        if fault or len(found) != 2:
-            return Refused(name, fault or "has not two records")
+            return RejectedSnapshot(name, f"can't be read: {fault}")
+        if len(data) > SNAPSHOT_BYTES_MAX:
+            return RejectedSnapshot(name, "is larger than its bound")
+        scanned = records.scan(data)
+        if scanned.fault or len(scanned.records) != RECORDS_IN_SNAPSHOT:
+            return RejectedSnapshot(name, scanned.fault or "has not two records")
+        header, payload = scanned.records
+        return self._checked(name, generation, header, payload)
+
+    def _checked(
+        self, name: str, generation: int, header: bytes, payload: bytes
+    ) -> Snapshot | RejectedSnapshot:
+        """Return the snapshot, unless its header is unreadable, of a newer version, or of another file."""
         try:
-            head = orjson.loads(found[0])
-            version, own = int(head["version"]), (head["kind"], int(head["generation"]))
-            at = int(head["at"])
+            fields = orjson.loads(header)
+            version = int(fields["version"])
+            identity = (fields["kind"], int(fields["generation"]))
+            at = int(fields["at"])
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-            return Refused(name, "has no readable head")
+            return RejectedSnapshot(name, "has no readable head")
         if version > VERSION:
-            return Refused(name, f"is of version {version}, newer than {VERSION}")
-        if own != (self.kind, generation):
-            return Refused(name, "bears another's name")
-        return Taken(generation, at, found[1])
+            return RejectedSnapshot(name, f"is of version {version}, newer than {VERSION}")
+        if identity != (self.kind, generation):
+            return RejectedSnapshot(name, "bears another's name")
+        return Snapshot(generation, at, payload)
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -119,7 +119,7 @@
 
 
 def test_a_log_is_bounded(tmp_path):
-    log = AppendLog(Disk(), str(tmp_path / "log"), most=100)
+    log = AppendLog(Disk(), str(tmp_path / "log"), max_bytes=100)
     log.recover()
     assert log.append(b"x" * 80) is None and log.append(b"x" * 80) == "the log is full"
     log.close()
