--- a/sprucegate/fleet/components.py
+++ b/sprucegate/fleet/components.py
@@ -46,7 +46,7 @@
 
         made.append(ConsensusComponent(fleet, *fleet.agreement))
     if fleet.shares is not None:
-        from sprucegate.fleet.quotas.part import QuotaComponent
+        from sprucegate.fleet.quotas.component import QuotaComponent
 
         made.append(QuotaComponent(fleet, fleet.shares))
     return made
--- a/sprucegate/fleet/quotas/lease.py
+++ b/sprucegate/fleet/quotas/borrower.py
@@ -8,7 +8,7 @@
 It is checked at each decision against the time of then: a process that stood still goes by nothing that is over.
 """
 
-from sprucegate.fleet.quotas.terms import LEASE, QUIET, Need, S, Send, later, pace
+from sprucegate.fleet.quotas.settings import LEASE, QUIET, Need, S, Send, later, pace
 
 NUMBERS = 64  # questions whose answers may still come
 NOBODY = "", 0  # in place of a steward's name and life
--- a/sprucegate/fleet/quotas/part.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -11,10 +11,10 @@
 from sprucegate.fleet.components import FleetComponent
 from sprucegate.fleet.links.codec import ComponentMessage, FrameError
 from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
-from sprucegate.fleet.quotas import places
-from sprucegate.fleet.quotas.queue import tenant_of
-from sprucegate.fleet.quotas.shares import Shares
-from sprucegate.fleet.quotas.terms import Asks, GiveUp, Goes, Lent, Moved, Need, Send, Start, Terms
+from sprucegate.fleet.quotas import slots
+from sprucegate.fleet.quotas.coordinator import Shares
+from sprucegate.fleet.quotas.fair_queue import tenant_of
+from sprucegate.fleet.quotas.settings import Asks, GiveUp, Goes, Lent, Moved, Need, Send, Start, Terms
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 
 S = 1_000_000_000
@@ -165,7 +165,7 @@
         warm, floor = router.settings.parent_warm_time, router.settings.parent_cold_share
         self.shares.factors(
             {
-                node.id: places.cold(node.started and now - router.age(node, now), warm, floor, now)
+                node.id: slots.cold(node.started and now - router.age(node, now), warm, floor, now)
                 for node in router.group("parent")
             }
         )
--- a/sprucegate/fleet/quotas/shares.py
+++ b/sprucegate/fleet/quotas/coordinator.py
@@ -2,10 +2,10 @@
 
 from zlib import crc32
 
-from sprucegate.fleet.quotas.lease import NOBODY, Borrower
-from sprucegate.fleet.quotas.queue import Queue
-from sprucegate.fleet.quotas.steward import Steward
-from sprucegate.fleet.quotas.terms import AVOID, MERGE, MS, SILENT, Asks, Goes, Lent, Moved, Need, Send
+from sprucegate.fleet.quotas.borrower import NOBODY, Borrower
+from sprucegate.fleet.quotas.fair_queue import Queue
+from sprucegate.fleet.quotas.lease_holder import Steward
+from sprucegate.fleet.quotas.settings import AVOID, MERGE, MS, SILENT, Asks, Goes, Lent, Moved, Need, Send
 
 LATER = 1 << 62
 LOOK = 50 * MS  # between two looks at a queue that waits for leases
--- a/sprucegate/fleet/quotas/queue.py
+++ b/sprucegate/fleet/quotas/fair_queue.py
@@ -13,7 +13,7 @@
 from collections import deque
 from itertools import count
 
-from sprucegate.fleet.quotas.terms import COMMON, MS, GiveUp, Start
+from sprucegate.fleet.quotas.settings import COMMON, MS, GiveUp, Start
 
 SAMPLES = 64  # last fills of a source that its mean is taken of
 USUAL = 100 * MS  # charged before any was seen
--- a/sprucegate/fleet/quotas/steward.py
+++ b/sprucegate/fleet/quotas/lease_holder.py
@@ -6,8 +6,8 @@
 What nobody wants is lent to fronts as spare, so that a GET which comes alone waits for nobody.
 """
 
-from sprucegate.fleet.quotas.places import Learned
-from sprucegate.fleet.quotas.terms import DRIFT, LEASE, MS, Lent, Send, later
+from sprucegate.fleet.quotas.settings import DRIFT, LEASE, MS, Lent, Send, later
+from sprucegate.fleet.quotas.slots import Learned
 
 FRESH = 20 * MS  # a table of who gets what is made anew after this, or with other demand
 FORGOTTEN = 60_000_000_000
--- a/standins/fleet/explore_shares.py
+++ b/standins/fleet/explore_shares.py
@@ -9,8 +9,8 @@
 
 import sys
 
-from sprucegate.fleet.quotas.shares import Shares
-from sprucegate.fleet.quotas.terms import LEASE, Send, Start, Terms
+from sprucegate.fleet.quotas.coordinator import Shares
+from sprucegate.fleet.quotas.settings import LEASE, Send, Start, Terms
 from standins.fleet import exploring
 
 NAMES, SOURCE, PLACES = ("a", "b", "c"), 21, 2
--- a/standins/fleet/sharing.py
+++ b/standins/fleet/sharing.py
@@ -11,9 +11,9 @@
 from collections import defaultdict
 from itertools import count
 
-from sprucegate.fleet.quotas.queue import USUAL
-from sprucegate.fleet.quotas.shares import Shares
-from sprucegate.fleet.quotas.terms import LEASE, GiveUp, Send, Start, Terms
+from sprucegate.fleet.quotas.coordinator import Shares
+from sprucegate.fleet.quotas.fair_queue import USUAL
+from sprucegate.fleet.quotas.settings import LEASE, GiveUp, Send, Start, Terms
 from standins.fleet.schedules import reported
 
 MS, S = 1_000_000, 1_000_000_000
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -14,14 +14,14 @@
 from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.codec import FrameError
-from sprucegate.fleet.quotas import places
-from sprucegate.fleet.quotas.lease import Borrower
-from sprucegate.fleet.quotas.part import packed, unpacked
-from sprucegate.fleet.quotas.places import Learned
-from sprucegate.fleet.quotas.queue import Queue, Source, tenant_of
-from sprucegate.fleet.quotas.shares import Shares
-from sprucegate.fleet.quotas.steward import Steward
-from sprucegate.fleet.quotas.terms import LEASE, GiveUp, Lent, Moved, Need, Send, Start, Terms, later
+from sprucegate.fleet.quotas import slots
+from sprucegate.fleet.quotas.borrower import Borrower
+from sprucegate.fleet.quotas.component import packed, unpacked
+from sprucegate.fleet.quotas.coordinator import Shares
+from sprucegate.fleet.quotas.fair_queue import Queue, Source, tenant_of
+from sprucegate.fleet.quotas.lease_holder import Steward
+from sprucegate.fleet.quotas.settings import LEASE, GiveUp, Lent, Moved, Need, Send, Start, Terms, later
+from sprucegate.fleet.quotas.slots import Learned
 from sprucegate.routing.actions import AwaitSlot
 from standins.fleet import explore_shares, filling, sharing
 from standins.fleet.rig import Rig
@@ -253,13 +253,13 @@
     assert one.part == 0.8
     for n in range(2, 40):
         one.told(10, 9, n * S)
-    assert one.part == places.LEAST
+    assert one.part == slots.LEAST
     for n in range(40, 80):
         one.told(10, 0, n * S)
     assert one.part == 1.0
     assert (
-        places.cold(100 * S, 10 * S, 0.2, 105 * S) == pytest.approx(0.6)
-        and places.cold(0, 10 * S, 0.2, 1) == 1.0
+        slots.cold(100 * S, 10 * S, 0.2, 105 * S) == pytest.approx(0.6)
+        and slots.cold(0, 10 * S, 0.2, 1) == 1.0
     )
 
 
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -32,8 +32,8 @@
 from sprucegate.fleet.consensus.storage import Ledger
 from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.quotas import part as shares
-from sprucegate.fleet.quotas import terms
+from sprucegate.fleet.quotas import component as shares
+from sprucegate.fleet.quotas import settings
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import facts, replica
 from sprucegate.fleet.replica_storage import Keeping, packed
@@ -85,10 +85,10 @@
 
 # Words on shares, as shares/part numbers them. They travel inside a word for a part of the fleet.
 SHARES_KINDS = {
-    "1-need": terms.Need,
-    "2-lent": terms.Lent,
-    "3-asks": terms.Asks,
-    "4-goes": terms.Goes,
+    "1-need": settings.Need,
+    "2-lent": settings.Lent,
+    "3-asks": settings.Asks,
+    "4-goes": settings.Goes,
 }
 
 # Who begins a connection, and what the command line asks of a front: records without a kind.
@@ -131,10 +131,10 @@
     log_follower.Proposed: "number index word leader",
     durability_check.Begins: "start being known",
     durability_check.Begun: "start being ok green known",
-    terms.Need: "life steward turn number echo grant old held rows",
-    terms.Lent: "turn number stamp grant rows",
-    terms.Asks: "life size",
-    terms.Goes: "name life size",
+    settings.Need: "life steward turn number echo grant old held rows",
+    settings.Lent: "turn number stamp grant rows",
+    settings.Asks: "life size",
+    settings.Goes: "name life size",
     facts.Fact: "key value dot",
     events.BeliefGossip: "object part cache started remaining age",
     events.EjectionGossip: "cache started as_source remaining slowness age",
@@ -239,7 +239,7 @@
 def decoded_shares(data, tenants, places):
     """(part of the fleet, label, fields, the frame encoded anew); `tenants` and `places` are the operator's."""
     word = codec.message(*payloads_of(data))
-    made = shares.unpacked(word.data, terms.Terms(tenants, (), places, 0))
+    made = shares.unpacked(word.data, settings.Terms(tenants, (), places, 0))
     frame = codec.frame(codec.ComponentMessage(word.part, shares.packed(made)))
     return word.part, _label(SHARES_KINDS, made), plain(made), frame
 
