--- a/benchmarks/exchange.py
+++ b/benchmarks/exchange.py
@@ -12,8 +12,10 @@
 
 from sprucegate.routing.actions import SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, Endpoint, EndpointState, Request
-from sprucegate.routing.router import MS, Router, S
+from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
+from sprucegate.units import MILLISECOND as MS
+from sprucegate.units import SECOND as S
 
 CACHES, PARENTS, ORIGIN = tuple(range(11, 19)), (21, 22), 31
 SETTINGS = {
--- a/benchmarks/walks.py
+++ b/benchmarks/walks.py
@@ -290,11 +290,11 @@
         return self.chance.choices(list(weights), list(weights.values()))[0]
 
     def _answer_begins(self, get, number):
-        if get.forwards[number].open and not get.finished:
+        if get.attempts[number].is_open and not get.finished:
             self.digest.add(get.response_started(number, self.now))
 
     def _attempt_ends(self, router, get, number, sent_at, end):
-        if not get.forwards[number].open:
+        if not get.attempts[number].is_open:
             return
         outcome, found, spent, waited = end
         load = self._load() if self.chance.random() < 0.3 else {}
@@ -375,7 +375,7 @@
             router.platform_clock_offset = self.chance.randrange(5 * MS)
 
     def _reminder(self):
-        self.routers[0].remind(self.now + self.chance.randrange(S), None)
+        self.routers[0].deadlines.add(self.now + self.chance.randrange(S), None)
 
     def _discovery_answers(self, router):
         if self.chance.random() < 0.6:
--- a/sprucegate/routing/actions.py
+++ b/sprucegate/routing/actions.py
@@ -6,10 +6,11 @@
 class SendAttempt(NamedTuple):
     """Send the request to a cache.
 
-    `fill_source` is the server that a miss is filled from; the cache's own id there means that it must not fill.
-    `rank` tells the cache how readily to keep the object; `max_age` is the oldest copy that will do, 0 for the
-    freshness lifetime; `timeout` bounds the attempt; `collapse` lets it join a fill under way; `only_if_cached`
-    forbids a fetch from the origin; `bypass_parent` and `revalidate` are passed on to the cache.
+    `fill_source` is the server that a miss is filled from; the cache's own id there means that it must not
+    fill. `rank` tells the cache how readily to keep the object; `max_age` is the oldest copy that will do, 0
+    for the freshness lifetime; `timeout` bounds the attempt; `collapse` lets it join a fill under way;
+    `only_if_cached` forbids a fetch from the origin; `bypass_parent` and `revalidate` are passed on to the
+    cache.
     """
 
     number: int
@@ -31,7 +32,7 @@
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: load is shed, a retry is harmless, best after `retry_after` nanoseconds (0: no advice)."""
+    """Final answer: load is shed, a retry is harmless, best after `retry_after` ns (0: no advice)."""
 
     retry_after: int
 
--- /dev/null
+++ b/sprucegate/routing/cache_selection.py
@@ -0,0 +1,107 @@
+"""Cache selection: which cache a request is sent to.
+
+Requests for one object go to one cache by weighted rendezvous hashing, those for a hot object to up to
+three. A cache that could not answer in time is passed by.
+"""
+
+from collections.abc import Iterator
+from itertools import chain, islice
+from math import sqrt
+from typing import TYPE_CHECKING
+
+from sprucegate.routing.digest import COUNTING_SPAN_NS, ObjectRecord
+from sprucegate.routing.events import Request
+from sprucegate.routing.load_estimation import LoadEstimator
+from sprucegate.routing.outlier_detection import OutlierDetector
+from sprucegate.routing.server import Server
+from sprucegate.routing.server_registry import ServerRegistry
+from sprucegate.routing.slow_start import SlowStart
+
+if TYPE_CHECKING:
+    from sprucegate.routing.request import RequestState
+
+WIDTH_MAX = 3
+HOT_SHARE = 0.25  # of one cache's part of the work
+TIME_LEFT_RATIO = 0.75  # of the time left that an answer may be expected to take: others will come to share
+PASSED_BY_MAX = 128
+
+
+def object_key(request: Request) -> bytes:
+    """The key of an object's part, by which caches are ordered."""
+    return request.object.to_bytes(8, "big") + request.part.to_bytes(4, "big")
+
+
+class CacheSelector:
+    """Chooses among the caches at this location."""
+
+    def __init__(
+        self, registry: ServerRegistry, load: LoadEstimator, slow_start: SlowStart, outliers: OutlierDetector
+    ) -> None:
+        self.registry = registry
+        self.load = load
+        self.slow_start = slow_start
+        self.outliers = outliers
+
+    def width(self, request: Request, record: ObjectRecord, caches: int, now: int) -> int:
+        """Over how many of so many `caches` the requests for an object are spread, from 1 to WIDTH_MAX.
+
+        Two if its share of one cache's part of the work is above HOT_SHARE, three if it is above twice that.
+        Two standard deviations of the count (Poisson) are subtracted, as a router among many sees few
+        requests.
+        """
+        seen = sum(record.counts[:2])
+        surely_seen = seen - 2 * sqrt(seen)
+        share = surely_seen * self.load.sending_time(request) / (2 * COUNTING_SPAN_NS) * caches
+        hot = HOT_SHARE * self.load.rate(now)
+        return 1 + (share > hot > 0) + (share > 2 * hot > 0)
+
+    def pick(self, state: "RequestState", record: ObjectRecord, now: int) -> tuple[Server | None, bool]:
+        """The cache for a request, or None, and whether an answer from it can be expected in time."""
+        request = state.request
+        avoided = self.outliers.avoided(now)
+        first, others = self._candidates(state, record, avoided, now)
+        if not first:
+            return None, False
+        usable = len(self.registry.group("cache")) - len(avoided)
+        spread = first[: self.width(request, record, usable, now)]
+        best = spread[0] if len(spread) == 1 else min(spread, key=lambda cache: _load_order(cache, now))
+        time_left = TIME_LEFT_RATIO * (state.objective_at - now)
+        slowness_max = max(1.0, time_left / max(1, self.load.sending_time(request)))
+        if best.expected_slowness(now) <= slowness_max:
+            return best, True
+        for cache in chain(first, islice(others, PASSED_BY_MAX)):
+            if cache.expected_slowness(now) <= slowness_max:
+                return cache, True
+        return best, False
+
+    def _candidates(
+        self, state: "RequestState", record: ObjectRecord, avoided: set[int], now: int
+    ) -> tuple[list[Server], Iterator[Server]]:
+        """The first WIDTH_MAX caches for the object, and those after them.
+
+        Those that failed the request already come into question only if there is no other.
+        """
+        request = state.request
+        key = object_key(request)
+        others = self._available(record, key, avoided | state.failed_servers, request.delivery_service, now)
+        first: list[Server] = self.registry.ranking(record.rankings, "cache", key).nodes[:WIDTH_MAX]
+        if avoided or state.failed_servers or any([cache.started for cache in first]):
+            first = list(islice(others, WIDTH_MAX))
+        if not first and state.failed_servers:
+            others = self._available(record, key, avoided, request.delivery_service, now)
+            first = list(islice(others, WIDTH_MAX))
+        return first, others
+
+    def _available(
+        self, record: ObjectRecord, key: bytes, avoided: set[int], delivery_service: int, now: int
+    ) -> Iterator[Server]:
+        """Caches in the key's order that may take a request now."""
+        for cache in self.registry.ranked(record.rankings, "cache", key):
+            if cache.index not in avoided and (
+                not cache.started or self.slow_start.has_budget(cache, delivery_service, now)
+            ):
+                yield cache
+
+
+def _load_order(cache: Server, now: int) -> tuple[float, float]:
+    return cache.expected_slowness(now), cache.requests_in_flight(now) / cache.entry.weight
--- /dev/null
+++ b/sprucegate/routing/cache_status.py
@@ -0,0 +1,11 @@
+"""Groups of cache statuses that decisions treat alike."""
+
+from sprucegate.routing.events import CacheStatus
+
+HITS = (CacheStatus.HIT, CacheStatus.STALE_HIT)
+FILLS = (CacheStatus.FILLED, CacheStatus.FILLED_BY_ORIGIN)
+FILL_SOURCE_FAULTS = (
+    CacheStatus.FILL_SOURCE_REFUSED,
+    CacheStatus.FILL_SOURCE_BROKEN,
+    CacheStatus.ORIGIN_FAILED,
+)
--- a/sprucegate/routing/events.py
+++ b/sprucegate/routing/events.py
@@ -1,7 +1,7 @@
-"""What happens, as the router is told of it: requests, endpoint lists, ends of attempts, gossip of other routers.
+"""What happens, as the router is told of it: requests, endpoint lists, ends of attempts, gossip.
 
-Nothing is decided here. Times are whole nanoseconds on one clock that the caller supplies, sizes are kilobytes,
-identifiers are whole numbers except where a type says otherwise.
+Nothing is decided here. Times are whole nanoseconds on one clock that the caller supplies, sizes are
+kilobytes, identifiers are whole numbers except where a type says otherwise.
 """
 
 from enum import Enum, auto
@@ -32,7 +32,7 @@
 
     @property
     def never_executed(self) -> bool:
-        """Whether the attempt provably had no effect, so that any request may be sent again (RFC 9110, 9.2.2)."""
+        """Whether the attempt provably had no effect: any request may be sent again (RFC 9110, 9.2.2)."""
         return self in NEVER_EXECUTED
 
 
@@ -45,7 +45,8 @@
     """How a cache handled a request, in the sense of the Cache-Status header field (RFC 9211).
 
     UNKNOWN: the cache said nothing. FILLED and FILLED_BY_ORIGIN: the cache lacked the object and fetched it.
-    COLLAPSED: the request joined a fill under way. The members from FILL_SOURCE_REFUSED on say why a fill failed.
+    COLLAPSED: the request joined a fill under way. The members from FILL_SOURCE_REFUSED on say why a fill
+    failed.
     """
 
     UNKNOWN = auto()
@@ -82,8 +83,8 @@
 
     `object` and `part` identify what is asked for; `group` is an invalidation group, -1 for none;
     `delivery_service` is a position in the settings' service classes; `size` is in kilobytes, 0 if unknown;
-    `write` is set for what is not a GET; `repeat` where the client marked a retry; `ttl` is how long the client
-    still waits, in nanoseconds.
+    `write` is set for what is not a GET; `repeat` where the client marked a retry; `ttl` is how long the
+    client still waits, in nanoseconds.
     """
 
     id: str
@@ -100,8 +101,8 @@
 class BeliefGossip(NamedTuple):
     """Another router's belief that a cache holds an object.
 
-    `remaining` is how long the belief is still valid and `age` how old its evidence is, in nanoseconds, both as
-    of when it was sent.
+    `remaining` is how long the belief is still valid and `age` how old its evidence is, in nanoseconds, both
+    as of when it was sent.
     """
 
     object: int
@@ -115,8 +116,8 @@
 class EjectionGossip(NamedTuple):
     """A server that another router finds slow or has ejected.
 
-    `slowness` is in thousandths of the server's usual pace, 0 if unknown; `remaining` is how long the ejection
-    still lasts and `age` the time since the last sample of its pace, in nanoseconds.
+    `slowness` is in thousandths of the server's usual pace, 0 if unknown; `remaining` is how long the
+    ejection still lasts and `age` the time since the last sample of its pace, in nanoseconds.
     """
 
     cache: int
--- /dev/null
+++ b/sprucegate/routing/fill_source.py
@@ -0,0 +1,161 @@
+"""Fill source: from where a cache that lacks the object gets it: a sibling cache, a parent or the origin.
+
+Fills are throttled by their own success: if the origin answers late, fewer requests may go there.
+"""
+
+from collections import Counter, deque
+from collections.abc import Sequence
+from itertools import islice
+from typing import TYPE_CHECKING
+
+from sprucegate.routing.digest import RECHECK_MARGIN_NS, Digest, ObjectRecord
+from sprucegate.routing.hashing import HashSequence
+from sprucegate.routing.sentinels import LONG_AGO
+from sprucegate.routing.server import Server
+from sprucegate.routing.server_registry import ServerRegistry
+from sprucegate.routing.settings import RoutingSettings
+from sprucegate.routing.slow_start import SlowStart
+from sprucegate.units import MILLISECOND, SECOND
+
+if TYPE_CHECKING:
+    from sprucegate.routing.request import RequestState
+
+FILLS_KEPT = 256
+FILL_AGE_MAX_NS = 3 * SECOND
+ON_TIME_RATIOS_AGE_MAX_NS = 20 * MILLISECOND
+PRIOR_FILLS = 4  # fills that the ratio of all sources counts for against a source's own
+MIN_ON_TIME_RATIO = 0.7
+PARENTS_COMPARED = 32
+THROTTLE_RATIO = 1.3  # of the origin's ratio on time: the share of fills let through
+FILL_SHARE_MIN = 0.15  # late ones still leave copies for others
+
+
+class Fill:
+    """One fill asked of a source.
+
+    :ivar source: who is to be held responsible for it.
+    :ivar started_at: when the attempt was sent.
+    :ivar late_at: from when on it is late.
+    :ivar on_time: whether it came in time, None while that is open and where nothing can be said.
+    """
+
+    __slots__ = ("source", "started_at", "late_at", "on_time")
+
+    def __init__(self, source: Server, started_at: int, late_at: int, on_time: bool | None = None) -> None:
+        self.source = source
+        self.started_at = started_at
+        self.late_at = late_at
+        self.on_time = on_time
+
+    def disregard(self) -> None:
+        """It says nothing of how sources do."""
+        self.late_at = -LONG_AGO
+        self.on_time = None
+
+
+class FillSourceSelector:
+    """Chooses the source of a fill, and whether one may be made.
+
+    :ivar fills: the last ones of all sources.
+    """
+
+    def __init__(
+        self,
+        settings: RoutingSettings,
+        registry: ServerRegistry,
+        digest: Digest,
+        slow_start: SlowStart,
+        draws: HashSequence,
+    ) -> None:
+        self.settings = settings
+        self.registry = registry
+        self.digest = digest
+        self.slow_start = slow_start
+        self.draws = draws
+        self.fills: deque[Fill] = deque(maxlen=FILLS_KEPT)
+        self._counted_at = LONG_AGO
+        self._ended: Counter[int] = Counter()
+        self._on_time: Counter[int] = Counter()
+
+    def on_time_ratios(self, sources: Sequence[Server], now: int) -> list[float]:
+        """Share of each source's last fills that came in time.
+
+        With few of its own a source's ratio leans on that of all: (on time + PRIOR_FILLS * ratio of all) /
+        (fills + PRIOR_FILLS).
+        """
+        if now - self._counted_at >= ON_TIME_RATIOS_AGE_MAX_NS:
+            self._count(now)
+        of_all = (self._on_time.total() + 1) / (self._ended.total() + 1)
+        return [
+            (self._on_time[source.index] + PRIOR_FILLS * of_all) / (self._ended[source.index] + PRIOR_FILLS)
+            for source in sources
+        ]
+
+    def _count(self, now: int) -> None:
+        ended = [
+            fill
+            for fill in self.fills
+            if now - fill.started_at < FILL_AGE_MAX_NS and (fill.on_time is not None or fill.late_at <= now)
+        ]
+        self._counted_at = now
+        self._ended = Counter([fill.source.index for fill in ended])
+        self._on_time = Counter([fill.source.index for fill in ended if fill.on_time])
+
+    def sibling(
+        self, state: "RequestState", record: ObjectRecord, cache: Server, now: int
+    ) -> tuple[Server | None, bool]:
+        """A sibling of `cache` that is believed to hold the object, or None, and whether the belief ends
+        soon.
+
+        One that ends soon is rechecked: the sibling is asked only for what it has.
+        """
+        allowed = self.settings.siblings
+        for server, expires_at in self.digest.valid_beliefs(state.request, record, now).items():
+            near = allowed == "location" and server.entry.location == cache.entry.location
+            if (
+                server is not cache
+                and server.index not in state.failed_servers
+                and (near or allowed == "any")
+                and max(server.as_source.ejected_until, server.as_cache.ejected_until) <= now
+                and self.slow_start.has_budget(server, state.request.delivery_service, now)
+            ):
+                return server, expires_at - now <= RECHECK_MARGIN_NS
+        return None, False
+
+    def parent_or_origin(self, state: "RequestState", now: int) -> tuple[Server | None, bool]:
+        """The first parent by hash, or the origin, that fills in time; and whether the origin may be asked.
+
+        Without a source that reaches MIN_ON_TIME_RATIO it is the best one. If the origin itself does worst
+        the parents are not at fault, and the first one stays. Throttled, a parent may be asked for what it
+        has, though not the origin: it holds everything, so that asking would be the fetch that is to be
+        spared.
+        """
+        order = self._parents_then_origins(state, now)
+        ratios = self.on_time_ratios(order, now) or [0]
+        position = next(
+            (at for at, ratio in enumerate(ratios) if ratio >= MIN_ON_TIME_RATIO), ratios.index(max(ratios))
+        )
+        origin_ratio = ratios[-1]
+        if ratios[position] < MIN_ON_TIME_RATIO and origin_ratio <= min(ratios):
+            position = 0
+        chosen = order[position] if order else None
+        if chosen is None:
+            return None, False
+        if self.draws.chance(state.request.id) < max(FILL_SHARE_MIN, THROTTLE_RATIO * origin_ratio):
+            return chosen, True
+        if chosen.role != "origin":
+            return chosen, False
+        return next((server for server in order if server.role != "origin"), None), False
+
+    def _parents_then_origins(self, state: "RequestState", now: int) -> list[Server]:
+        request = state.request
+        record = self.digest.record_of(request, now)
+        ranked = self.registry.ranked(record.rankings, "parent", request.object.to_bytes(8, "big"))
+        usable = (
+            parent
+            for parent in ranked
+            if max(parent.as_source.ejected_until, parent.unreachable_until) <= now
+            and parent.index not in state.failed_servers
+            and self.slow_start.has_budget(parent, request.delivery_service, now)
+        )
+        return [*islice(usable, PARENTS_COMPARED), *self.registry.group("origin")]
--- /dev/null
+++ b/sprucegate/routing/gossip.py
@@ -0,0 +1,108 @@
+"""Gossip: ejections, slow servers and beliefs that routers tell each other.
+
+What another router says counts only where nothing was seen here, and for half of the time that is left: it
+saw other requests. Its age goes with it, or it would go round among routers for ever.
+"""
+
+import heapq
+from collections.abc import Sequence
+
+from sprucegate.routing.digest import BELIEF_TIME_MAX_NS, RECHECK_MARGIN_NS, Belief, Digest
+from sprucegate.routing.events import BeliefGossip, EjectionGossip
+from sprucegate.routing.health_record import (
+    EJECTION_TIME_MAX_NS,
+    SAMPLE_AGE_MAX_NS,
+    SAMPLES_MIN,
+    HealthRecord,
+)
+from sprucegate.routing.outlier_detection import OutlierDetector
+from sprucegate.routing.sentinels import LONG_AGO
+from sprucegate.routing.server import Server
+from sprucegate.routing.server_registry import ServerRegistry
+
+TRUST_RATIO = 0.5  # of the time left
+SLOWNESS_TOLD_MIN = 1.5
+SLOWNESS_UNIT = 1000  # slowness is told in thousandths
+
+
+class Gossip:
+    """What is told to other routers, and what they tell."""
+
+    def __init__(self, registry: ServerRegistry, digest: Digest, outliers: OutlierDetector) -> None:
+        self.registry = registry
+        self.digest = digest
+        self.outliers = outliers
+        self.beliefs_told_at = LONG_AGO
+
+    def to_send(self, most: int, now: int) -> list[EjectionGossip | BeliefGossip]:
+        """At most `most` facts: ejected and slow servers, then new beliefs.
+
+        Beliefs are those since the last call, of the objects most requested first.
+        """
+        told: list[EjectionGossip | BeliefGossip] = []
+        for _, server in sorted(self.outliers.all_seen()):
+            for health in (server.as_cache, server.as_source):
+                slowness = health.slowness(now)
+                if health.ejected_until > now or slowness > SLOWNESS_TOLD_MIN:
+                    told.append(_ejection(server, health, slowness, now))
+        told += self._new_beliefs(max(0, most - len(told)), now)
+        return told[:most]
+
+    def _new_beliefs(self, most: int, now: int) -> list[BeliefGossip]:
+        since = self.beliefs_told_at
+        self.beliefs_told_at = now
+        servers = self.registry.servers
+        records = self.digest.records
+        new = [
+            (-sum(records[slot].counts[:2]), key, index, belief)
+            for key, slot in self.digest.slot_of.items()
+            for index, belief in records[slot].beliefs.items()
+            if belief.since > since and belief.expires_at - now > 2 * RECHECK_MARGIN_NS and index in servers
+        ]
+        return [
+            BeliefGossip(
+                key[0],
+                key[1],
+                servers[index].id,
+                belief.server_started,
+                belief.expires_at - now,
+                now - belief.since,
+            )
+            for _, key, index, belief in heapq.nsmallest(most, new)
+        ]
+
+    def receive(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
+        """Another router's facts, sent `age` ns ago. Those of another start of a server are passed over."""
+        for fact in facts:
+            server = self.registry.servers.get(self.registry.index_of.get(fact.cache, -1))
+            if server is None or server.started != fact.started:
+                continue
+            time_left = int(TRUST_RATIO * (fact.remaining - age))
+            if isinstance(fact, EjectionGossip):
+                self._receive_ejection(fact, server, time_left, now - age - fact.age, now)
+            elif time_left > 0 and self.digest.may_add(fact):
+                beliefs = self.digest.record_of(fact, now).beliefs
+                expires_at = now + min(time_left, BELIEF_TIME_MAX_NS)
+                beliefs.setdefault(server.index, Belief(expires_at, now - fact.age - age, server.started))
+
+    def _receive_ejection(
+        self, fact: EjectionGossip, server: Server, time_left: int, sampled_at: int, now: int
+    ) -> None:
+        health = server.as_source if fact.as_source else server.as_cache
+        if fact.slowness and not any(now - at < SAMPLE_AGE_MAX_NS for at, _, _ in health.speeds):
+            health.speeds.extend([(sampled_at, fact.slowness / SLOWNESS_UNIT, 1)] * SAMPLES_MIN)
+        if time_left > 0 and not any(now - at < SAMPLE_AGE_MAX_NS for at, _ in health.results):
+            health.ejected_until = max(health.ejected_until, now + min(time_left, EJECTION_TIME_MAX_NS))
+            health.on_probation = True
+        self.outliers.changed(server)
+
+
+def _ejection(server: Server, health: HealthRecord, slowness: float, now: int) -> EjectionGossip:
+    return EjectionGossip(
+        server.id,
+        server.started,
+        health is server.as_source,
+        max(0, health.ejected_until - now),
+        int(SLOWNESS_UNIT * slowness),
+        now - health.speeds[-1][0] if slowness else 0,
+    )
--- a/sprucegate/routing/hashing.py
+++ b/sprucegate/routing/hashing.py
@@ -15,3 +15,20 @@
     value = (value ^ (value >> 16)) * 0x85EBCA6B & LOW_32_BITS
     value = (value ^ (value >> 13)) * 0xC2B2AE35 & LOW_32_BITS
     return value ^ (value >> 16)
+
+
+class HashSequence:
+    """Pseudo-random draws that are the same for the same seed, router and sequence of texts.
+
+    :ivar draws: how many were made.
+    """
+
+    def __init__(self, router_number: int, seed: int) -> None:
+        self.router_number = router_number
+        self.seed = seed
+        self.draws = 0
+
+    def chance(self, text: str) -> float:
+        """The next draw, at least 0 and less than 1."""
+        self.draws += 1
+        return hash32(f"{self.router_number}/{text}/{self.draws}".encode(), self.seed % 2**32) / 2**32
--- /dev/null
+++ b/sprucegate/routing/load_estimation.py
@@ -0,0 +1,74 @@
+"""Load estimation: sending times of requests, the rate of work returned, and the latency objective."""
+
+from collections import defaultdict, deque
+from statistics import median
+
+from sprucegate.routing.digest import Digest
+from sprucegate.routing.events import Request
+from sprucegate.routing.sentinels import LONG_AGO
+from sprucegate.routing.settings import RoutingSettings
+from sprucegate.units import MILLISECOND, SECOND
+
+SENDING_TIMES_PER_SERVICE = 64
+RETURNS_MAX = 256
+RATE_AGE_MAX_NS = 20 * MILLISECOND
+DEFAULT_SENDING_TIME_NS = 400 * MILLISECOND
+
+
+class LoadEstimator:
+    """Estimates from the last attempts.
+
+    :ivar now: time of the last request or result (ns).
+    :ivar sending_times: last ones by delivery service (ns).
+    :ivar returns: (time, sending time) of the last requests returned.
+    """
+
+    def __init__(self, settings: RoutingSettings, digest: Digest, now: int) -> None:
+        self.settings = settings
+        self.digest = digest
+        self.now = now
+        self.sending_times: defaultdict[int, deque[int]] = defaultdict(
+            lambda: deque(maxlen=SENDING_TIMES_PER_SERVICE)
+        )
+        self.returns: deque[tuple[int, int]] = deque(maxlen=RETURNS_MAX)
+        self._rated_at = LONG_AGO
+        self._rate = 0.0
+
+    def mean_sending_time(self, delivery_service: int) -> int:
+        """Mean of the service's last sending times (ns); without any, its latency objective."""
+        known = self.sending_times.get(delivery_service)
+        if known:
+            return sum(known) // len(known)
+        objective: int = self.settings.of_service(
+            "latency_objective", delivery_service, DEFAULT_SENDING_TIME_NS
+        )
+        return objective
+
+    def sending_time(self, request: Request) -> int:
+        """Expected time to send the answer on an idle link (ns).
+
+        By the request's size if it is known, else the object's shortest so far, else the service's median.
+        """
+        rate = self.settings.client_kb_per_s
+        if request.size and rate:
+            return int(request.size / rate * SECOND)
+        of_object = self.digest.record_of(request, self.now).sending_times
+        if of_object:
+            return min(of_object)
+        service = request.delivery_service
+        return int(median(self.sending_times.get(service) or [self.mean_sending_time(service)]))
+
+    def latency_objective(self, request: Request) -> int:
+        """Time within which to answer (ns): the service's, and more for a large answer."""
+        service = request.delivery_service
+        stretch = self.settings.of_service("objective_stretch", service, 0)
+        extra = int(stretch * self.sending_time(request))
+        objective: int = self.settings.of_service("latency_objective", service, -LONG_AGO)
+        return objective + extra
+
+    def rate(self, now: int) -> float:
+        """Sending time returned per nanosecond, over the last returns: the mean number of transfers."""
+        if now - self._rated_at >= RATE_AGE_MAX_NS and self.returns:
+            self._rated_at = now
+            self._rate = sum([work for _, work in self.returns]) / max(SECOND, now - self.returns[0][0])
+        return self._rate
--- /dev/null
+++ b/sprucegate/routing/load_shedding.py
@@ -0,0 +1,62 @@
+"""Load shedding: the deadline of each request, and the final answer to one that is not served."""
+
+import heapq
+from itertools import count
+from typing import TYPE_CHECKING
+
+from sprucegate.routing.actions import FailRequest, RejectRequest
+from sprucegate.routing.retry import RetryPolicy
+from sprucegate.routing.settings import RoutingSettings
+
+if TYPE_CHECKING:
+    from sprucegate.routing.request import RequestState
+
+COMPACTION_MIN = 128
+
+Timer = tuple[int, int, "RequestState | None"]
+
+
+def rejection(
+    state: "RequestState", settings: RoutingSettings, retry_policy: RetryPolicy
+) -> RejectRequest | FailRequest:
+    """The final answer: a rejection while a retry by the client is harmless, else a failure."""
+    if retry_policy.is_idempotent(state.request.delivery_service) or not state.possibly_executed():
+        return RejectRequest(settings.max_retry_after if settings.retry_after else 0)
+    return FailRequest()
+
+
+class DeadlineQueue:
+    """Deadlines of requests, and times at which to ask for the endpoint list (with None for a request).
+
+    :ivar waiting: heap of (time, order, request or None); entries of finished requests go when it is
+        compacted.
+    """
+
+    def __init__(self) -> None:
+        self.waiting: list[Timer] = []
+        self._order = count()
+        self._compact_at = COMPACTION_MIN
+
+    def add(self, at: int, state: "RequestState | None") -> None:
+        """Remind of a request at a time (ns)."""
+        if len(self.waiting) >= self._compact_at:
+            # Clients may wait for an hour: what is finished need not stand there until then.
+            self.waiting = [timer for timer in self.waiting if timer[2] is None or not timer[2].finished]
+            heapq.heapify(self.waiting)
+            self._compact_at = max(COMPACTION_MIN, 2 * len(self.waiting))
+        heapq.heappush(self.waiting, (at, next(self._order), state))
+
+    def next(self) -> int | None:
+        """Time of the next reminder (ns), None if there is none."""
+        while self.waiting and self.waiting[0][2] is not None and self.waiting[0][2].finished:
+            heapq.heappop(self.waiting)
+        return self.waiting[0][0] if self.waiting else None
+
+    def pop_expired(self, now: int) -> "list[RequestState | None]":
+        """All that are reminded of by now, without requests that are finished or being answered."""
+        expired = []
+        while self.waiting and self.waiting[0][0] <= now:
+            state = heapq.heappop(self.waiting)[2]
+            if state is None or not state.finished and not state.streaming:
+                expired.append(state)
+        return expired
--- /dev/null
+++ b/sprucegate/routing/outlier_detection.py
@@ -0,0 +1,93 @@
+"""Outlier detection: comparison groups of servers, and which caches are avoided.
+
+Each server has two health records, as a cache that answers and as a source of fills; what ejects it stands
+in `health_record`.
+"""
+
+from collections import OrderedDict, defaultdict
+from collections.abc import ItemsView
+
+from sprucegate.routing.server import Server
+from sprucegate.routing.server_registry import ServerRegistry
+
+RECENT_SERVERS_MAX = 256
+
+
+class OutlierDetector:
+    """Keeps the comparison groups of recently used servers, and says which caches to avoid.
+
+    :ivar suspects: caches out of reach, ejected or on probation, by index.
+    :ivar recent: by role, servers with a recent result by index, the latest last.
+    """
+
+    def __init__(self, registry: ServerRegistry) -> None:
+        self.registry = registry
+        self.suspects: dict[int, Server] = {}
+        self.recent: defaultdict[str, OrderedDict[int, Server]] = defaultdict(OrderedDict)
+
+    def forget(self, server: Server) -> None:
+        """Drop a server that is gone."""
+        self.suspects.pop(server.index, None)
+        self.recent[server.role].pop(server.index, None)
+
+    def changed(self, server: Server) -> None:
+        """Note that a record of the server has changed."""
+        recent = self.recent[server.role]
+        recent[server.index] = server
+        recent.move_to_end(server.index)
+        if len(recent) > RECENT_SERVERS_MAX:
+            recent.popitem(last=False)
+        health = server.as_cache
+        if server.role == "cache" and (
+            server.unreachable_until or health.on_probation or health.ejected_until
+        ):
+            self.suspects[server.index] = server
+
+    def comparison_group(self, role: str) -> tuple[list[Server], int]:
+        """Usable servers of a role with a recent result, and the number of those without one."""
+        seen = [server for server in self.recent[role].values() if self.registry.in_group(server)]
+        return seen, len(self.registry.group(role)) - len(seen)
+
+    def judge_cache(self, cache: Server, own_fault: bool, now: int) -> None:
+        """Eject the server as a cache if its last result shows it to be an outlier."""
+        if cache.as_cache.needs_judging(now):
+            peers, silent = self.comparison_group("cache")
+            cache.as_cache.judge([peer.as_cache for peer in peers], own_fault, now, silent)
+            self.changed(cache)
+
+    def judge_source(self, source: Server, own_fault: bool, now: int) -> None:
+        """Eject the server as a source of fills if its last result shows it to be an outlier."""
+        if source.as_source.needs_judging(now):
+            peers, silent = self.comparison_group(source.role)
+            source.as_source.judge([peer.as_source for peer in peers], own_fault, now, silent)
+
+    def all_seen(self) -> ItemsView[int, Server]:
+        """Index and server of all that may be slow or ejected."""
+        found = dict(self.suspects)
+        for recent in self.recent.values():
+            found.update(recent)
+        return found.items()
+
+    def avoided(self, now: int) -> set[int]:
+        """Indices of caches that get nothing now: out of reach, or ejected.
+
+        Of the caches in reach at most half are ejected at a time; a cache on probation has one request at a
+        time.
+        """
+        if not self.suspects:
+            return set()
+        unreachable: set[int] = set()
+        ejected: list[Server] = []
+        for index, server in list(self.suspects.items()):
+            health = server.as_cache
+            if not (server.unreachable_until or health.on_probation or health.ejected_until > now):
+                del self.suspects[index]
+            elif not self.registry.in_group(server):
+                continue
+            elif server.unreachable_until and (server.unreachable_until > now or server.in_flight):
+                unreachable.add(index)
+            elif health.ejected_until > now or health.on_probation and server.in_flight:
+                ejected.append(server)
+        ejected.sort(key=lambda server: (-server.as_cache.ejected_until, server.id))
+        most = (len(self.registry.group("cache")) - len(unreachable)) // 2
+        return unreachable.union([server.index for server in ejected[:most]])
--- /dev/null
+++ b/sprucegate/routing/response_cache.py
@@ -0,0 +1,53 @@
+"""Response cache: which copies the router process keeps itself, and when one of them may answer."""
+
+from sprucegate.routing.digest import Digest
+from sprucegate.routing.events import Request
+from sprucegate.routing.invalidation import OWN_COPY_AGE_MAX_NS, UNLIMITED_AGE_NS, InvalidationLog
+from sprucegate.routing.load_estimation import LoadEstimator
+from sprucegate.routing.settings import RoutingSettings
+from sprucegate.units import MILLISECOND
+
+OWN_COPIES_BYTES = 64 << 20
+QUEUE_PRODUCT_MAX = 5 * MILLISECOND * 100 * MILLISECOND  # queue on the own link (ns) times sending time (ns)
+
+
+class ResponseCachePolicy:
+    """Admission to and use of own copies."""
+
+    def __init__(
+        self,
+        settings: RoutingSettings,
+        digest: Digest,
+        invalidations: InvalidationLog,
+        load: LoadEstimator,
+    ) -> None:
+        self.settings = settings
+        self.digest = digest
+        self.invalidations = invalidations
+        self.load = load
+
+    def may_answer(self, request: Request, made: int, since: int, wait: int, now: int) -> bool:
+        """Whether an own copy may answer: young enough, and the own link's queue short, more so for a large
+        one.
+
+        :param made: when the response was generated (ns).
+        :param since: when it was stored here (ns).
+        :param wait: queue on the own link (ns).
+        """
+        limit = (
+            self.invalidations.max_age(request, False, now)
+            or self.settings.of_service("fresh_time", request.delivery_service, 0)
+            or UNLIMITED_AGE_NS
+        )
+        return (
+            now - since < OWN_COPY_AGE_MAX_NS
+            and now - made < limit
+            and wait * self.load.sending_time(request) <= QUEUE_PRODUCT_MAX
+        )
+
+    def should_store(self, request: Request, made: int, now: int) -> bool:
+        """Whether to keep a copy: of what is asked for again, never of what runs at the origin."""
+        asked_again = sum(self.digest.record_of(request, now).counts) > 1
+        if not asked_again or self.settings.of_service("runs_at_origin", request.delivery_service, False):
+            return False
+        return self.may_answer(request, made, now, 0, now)
--- /dev/null
+++ b/sprucegate/routing/server.py
@@ -0,0 +1,82 @@
+"""What the router knows of one server: its entry in the endpoint list, its health, its load reports."""
+
+from sprucegate.routing.events import Endpoint
+from sprucegate.routing.health_record import HealthRecord
+from sprucegate.routing.rendezvous import label_of, lane_of
+from sprucegate.routing.sentinels import LONG_AGO
+from sprucegate.units import SECOND
+
+UNREACHABLE_TIME_NS = SECOND
+REPORT_AGE_MAX_NS = SECOND
+CROWD_REPORT_AGE_MAX_NS = 2 * SECOND
+SLOWNESS_PER_REPORTED_REQUEST = 0.6  # for each request in flight per transfer that the link bears
+
+
+class Server:
+    """A cache, parent or origin.
+
+    :ivar index: number in the order of arrival, never given again.
+    :ivar entry: its last entry in the endpoint list.
+    :ivar role: "cache", "parent" or "origin".
+    :ivar label: its id as bytes, hashed for rendezvous hashing; `lane` is the precomputed form.
+    :ivar unreachable_until: until when it gets nothing because it was out of reach, 0 if it answers.
+    :ivar in_flight: this router's attempts under way there.
+    :ivar fills_in_flight: those of them that are expected to wait for a fill.
+    :ivar started: start of its process on the platform's clock (ns), 0 if unknown.
+    :ivar replaced_at: when this router saw it come back after being out of reach, None if the list told its
+        start.
+    :ivar load: its last load report; `load_at` is when it came.
+    :ivar credit: slow start's budget left (ns of sending time), None before the first use; as of `credit_at`.
+    """
+
+    __slots__ = (
+        "index", "id", "entry", "role", "label", "lane", "unreachable_until", "in_flight", "fills_in_flight",
+        "as_cache", "as_source", "load", "load_at", "started", "replaced_at", "credit", "credit_at",
+    )  # fmt: skip
+
+    def __init__(self, index: int, entry: Endpoint, role: str) -> None:
+        self.index = index
+        self.id = entry.id
+        self.entry = entry
+        self.role = role
+        self.label = label_of(entry.id)
+        self.lane = lane_of(self.label)
+        self.unreachable_until = 0
+        self.in_flight = 0
+        self.fills_in_flight = 0
+        self.restarted(entry.started)
+
+    def restarted(self, started: int, replaced_at: int | None = None) -> None:
+        """Forget what was known of the process before; attempts in flight stay counted."""
+        self.as_cache = HealthRecord()
+        self.as_source = HealthRecord()
+        self.load: dict[str, float] = {}
+        self.load_at = LONG_AGO
+        self.started = started
+        self.replaced_at = replaced_at
+        self.credit: float | None = None
+        self.credit_at = LONG_AGO
+
+    def reached(self, success: bool, now: int, platform_now: int) -> None:
+        """Note whether it could be reached.
+
+        Back in reach it counts as restarted, as the endpoint list may tell a restart late.
+        """
+        if not success:
+            self.unreachable_until = now + UNREACHABLE_TIME_NS
+            return
+        if self.unreachable_until:
+            self.restarted(platform_now, now)
+        self.unreachable_until = 0
+
+    def expected_slowness(self, now: int) -> float:
+        """Slowness that one more request has to expect of its link, by own samples and by its load report."""
+        reported = self.load.get("inflight", 0) if now - self.load_at < CROWD_REPORT_AGE_MAX_NS else 0
+        sampled = self.as_cache.expected_slowness(self.in_flight - self.fills_in_flight + 1, now)
+        return max(SLOWNESS_PER_REPORTED_REQUEST * reported / self.entry.weight, sampled)
+
+    def requests_in_flight(self, now: int) -> float:
+        """Requests under way there: this router's, or all routers' by its last report."""
+        return max(
+            self.in_flight, self.load.get("inflight", 0) if now - self.load_at < REPORT_AGE_MAX_NS else 0
+        )
--- /dev/null
+++ b/sprucegate/routing/server_registry.py
@@ -0,0 +1,139 @@
+"""Server registry: the endpoint list, grouped by role and ordered by rendezvous hashing."""
+
+from bisect import bisect_left
+from collections import Counter, defaultdict
+from collections.abc import Iterator, Sequence
+from itertools import count, islice
+
+from sprucegate.routing.events import Endpoint, EndpointState
+from sprucegate.routing.rendezvous import Ranking, Rendezvous
+from sprucegate.routing.server import Server
+from sprucegate.routing.settings import RoutingSettings
+
+RANKED_FIRST = 8  # most requests need no more
+RANKING_GROWTH = 4
+CONNECTIONS_AT_START_RATIO = 0.75  # the rest is left for what requests need
+
+
+class ServerRegistry:
+    """All servers of the endpoint list and the groups of those that may be used.
+
+    :ivar servers: by index, in the order of arrival; `index_of` maps ids to indices.
+    :ivar groups: by role, the usable servers in the order of their indices.
+    :ivar largest_weight: by role, the most weight that its group has had.
+    :ivar versions: by role, changes of its group so far; a ranking of another version is void.
+    :ivar platform_clock_offset: how far the clock of listed starts is ahead of the router's (ns), at the
+        least.
+    """
+
+    def __init__(self, settings: RoutingSettings) -> None:
+        self.settings = settings
+        self.servers: dict[int, Server] = {}
+        self.index_of: dict[int, int] = {}
+        self.indices = count()
+        self.groups: defaultdict[str, Rendezvous] = defaultdict(Rendezvous)
+        self.largest_weight: Counter[str] = Counter()
+        self.versions: Counter[str] = Counter()
+        self.platform_clock_offset = 0
+
+    def update(self, entries: Sequence[Endpoint], complete: bool, now: int) -> list[Server]:
+        """Take over the endpoint list, or changed entries if not `complete`; returns servers gone."""
+        listed = dict.fromkeys([entry.id for entry in entries])
+        for entry in entries:
+            self._update_entry(entry)
+        # Only those named in a change: of thousands few change, and grouping all of them takes long.
+        if complete:
+            changed = list(self.servers.values())
+        else:
+            changed = [self.servers[self.index_of[identifier]] for identifier in listed]
+        gone = []
+        for server in changed:
+            is_gone = complete and server.id not in listed or server.entry.state is EndpointState.GONE
+            self._regroup(server, is_gone)
+            if is_gone:
+                del self.servers[server.index], self.index_of[server.id]
+                gone.append(server)
+        for role in dict.fromkeys([server.role for server in changed]):
+            self.versions[role] += 1
+            self.largest_weight[role] = max(self.largest_weight[role], self.groups[role].weight())
+        return gone
+
+    def _update_entry(self, entry: Endpoint) -> None:
+        if entry.id not in self.index_of:
+            index = self.index_of[entry.id] = next(self.indices)
+            self.servers[index] = Server(index, entry, self._role_of(entry.kind))
+        server = self.servers[self.index_of[entry.id]]
+        if entry.started > server.started:
+            server.restarted(entry.started)
+        server.entry = entry
+
+    def _role_of(self, kind: int) -> str:
+        if kind == self.settings.origin_kind:
+            return "origin"
+        return "parent" if kind == self.settings.parent_kind else "cache"
+
+    def _regroup(self, server: Server, is_gone: bool) -> None:
+        group = self.groups[server.role]
+        position = bisect_left(group.nodes, server.index, key=lambda member: member.index)
+        if position < len(group.nodes) and group.nodes[position] is server:
+            group.remove(position)
+        if not is_gone and server.entry.state is EndpointState.SERVING and self._is_near(server):
+            group.insert(position, server, server.entry.weight)
+
+    def _is_near(self, server: Server) -> bool:
+        return server.role != "cache" or server.entry.location == self.settings.my_location
+
+    def group(self, role: str) -> list[Server]:
+        """Servers of a role that requests or fills may go to, in the order of their indices."""
+        members: list[Server] = self.groups[role].nodes
+        return members
+
+    def in_group(self, server: Server) -> bool:
+        """Whether requests or fills may go to it: listed, serving, and at this location if it is a cache."""
+        return (
+            self._is_near(server)
+            and server.entry.state is EndpointState.SERVING
+            and self.servers.get(server.index) is server
+        )
+
+    def ranking(self, rankings: dict[str, Ranking], role: str, key: bytes) -> Ranking:
+        """The first servers of a role for a key, kept in `rankings` by role."""
+        kept = rankings.get(role)
+        version = self.versions[role]
+        if kept is None or kept.version != version:
+            kept = rankings[role] = Ranking(version, self.groups[role].best(key, RANKED_FIRST))
+        return kept
+
+    def ranked(self, rankings: dict[str, Ranking], role: str, key: bytes) -> Iterator[Server]:
+        """All servers of a role in the order for a key, alike at all routers; computed on demand."""
+        group = self.group(role)
+        kept = self.ranking(rankings, role, key)
+        position = 0
+        while True:
+            yield from islice(kept.nodes, position, None)
+            position = len(kept.nodes)
+            if position >= len(group):
+                return
+            kept.nodes = self.groups[role].best(key, RANKING_GROWTH * position)
+
+    def age(self, server: Server, now: int) -> int:
+        """Nanoseconds since it started, at most the true ones."""
+        if server.replaced_at is not None:
+            return now - server.replaced_at
+        return now + self.platform_clock_offset - server.started
+
+    def endpoints_to_connect(self, most: int) -> list[int]:
+        """Ids of servers to connect to at the start, where there may be `most` connections.
+
+        All of them where they are so few. Else the origin and the parents, which all fills go through, and
+        the near caches if all of them fit: a connection to one of thousands would go idle before its first
+        request.
+        """
+        if len(self.servers) <= most:
+            return [server.id for server in self.servers.values()]
+        most = int(CONNECTIONS_AT_START_RATIO * most)
+        chosen = [*self.group("origin"), *self.group("parent")]
+        caches = self.group("cache")
+        if len(chosen) + len(caches) <= most:
+            chosen += caches
+        return [server.id for server in chosen[:most]]
--- a/sprucegate/routing/settings.py
+++ b/sprucegate/routing/settings.py
@@ -1,7 +1,7 @@
 """Settings of a deployment that decisions rest on, read once from the configuration into a typed record.
 
-`sprucegate/simulator/settings.py` maps the platform's names to the names used here. Times are nanoseconds, sizes are
-kilobytes, shares lie between 0 and 1. A setting that the deployment does not state has its default.
+`sprucegate/simulator/settings.py` maps the platform's names to the names used here. Times are nanoseconds,
+sizes are kilobytes, shares lie between 0 and 1. A setting that the deployment does not state has its default.
 """
 
 from collections.abc import Mapping, Sequence
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingSettings:
-    """One deployment's settings. Sequences have one item for each delivery service, None where it is not stated.
+    """One deployment's settings. Sequences have one item for each delivery service, None if not stated.
 
     :ivar my_number: ordinal of this router among all routers.
     :ivar my_location: position of this router's location in the deployment's list.
--- /dev/null
+++ b/sprucegate/routing/slow_start.py
@@ -0,0 +1,105 @@
+"""Slow start: how much work a server gets right after its start, when it is slow and its cache is empty.
+
+Each router has a token bucket for each server that is warming up. It fills by a share, growing linearly with
+the server's age, of what warm servers return, and every request takes its expected sending time. Capacity
+itself is never told, so that the work returned is the guide.
+"""
+
+from collections import deque
+from math import ceil
+from typing import NamedTuple
+
+from sprucegate.routing.cache_status import HITS
+from sprucegate.routing.events import CacheStatus
+from sprucegate.routing.hashing import HashSequence
+from sprucegate.routing.load_estimation import LoadEstimator
+from sprucegate.routing.server import Server
+from sprucegate.routing.server_registry import ServerRegistry
+from sprucegate.routing.settings import RoutingSettings
+
+BUDGET_RATIO_MAX = 1.4  # of its share of what warm servers return
+OVERLOAD_MARGIN_RATIO = 0.7  # of the work at which it fails: the rest is what this router does not see
+BURST_RATIO = 0.9  # of that work in any one window, with what was saved up
+STATUSES_KEPT = 64
+ASSUMED_FILLS = 8  # fills that the estimate of their share begins with
+
+
+class _Ramp(NamedTuple):
+    """A role's settings of slow start (RoutingSettings)."""
+
+    cold_share: float
+    warm_time: int
+    fall_multiple: float
+
+
+class SlowStart:
+    """The budgets of all servers that are warming up; they are kept with the servers.
+
+    :ivar statuses: how caches handled the last requests, without those of which nothing was said.
+    """
+
+    def __init__(
+        self, settings: RoutingSettings, registry: ServerRegistry, load: LoadEstimator, draws: HashSequence
+    ) -> None:
+        self.settings = settings
+        self.registry = registry
+        self.load = load
+        self.draws = draws
+        self.statuses: deque[CacheStatus] = deque(maxlen=STATUSES_KEPT)
+        self._of_caches = _Ramp(settings.cold_share, settings.warm_time, settings.fall_multiple)
+        self._of_parents = _Ramp(
+            settings.parent_cold_share, settings.parent_warm_time, settings.parent_fall_multiple
+        )
+
+    def spend(self, server: Server, delivery_service: int) -> None:
+        """Take one request of this service out of the server's budget."""
+        if server.credit is not None:
+            server.credit -= self.load.mean_sending_time(delivery_service)
+
+    def has_budget(self, server: Server, delivery_service: int, now: int) -> bool:
+        """Whether the server's budget allows one more request of this service; a warm one's always does."""
+        ramp = self._of_parents if server.role == "parent" else self._of_caches
+        age = self.registry.age(server, now)
+        if server.role == "origin" or not server.started or age >= ramp.warm_time:
+            return True
+        window = self.settings.fall_time
+        share = ramp.cold_share + (1 - ramp.cold_share) * max(0, age) / ramp.warm_time
+        rate = self._full_rate(server, now)
+        overload = ramp.fall_multiple * share * rate * window
+        budget = min(BUDGET_RATIO_MAX * share * rate * window, OVERLOAD_MARGIN_RATIO * overload)
+        cost = max(1, self.load.mean_sending_time(delivery_service))
+        savings = max(0, BURST_RATIO * overload - budget)
+        if not self.load.returns:  # among cold servers alone nothing would ever be earned
+            budget = savings = cost * window / ramp.warm_time
+        self._refill(server, budget, cost, savings, now)
+        return server.credit is not None and server.credit >= cost
+
+    def _full_rate(self, server: Server, now: int) -> float:
+        """Work that a warm server of this weight returns, as the mean number of transfers.
+
+        Its part is that of all servers that ever stood: one that is left did not carry alone what is still
+        counted.
+        """
+        rate = self.load.rate(now) * server.entry.weight / (self.registry.largest_weight[server.role] or 1)
+        if server.role != "parent":
+            return rate
+        fills = ASSUMED_FILLS + sum(status not in HITS for status in self.statuses)
+        return rate * (fills / (ASSUMED_FILLS + len(self.statuses)))
+
+    def _refill(self, server: Server, budget: float, cost: int, savings: float, now: int) -> None:
+        """Add to the server's credit (ns of sending time) what it earned since the last call.
+
+        :param budget: what it earns in one window of `fall_time`.
+        :param cost: expected sending time of the request at hand.
+        :param savings: most that it keeps beyond that request.
+        """
+        if server.credit is None:
+            # A part of a request by chance: the first requests of many routers together would overload it.
+            server.credit = self.draws.chance(server.label.hex()) * cost
+            server.credit_at = now
+        credit = server.credit + budget * (now - server.credit_at) / self.settings.fall_time
+        # Capped, or what routers saved up in a quiet time would come from all of them at once. By whole
+        # requests: capped alike, all routers would hold one ready at any time.
+        credit -= cost * max(0, ceil((credit - cost - savings) / cost))
+        server.credit = credit
+        server.credit_at = now
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,9 +10,12 @@
 import threading
 import time
 
+from sprucegate.routing.digest import Belief
 from sprucegate.routing.events import Endpoint, EndpointState, Request
-from sprucegate.routing.router import MS, Router, S
+from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
+from sprucegate.units import MILLISECOND as MS
+from sprucegate.units import SECOND as S
 from standins.faults import Faults
 from standins.ports import free_port
 
@@ -65,14 +68,15 @@
 
 
 def node(made, cache):
-    return made.nodes[made.index_of[cache]]
+    return made.registry.servers[made.registry.index_of[cache]]
 
 
 def believed(made, ask, *caches, expiry=NOW + 5 * S, since=NOW - MS):
-    memory = made.memory(ask, NOW)
+    record = made.digest.record_of(ask, NOW)
     for cache in caches:
-        memory.holders[made.index_of[cache]] = (expiry, since, node(made, cache).entry.started)
-    return memory
+        started = node(made, cache).entry.started
+        record.beliefs[made.registry.index_of[cache]] = Belief(expiry, since, started)
+    return record
 
 
 # Stand-ins for what a front talks to, each in threads of its own on a free loopback port.
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -4,77 +4,81 @@
 from helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, entry, node, router
 
 from sprucegate.routing.actions import FailRequest, RejectRequest, SendAttempt
-from sprucegate.routing.events import AttemptOutcome, BeliefGossip, CacheStatus, EjectionGossip, EndpointState
-from sprucegate.routing.router import (
-    ANSWER_MARGIN,
-    CAP,
-    KEEP_COUNT,
-    MARGIN,
-    MS,
-    OWN_AGE,
-    OWN_WAIT,
-    REFRESH,
-    SPAN,
-    TRIP,
-    Get,
-    Memory,
-    S,
-    Sent,
-    Standing,
+from sprucegate.routing.attempt_results import AttemptResult
+from sprucegate.routing.digest import (
+    BELIEF_TIME_MAX_NS,
+    COUNTING_SPAN_NS,
+    EVICTION_THRESHOLD,
+    RECHECK_MARGIN_NS,
+    ROUND_TRIP_NS,
+    ObjectRecord,
 )
+from sprucegate.routing.events import AttemptOutcome, BeliefGossip, CacheStatus, EjectionGossip, EndpointState
+from sprucegate.routing.fill_source import Fill
+from sprucegate.routing.health_record import ESTIMATE_AGE_MAX_NS, HealthRecord
+from sprucegate.routing.invalidation import OWN_COPY_AGE_MAX_NS
+from sprucegate.routing.request import ANSWER_MARGIN_NS, Attempt, RequestState
+from sprucegate.routing.response_cache import QUEUE_PRODUCT_MAX
+from sprucegate.units import MILLISECOND as MS
+from sprucegate.units import SECOND as S
+
 
+def learn(made, state, attempt, outcome, status, elapsed, fill_wait, load, now):
+    """The router is told that an attempt ended; nothing is decided on what follows."""
+    made.results.record(AttemptResult(state, attempt, outcome, status, elapsed, fill_wait, load, now))
 
-def get_with(made, ask, *outcomes, at=NOW, cache=11):
+
+def state_with(made, ask, *outcomes, at=NOW, cache=11):
     """A GET whose forwards ended so; None for one that is still out."""
-    get = Get(made, ask, at)
+    state = RequestState(made, ask, at)
     for outcome in outcomes:
-        sent = Sent(node(made, cache), node(made, PARENTS[0]), 1)
-        sent.open, sent.outcome = outcome is None, outcome
-        get.forwards.append(sent)
-    return get
+        attempt = Attempt(node(made, cache), node(made, PARENTS[0]), 1)
+        attempt.is_open, attempt.outcome = outcome is None, outcome
+        state.attempts.append(attempt)
+    return state
 
 
 @pytest.mark.parametrize(
     "older, newer, life",
     [
-        (9, 9, CAP),  # equal
-        (3, 9, CAP),  # rising
-        (4, 3, CAP),  # falls within the noise of counting
-        (20, 8, int((8 - KEEP_COUNT) * SPAN / 12 - TRIP)),  # the line
+        (9, 9, BELIEF_TIME_MAX_NS),  # equal
+        (3, 9, BELIEF_TIME_MAX_NS),  # rising
+        (4, 3, BELIEF_TIME_MAX_NS),  # falls within the noise of counting
+        (20, 8, int((8 - EVICTION_THRESHOLD) * COUNTING_SPAN_NS / 12 - ROUND_TRIP_NS)),  # the line
         (9, 0, 0),  # already under the threshold
-        (90, 60, int((60 - KEEP_COUNT) * SPAN / 30 - TRIP)),
-        (90, 76, CAP),  # the cap bounds the line
+        (90, 60, int((60 - EVICTION_THRESHOLD) * COUNTING_SPAN_NS / 30 - ROUND_TRIP_NS)),
+        (90, 76, BELIEF_TIME_MAX_NS),  # the cap bounds the line
     ],
 )
 def test_life_of_a_belief(older, newer, life):
-    memory = Memory(0)
-    memory.counts = [0, newer, older]
-    assert memory.life() == min(CAP, life)
+    record = ObjectRecord(0)
+    record.counts = [0, newer, older]
+    assert record.belief_time() == min(BELIEF_TIME_MAX_NS, life)
 
 
 def test_counts_roll_into_spans():
-    memory = Memory(10)
-    memory.counts = [5, 4, 3]
-    memory.roll(12)
-    assert memory.counts == [0, 0, 5]
+    record = ObjectRecord(10)
+    record.counts = [5, 4, 3]
+    record.advance(12)
+    assert record.counts == [0, 0, 5]
 
 
 @pytest.mark.parametrize("failed_ago, counted", [(None, 1), (S, 0), (3 * S, 1)])
 def test_a_repeat_after_giving_up_is_not_demand(failed_ago, counted):
     made = router()
     if failed_ago is not None:
-        made.memory(asked(), NOW).failed_at = NOW - failed_ago
+        made.digest.record_of(asked(), NOW).rejected_at = NOW - failed_ago
     made.start_request(asked(), NOW)
-    assert made.memory(asked(), NOW).counts[0] == counted
+    assert made.digest.record_of(asked(), NOW).counts[0] == counted
 
 
 def finish(outcome, found, source=PARENTS[0], before=()):
     made = router()
-    memory = believed(made, asked(), *before)
-    get = get_with(made, asked(), None)
-    get.forwards[0].source = node(made, source)
-    made.learn(get, get.forwards[0], outcome, found, 50 * MS, 5 * MS, {}, NOW)
-    return {made.nodes[at].id for at in memory.holders}
+    record = believed(made, asked(), *before)
+    state = state_with(made, asked(), None)
+    state.attempts[0].source = node(made, source)
+    learn(made, state, state.attempts[0], outcome, found, 50 * MS, 5 * MS, {}, NOW)
+    return {made.registry.servers[at].id for at in record.beliefs}
 
 
 @pytest.mark.parametrize(
@@ -95,21 +99,24 @@
 @pytest.mark.parametrize("change", ["restart", "purge", "group purge", "drain", "expiry"])
 def test_beliefs_die(change):
     made = router()
-    memory = believed(made, asked(), 12, expiry=NOW if change == "expiry" else NOW + S)
+    record = believed(made, asked(), 12, expiry=NOW if change == "expiry" else NOW + S)
     if change == "restart":
         made.update_endpoints([entry(12, started=NOW)], False, NOW)
     elif change == "drain":
         made.update_endpoints([entry(12, EndpointState.DRAINING)], False, NOW)
     elif change != "expiry":
         made.invalidate(99 if change == "purge" else -1, 5, 0, NOW)
-    assert made.holders(asked(), memory, NOW) == {}
+    assert made.digest.valid_beliefs(asked(), record, NOW) == {}
 
 
-@pytest.mark.parametrize("left, recheck", [(MARGIN // 2, True), (MARGIN + S, False)])
+@pytest.mark.parametrize("left, recheck", [(RECHECK_MARGIN_NS // 2, True), (RECHECK_MARGIN_NS + S, False)])
 def test_a_belief_near_its_end_is_rechecked(left, recheck):
     made = router()
-    memory = believed(made, asked(), 12, expiry=NOW + left)
-    assert made.sibling(get_with(made, asked()), memory, node(made, 11), NOW) == (node(made, 12), recheck)
+    record = believed(made, asked(), 12, expiry=NOW + left)
+    assert made.sources.sibling(state_with(made, asked()), record, node(made, 11), NOW) == (
+        node(made, 12),
+        recheck,
+    )
 
 
 @pytest.mark.parametrize(
@@ -118,8 +125,10 @@
 )
 def test_siblings_only_where_allowed(allowed, mine, used):
     made = router([entry(12)._replace(location=1 if mine else 0)], siblings=allowed)
-    memory = believed(made, asked(), 12)
-    assert (made.sibling(get_with(made, asked()), memory, node(made, 11), NOW)[0] is not None) is used
+    record = believed(made, asked(), 12)
+    assert (
+        made.sources.sibling(state_with(made, asked()), record, node(made, 11), NOW)[0] is not None
+    ) is used
 
 
 def test_fronts_pick_alike_whatever_the_order_of_their_lists():
@@ -127,7 +136,9 @@
     other.group("cache").reverse()
     for obj in range(50):
         picked = [
-            made.pick(get_with(made, asked(obj=obj)), made.memory(asked(obj=obj), NOW), NOW)[0].id
+            made.caches.pick(
+                state_with(made, asked(obj=obj)), made.digest.record_of(asked(obj=obj), NOW), NOW
+            )[0].id
             for made in (one, other)
         ]
         assert picked[0] == picked[1]
@@ -136,7 +147,9 @@
 def test_the_pick_spreads_objects_over_the_caches():
     made = router()
     picked = [
-        made.pick(get_with(made, asked(obj=obj)), made.memory(asked(obj=obj), NOW), NOW)[0].id
+        made.caches.pick(state_with(made, asked(obj=obj)), made.digest.record_of(asked(obj=obj), NOW), NOW)[
+            0
+        ].id
         for obj in range(400)
     ]
     assert all(60 < picked.count(cache) < 140 for cache in CACHES)
@@ -145,30 +158,30 @@
 @pytest.mark.parametrize("count, width", [(1, 1), (6, 1), (12, 2), (30, 3)])  # a few GETs are noise
 def test_a_hot_object_is_spread(count, width):
     made = router()
-    made.spents[0] = [100 * MS]
-    made.carried.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
-    memory = made.memory(asked(), NOW)
-    memory.counts = [count, 0, 0]
-    assert made.width(asked(), memory, len(made.group("cache")), NOW) == width
+    made.load.sending_times[0] = [100 * MS]
+    made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
+    record = made.digest.record_of(asked(), NOW)
+    record.counts = [count, 0, 0]
+    assert made.caches.width(asked(), record, len(made.group("cache")), NOW) == width
 
 
 def test_a_crowded_cache_is_passed_by():
     made = router()
-    first = made.pick(get_with(made, asked()), made.memory(asked(), NOW), NOW)[0]
+    first = made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[0]
     first.as_cache.speeds.extend((NOW, 6.0, 12) for _ in range(4))
-    first.out = 40
-    later = NOW + REFRESH
-    second, in_time = made.pick(get_with(made, asked()), made.memory(asked(), NOW), later)
+    first.in_flight = 40
+    later = NOW + ESTIMATE_AGE_MAX_NS
+    second, in_time = made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), later)
     assert second is not first and in_time
 
 
 def test_what_is_late_everywhere_is_shed_with_a_time_to_come_back():
     made = router()
-    made.chance = lambda text: 0.99
+    made.draws.chance = lambda text: 0.99
     for cache in CACHES:
         node(made, cache).as_cache.speeds.extend((NOW, 6.0, 12) for _ in range(4))
-        node(made, cache).out = 40
-    assert get_with(made, asked()).route(NOW) == [RejectRequest(S)]
+        node(made, cache).in_flight = 40
+    assert state_with(made, asked()).route(NOW) == [RejectRequest(S)]
 
 
 @pytest.mark.parametrize(
@@ -177,19 +190,19 @@
 )
 def test_fills_are_throttled_by_their_success(results, held, looks):
     made = router()
-    made.chance = lambda text: 0.5
+    made.draws.chance = lambda text: 0.5
     for source in (*PARENTS, ORIGIN):
-        made.fills.extend([node(made, source), NOW - S, NOW, good] for good in results)
+        made.sources.fills.extend(Fill(node(made, source), NOW - S, NOW, good) for good in results)
     believed(made, asked(), *(CACHES if held else ()))
-    sent = made.plan(get_with(made, asked()), NOW)
-    assert sent.only_if_cached is looks
+    attempt = made.plan(state_with(made, asked()), NOW)
+    assert attempt.only_if_cached is looks
 
 
 def test_a_fill_out_beyond_its_objective_counts_before_it_ends():
     made = router()
     source = node(made, PARENTS[0])
-    made.fills.extend([source, NOW - S, NOW - MS, None] for _ in range(6))
-    assert made.in_time([source], NOW)[0] < 0.1
+    made.sources.fills.extend(Fill(source, NOW - S, NOW - MS, None) for _ in range(6))
+    assert made.sources.on_time_ratios([source], NOW)[0] < 0.1
 
 
 @pytest.mark.parametrize(
@@ -209,33 +222,34 @@
 )
 def test_no_effect_twice(effect, outcomes, age, answer):
     made = router(effect=["idempotent", "idempotent", effect])
-    get = get_with(made, asked(ds=2, ttl=9 * S), *outcomes)
-    assert isinstance(get.route(NOW + age)[0], answer)
+    state = state_with(made, asked(ds=2, ttl=9 * S), *outcomes)
+    assert isinstance(state.route(NOW + age)[0], answer)
 
 
 @pytest.mark.parametrize("ds, most", [(2, 3), (0, 2), (1, 1)])
 def test_further_forwards_go_by_revenue(ds, most):
     made = router(effect=["idempotent"] * 3)
     allowed = [
-        made.may_forward(get_with(made, asked(ds=ds), *[AttemptOutcome.FULL] * n), NOW) for n in range(6)
+        made.retry_policy.may_attempt(state_with(made, asked(ds=ds), *[AttemptOutcome.FULL] * n), NOW)
+        for n in range(6)
     ]
     assert allowed == [n <= most for n in range(6)]
 
 
 def test_a_spent_retry_budget_stops_further_forwards():
     made = router()
-    made.further.extend([True] * 30 + [False] * 70)
-    assert not made.may_forward(get_with(made, asked(), AttemptOutcome.FULL), NOW)
-    assert made.may_forward(get_with(made, asked()), NOW)
+    made.retry_policy.retries.extend([True] * 30 + [False] * 70)
+    assert not made.retry_policy.may_attempt(state_with(made, asked(), AttemptOutcome.FULL), NOW)
+    assert made.retry_policy.may_attempt(state_with(made, asked()), NOW)
 
 
 @pytest.mark.parametrize("outcome, again", [(AttemptOutcome.NOT_SENT, True), (AttemptOutcome.FULL, False)])
 def test_what_never_left_goes_elsewhere_outside_the_retry_budget(outcome, again):
     made = router()
-    get = made.start_request(asked(), NOW)
-    (first,) = get.route(NOW)
-    made.further.extend([True] * 30 + [False] * 70)
-    (said,) = get.attempt_ended(first.number, outcome, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW + MS)
+    state = made.start_request(asked(), NOW)
+    (first,) = state.route(NOW)
+    made.retry_policy.retries.extend([True] * 30 + [False] * 70)
+    (said,) = state.attempt_ended(first.number, outcome, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW + MS)
     assert (
         (isinstance(said, SendAttempt) and said.cache != first.cache)
         if again
@@ -245,19 +259,19 @@
 
 def test_an_answer_is_owed_before_the_viewer_leaves():
     made = router()
-    get = made.start_request(asked(ttl=3 * S), NOW)
-    get.forwards = get_with(made, asked(), None).forwards
+    state = made.start_request(asked(ttl=3 * S), NOW)
+    state.attempts = state_with(made, asked(), None).attempts
     when = made.next_deadline()
-    assert when == NOW + 3 * S - ANSWER_MARGIN
+    assert when == NOW + 3 * S - ANSWER_MARGIN_NS
     assert isinstance(made.on_timer(when)[-1][1][0], RejectRequest)
 
 
 def test_nothing_follows_the_final_answer():
     made = router()
-    get = get_with(made, asked(), None)
-    get.finished = True
-    assert get.attempt_ended(0, AttemptOutcome.FULL, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW) == []
-    assert get.client_disconnected(NOW) == []
+    state = state_with(made, asked(), None)
+    state.finished = True
+    assert state.attempt_ended(0, AttemptOutcome.FULL, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW) == []
+    assert state.client_disconnected(NOW) == []
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
@@ -265,8 +279,8 @@
     made = router()
     believed(made, asked(), 11, 12, 13)
     made.update_endpoints([entry(c, state) for c in (11, 12, 13, 21)], False, NOW)
-    sent = made.plan(get_with(made, asked()), NOW)
-    assert (sent.cache, sent.fill_source) == (14, 22)
+    attempt = made.plan(state_with(made, asked()), NOW)
+    assert (attempt.cache, attempt.fill_source) == (14, 22)
 
 
 def test_what_a_whole_list_leaves_out_is_gone():
@@ -287,22 +301,22 @@
 )
 def test_cold_starts_earn_credit(cache, ago, carried, room):
     made = router([entry(c, started=NOW - 3 * S) for c in (11, 21)])
-    made.carried.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(carried))
-    made.cold_room(node(made, cache), 0, NOW - ago * MS)
-    assert made.cold_room(node(made, cache), 0, NOW) is room
+    made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(carried))
+    made.slow_start.has_budget(node(made, cache), 0, NOW - ago * MS)
+    assert made.slow_start.has_budget(node(made, cache), 0, NOW) is room
 
 
 def test_one_cold_cache_left_does_not_earn_for_all_that_stood():
-    """As its group's last one it earned what four had carried, and was sent 3.3 times what it could do."""
+    """As its group's last one it earned what four had carried, and was attempt 3.3 times what it could do."""
     made = router([entry(11, started=NOW - 9 * S)])
-    made.carried.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
-    made.cold_room(node(made, 11), 0, NOW - 2 * S)
-    among_four = made.rate(NOW), node(made, 11)
+    made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
+    made.slow_start.has_budget(node(made, 11), 0, NOW - 2 * S)
+    among_four = made.load.rate(NOW), node(made, 11)
     made.update_endpoints([entry(c, EndpointState.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S)
     earned, at = 0, NOW - 2 * S
     while at < NOW:
         at += 50 * MS
-        if made.cold_room(among_four[1], 0, at):
+        if made.slow_start.has_budget(among_four[1], 0, at):
             among_four[1].credit -= 400 * MS
             earned += 1
     assert 0 < earned * 0.4 / 2 <= 1.4 * 0.7 * 4 / 4 + 0.2  # its own part of 4 s of work a second
@@ -319,23 +333,23 @@
 
 def test_an_answer_without_a_word_is_neither_hit_nor_fill_in_the_count():
     made = router(tells="hit")
-    get = get_with(made, asked(), None)
-    made.learn(get, get.forwards[0], AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, 50 * MS, 0, {}, NOW)
-    assert not made.found
+    state = state_with(made, asked(), None)
+    learn(made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, 50 * MS, 0, {}, NOW)
+    assert not made.slow_start.statuses
 
 
 def test_many_fronts_first_gets_are_spread_over_a_cold_start():
     """156 fronts that each see a GET a second pushed a cold parent over: each one's first was free."""
-    sent = 0
+    attempt = 0
     for number in range(150):
         made = router([entry(21, started=NOW)], my_number=number)
-        made.carried.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
+        made.load.returns.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
         for at in range(20):
-            if made.cold_room(node(made, 21), 0, NOW + at * 100 * MS):
-                node(made, 21).credit -= made.mean_work(0)
-                sent += 1
+            if made.slow_start.has_budget(node(made, 21), 0, NOW + at * 100 * MS):
+                node(made, 21).credit -= made.load.mean_sending_time(0)
+                attempt += 1
     # All together carry 60 s of work a second; a parent's half of it, at its floor twice over in two seconds.
-    assert sent * 0.4 <= 2 * 2 * 0.09 * 30
+    assert attempt * 0.4 <= 2 * 2 * 0.09 * 30
 
 
 @pytest.mark.parametrize(
@@ -353,13 +367,13 @@
     made = router()
     if purge_ago is not None:
         made.invalidate(key, 5 if key < 0 else 6, purge_ago, NOW)
-    assert made.oldest(asked(ds=ds), False, NOW) == oldest
+    assert made.invalidations.max_age(asked(ds=ds), False, NOW) == oldest
 
 
 def test_a_stale_copy_is_taken_only_within_its_grace():
     made = router(grace_time=[0, 20 * S, 0])
-    assert made.oldest(asked(ds=1), True, NOW) == 28 * S
-    assert made.oldest(asked(ds=0), True, NOW) == 0
+    assert made.invalidations.max_age(asked(ds=1), True, NOW) == 28 * S
+    assert made.invalidations.max_age(asked(ds=0), True, NOW) == 0
 
 
 @pytest.mark.parametrize(
@@ -377,31 +391,31 @@
     ],
 )
 def test_outliers_are_set_aside(ends, speed, peers_good, peers_speed, alone, aside):
-    one, rivals = Standing(), [Standing(), Standing()]
+    one, rivals = HealthRecord(), [HealthRecord(), HealthRecord()]
     for at, good in enumerate(ends):
-        one.note(NOW - (9 - at) * 10 * MS, good, speed)
+        one.record(NOW - (9 - at) * 10 * MS, good, speed)
     for at, rival in enumerate(rivals * 4):
-        rival.note(NOW - (9 - at) * 10 * MS, peers_good, peers_speed)
+        rival.record(NOW - (9 - at) * 10 * MS, peers_good, peers_speed)
     one.judge([one, *rivals], alone, NOW)
-    assert (one.until > NOW) is aside
+    assert (one.ejected_until > NOW) is aside
 
 
 def test_never_more_than_half_are_set_aside():
     made = router()
     for cache in CACHES:
-        node(made, cache).as_cache.until = NOW + S
-        made.noted(node(made, cache))
-    assert len(made.avoided(NOW)) == 2
+        node(made, cache).as_cache.ejected_until = NOW + S
+        made.outliers.changed(node(made, cache))
+    assert len(made.outliers.avoided(NOW)) == 2
 
 
 def test_the_origin_fills_when_no_parent_is_up():
     made = router([entry(c, EndpointState.GONE) for c in PARENTS])
-    assert made.upper(get_with(made, asked()), NOW)[0].id == ORIGIN
+    assert made.sources.parent_or_origin(state_with(made, asked()), NOW)[0].id == ORIGIN
 
 
 def test_a_first_get_of_unknown_size_is_not_held_for_late():
     made = router(objective_stretch=[0.0] * 3)
-    assert made.pick(get_with(made, asked()), made.memory(asked(), NOW), NOW)[1]
+    assert made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[1]
 
 
 @pytest.mark.parametrize(
@@ -415,11 +429,11 @@
 )
 def test_a_slow_fill_is_not_laid_to_the_cache(outcome, found, ends, speeds):
     made = router()
-    get = get_with(made, asked(size=100), None)
-    get.forwards[0].fill = [node(made, 21), NOW, NOW, None]
-    made.learn(get, get.forwards[0], outcome, found, S, 0, {}, NOW)
-    standing = node(made, 11).as_cache
-    assert ([good for _, good in standing.ends], len(standing.speeds)) == (ends, speeds)
+    state = state_with(made, asked(size=100), None)
+    state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
+    learn(made, state, state.attempts[0], outcome, found, S, 0, {}, NOW)
+    health = node(made, 11).as_cache
+    assert ([good for _, good in health.results], len(health.speeds)) == (ends, speeds)
 
 
 @pytest.mark.parametrize("slowness, noted", [(1.0, 1), (5.0, 0)])
@@ -427,21 +441,21 @@
     made = router(client_kb_per_s=1000)
     for parent, slow in zip(PARENTS, (slowness, 1.0), strict=True):
         node(made, parent).as_source.speeds.extend((NOW, slow, 0) for _ in range(4))
-        made.noted(node(made, parent))
-    get = get_with(made, asked(size=100), None)
-    get.forwards[0].fill = [node(made, 21), NOW, NOW, None]
-    made.learn(get, get.forwards[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW)
-    assert len(made.link.speeds) == noted
+        made.outliers.changed(node(made, parent))
+    state = state_with(made, asked(size=100), None)
+    state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
+    learn(made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW)
+    assert len(made.link.health.speeds) == noted
 
 
 def test_a_cache_out_of_reach_is_left_alone_then_tried_and_taken_for_cold():
     made = router()
-    get = get_with(made, asked(), None, None)
-    made.learn(get, get.forwards[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
-    assert made.avoided(NOW + MS) == {made.index_of[11]}
-    assert made.avoided(NOW + 2 * S) == set()
+    state = state_with(made, asked(), None, None)
+    learn(made, state, state.attempts[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
+    assert made.outliers.avoided(NOW + MS) == {made.registry.index_of[11]}
+    assert made.outliers.avoided(NOW + 2 * S) == set()
     believed(made, asked(), 11)
-    made.learn(get, get.forwards[1], AttemptOutcome.RETURNED, CacheStatus.HIT, MS, 0, {}, NOW + 2 * S)
+    learn(made, state, state.attempts[1], AttemptOutcome.RETURNED, CacheStatus.HIT, MS, 0, {}, NOW + 2 * S)
     assert node(made, 11).started == NOW + 2 * S
     assert node(made, 12).started == 0
 
@@ -465,11 +479,11 @@
 )
 def test_a_late_fill_is_laid_to_the_one_who_made_it_late(outcome, found, waited, blamed, good):
     made = router(client_kb_per_s=1000)
-    get = get_with(made, asked(size=100), None)
-    get.forwards[0].fill = fill = [node(made, 21), NOW - 2 * S, NOW - S, None]
-    made.learn(get, get.forwards[0], outcome, found, 2 * S, waited, {}, NOW)
-    assert (fill[0].id, fill[3]) == (blamed, good)
-    assert good is not None or made.in_time([node(made, 21)], NOW) == [1]
+    state = state_with(made, asked(size=100), None)
+    state.attempts[0].fill = fill = Fill(node(made, 21), NOW - 2 * S, NOW - S, None)
+    learn(made, state, state.attempts[0], outcome, found, 2 * S, waited, {}, NOW)
+    assert (fill.source.id, fill.on_time) == (blamed, good)
+    assert good is not None or made.sources.on_time_ratios([node(made, 21)], NOW) == [1]
 
 
 @pytest.mark.parametrize(
@@ -477,31 +491,36 @@
 )
 def test_the_origin_stands_in_for_failing_parents_while_it_does_well(parents, origin, source):
     made = router()
-    made.fills.extend([node(made, by), NOW - S, NOW, good] for good in parents * 20 for by in PARENTS)
-    made.fills.extend([node(made, ORIGIN), NOW - S, NOW, good] for good in origin * 20)
-    assert made.upper(get_with(made, asked(obj=3)), NOW)[0].id in (source, 22 if source == 21 else source)
+    made.sources.fills.extend(
+        Fill(node(made, by), NOW - S, NOW, good) for good in parents * 20 for by in PARENTS
+    )
+    made.sources.fills.extend(Fill(node(made, ORIGIN), NOW - S, NOW, good) for good in origin * 20)
+    assert made.sources.parent_or_origin(state_with(made, asked(obj=3)), NOW)[0].id in (
+        source,
+        22 if source == 21 else source,
+    )
 
 
 def test_a_throttled_get_never_looks_at_the_origin():
     made = router([entry(c, EndpointState.GONE) for c in PARENTS])
-    made.chance = lambda text: 0.99
-    made.fills.extend([node(made, ORIGIN), NOW - S, NOW, False] for _ in range(20))
-    assert made.upper(get_with(made, asked()), NOW) == (None, False)
+    made.draws.chance = lambda text: 0.99
+    made.sources.fills.extend(Fill(node(made, ORIGIN), NOW - S, NOW, False) for _ in range(20))
+    assert made.sources.parent_or_origin(state_with(made, asked()), NOW) == (None, False)
 
 
 @pytest.mark.parametrize("use, age, looks", [(20.0, 0, True), (1.0, 0, False), (20.0, 2 * S, False)])
 def test_a_link_told_to_be_jammed_takes_no_new_fills(use, age, looks):
     made = router(client_kb_per_s=1000)
-    made.link_use = use, NOW - age
-    sent = made.plan(get_with(made, asked(size=500)), NOW)
-    assert sent.only_if_cached is looks and (sent.cache == sent.fill_source) is looks
+    made.link.use, made.link.use_at = use, NOW - age
+    attempt = made.plan(state_with(made, asked(size=500)), NOW)
+    assert attempt.only_if_cached is looks and (attempt.cache == attempt.fill_source) is looks
 
 
 @pytest.mark.parametrize("slow, seen", [(5.0, 5.0), (2.0, 1.0)])
 def test_a_front_with_one_get_at_a_time_still_sees_a_jam(slow, seen):
-    one = Standing()
+    one = HealthRecord()
     one.speeds.extend((NOW, slow, 1) for _ in range(4))
-    assert one.crowding(1, NOW) == seen
+    assert one.expected_slowness(1, NOW) == seen
 
 
 @pytest.mark.parametrize(
@@ -513,8 +532,8 @@
         (0, 2 * S, 0, 0, 3 * S, True),
         (0, 2 * S, 0, 0, 2 * S, False),
         (0, 2 * S, 0, 0, S, False),
-        (0, 20 * S, OWN_AGE, 0, None, False),  # its purge might be forgotten by then
-        (0, 20 * S, 0, OWN_WAIT + 1, None, False),
+        (0, 20 * S, OWN_COPY_AGE_MAX_NS, 0, None, False),  # its purge might be forgotten by then
+        (0, 20 * S, 0, QUEUE_PRODUCT_MAX + 1, None, False),
     ],
 )
 def test_an_own_copy_answers_while_young_unpurged_and_without_a_queue(ds, age, since, wait, purged, may):
@@ -527,7 +546,7 @@
 @pytest.mark.parametrize("ds, times, kept", [(0, 1, False), (0, 2, True), (2, 2, False)])
 def test_copies_are_kept_of_what_is_asked_again_and_never_of_writes(ds, times, kept):
     made, ask = router(), asked(ds=ds)
-    made.memory(ask, NOW).counts[0] = times
+    made.digest.record_of(ask, NOW).counts[0] = times
     assert made.should_store_own_copy(ask, NOW - MS, NOW) is kept
 
 
@@ -541,10 +560,10 @@
 )
 def test_an_error_speaks_against_those_it_can_be_the_fault_of(returned, told, against_cache, against_source):
     made, ask = router(), asked(size=100)
-    get, fill = get_with(made, ask, None), [node(made, PARENTS[0]), NOW, NOW + S, None]
-    get.forwards[0].fill, made.memory(ask, NOW).returned = fill, returned
-    made.learn(get, get.forwards[0], AttemptOutcome.ERROR, told, MS, 0, {}, NOW)
-    assert len(node(made, 11).as_cache.ends) == against_cache and (fill[3] is False) == against_source
+    state, fill = state_with(made, ask, None), Fill(node(made, PARENTS[0]), NOW, NOW + S, None)
+    state.attempts[0].fill, made.digest.record_of(ask, NOW).returned = fill, returned
+    learn(made, state, state.attempts[0], AttemptOutcome.ERROR, told, MS, 0, {}, NOW)
+    assert len(node(made, 11).as_cache.results) == against_cache and (fill.on_time is False) == against_source
 
 
 @pytest.mark.parametrize(
@@ -559,48 +578,52 @@
 )
 def test_a_connection_cut_or_a_client_gone_says_nothing_of_the_source(outcome, good):
     made = router()
-    get, fill = get_with(made, asked(size=100), None), [node(made, PARENTS[0]), NOW, NOW + S, None]
-    get.forwards[0].fill = fill
-    made.learn(get, get.forwards[0], outcome, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
-    assert fill[3] is good
+    state, fill = state_with(made, asked(size=100), None), Fill(node(made, PARENTS[0]), NOW, NOW + S, None)
+    state.attempts[0].fill = fill
+    learn(made, state, state.attempts[0], outcome, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
+    assert fill.on_time is good
 
 
 def test_a_connection_that_ends_with_many_forwards_is_one_bad_end():
-    made, get = router(), None
-    get = get_with(made, asked(), None, None, None, None)
-    for at, sent in enumerate(get.forwards):
-        made.learn(get, sent, AttemptOutcome.RESET, CacheStatus.UNKNOWN, MS, 0, {}, NOW + at * 1000)
-    assert len(node(made, 11).as_cache.ends) == 1 and node(made, 11).as_cache.until == 0
+    made, state = router(), None
+    state = state_with(made, asked(), None, None, None, None)
+    for at, attempt in enumerate(state.attempts):
+        learn(made, state, attempt, AttemptOutcome.RESET, CacheStatus.UNKNOWN, MS, 0, {}, NOW + at * 1000)
+    assert len(node(made, 11).as_cache.results) == 1 and node(made, 11).as_cache.ejected_until == 0
 
 
 def test_a_link_that_looked_full_is_tried_by_some_fills():
     made = router(client_kb_per_s=1000)
-    made.link.speeds.extend((NOW, 20.0, 3) for _ in range(16))
+    made.link.health.speeds.extend((NOW, 20.0, 3) for _ in range(16))
     tried = 0
     for n in range(300):
-        get = Get(made, asked(f"r-{n}", obj=n, size=200), NOW)
-        forward = made.plan(get, NOW)
+        state = RequestState(made, asked(f"r-{n}", obj=n, size=200), NOW)
+        forward = made.plan(state, NOW)
         tried += forward.fill_source != forward.cache
-        get.attempt_ended(0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, 0, {}, True, NOW)
+        state.attempt_ended(0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, 0, {}, True, NOW)
     assert 5 < tried < 60
 
 
 def test_a_cache_that_has_gone_is_forgotten_and_its_id_is_another_cache_when_it_comes_again():
     made = router()
-    memory, before = believed(made, asked(), 11), len(made.nodes)
+    record, before = believed(made, asked(), 11), len(made.registry.servers)
     for _ in range(50):
         made.update_endpoints([entry(11, EndpointState.GONE)], False, NOW)
-        assert len(made.nodes) == before - 1 and not made.holders(asked(), memory, NOW)
+        assert len(made.registry.servers) == before - 1 and not made.digest.valid_beliefs(
+            asked(), record, NOW
+        )
         made.update_endpoints([entry(11)], False, NOW)
-    assert len(made.nodes) == len(made.index_of) == before and not made.holders(asked(), memory, NOW)
+    assert len(made.registry.servers) == len(
+        made.registry.index_of
+    ) == before and not made.digest.valid_beliefs(asked(), record, NOW)
 
 
 def test_a_restart_does_not_hide_what_is_still_out_there():
     made = router()
-    made.plan(get_with(made, asked()), NOW)
-    cache = next(n for n in made.nodes.values() if n.out)
-    cache.renewed(NOW)
-    assert cache.out == 1
+    made.plan(state_with(made, asked()), NOW)
+    cache = next(n for n in made.registry.servers.values() if n.in_flight)
+    cache.restarted(NOW)
+    assert cache.in_flight == 1
 
 
 SILENT = {
@@ -624,23 +647,23 @@
 def test_silence_is_resolved_by_time_or_stays_open(tells, spent, held, source, found):
     """Untold fill waits read as crowded caches: hits were shed, the full link in was not seen."""
     made = router(**{**SILENT, "tells": tells})
-    sent = Sent(node(made, 11), node(made, source), 1, held)
-    assert made.resolved(sent, CacheStatus.UNKNOWN, spent / 400) is found
+    attempt = Attempt(node(made, 11), node(made, source), 1, held)
+    assert made.results.resolved_status(attempt, CacheStatus.UNKNOWN, spent / 400) is found
 
 
 @pytest.mark.parametrize("filling, hits, pace", [(0, 0, 1.1), (3, 0, 4.4), (3, 64, 1.2)])
 def test_an_even_part_of_a_told_link_stands_in_for_told_waits(filling, hits, pace):
-    made = router(**SILENT)  # 12 transfers over four fronts, of which SHARE_ROOM counts
-    made.filling = filling
-    made.misses.extend([False] * hits or [True] * 64)
-    assert made.link_pace(NOW) == pytest.approx(pace, abs=0.06)
+    made = router(**SILENT)  # 12 transfers over four fronts, of which LINK_SHARE counts
+    made.link.fills_in_flight = filling
+    made.link.misses.extend([False] * hits or [True] * 64)
+    assert made.link.expected_slowness(NOW) == pytest.approx(pace, abs=0.06)
 
 
 def test_what_goes_past_the_caches_obeys_the_link():
     """With no cache left 766 GETs in five seconds went straight to a parent, 656 of them too late."""
     made = router([entry(c, EndpointState.DRAINING) for c in CACHES], **SILENT, direct=True)
     assert made.start_request(asked(size=400), NOW).route(NOW)[0].cache in PARENTS
-    made.filling = 40
+    made.link.fills_in_flight = 40
     shed = [made.start_request(asked(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
     assert sum(isinstance(one, RejectRequest) for one in shed) > 15
 
@@ -652,19 +675,21 @@
     made = router()
     at = node(made, 11)
     at.load, at.load_at = {"inflight": inflight}, NOW - told_ago
-    assert at.crowding(NOW) == pytest.approx(pace)
+    assert at.expected_slowness(NOW) == pytest.approx(pace)
 
 
 def test_parts_of_an_object_share_what_tells_their_size():
     made = router()
     first = asked(obj=7)
-    earlier = made.memory(first._replace(part=2), NOW)  # not back yet when the next one is asked for
-    made.memory(first, NOW)
-    earlier.spents.append(120 * MS)
-    assert made.work(first._replace(part=3)) == 120 * MS != made.work(asked(obj=8))
+    earlier = made.digest.record_of(
+        first._replace(part=2), NOW
+    )  # not back yet when the next one is asked for
+    made.digest.record_of(first, NOW)
+    earlier.sending_times.append(120 * MS)
+    assert made.load.sending_time(first._replace(part=3)) == 120 * MS != made.load.sending_time(asked(obj=8))
     for obj in range(5000):
-        made.memory(asked(obj=1000 + obj), NOW)
-    assert len(made.paces) <= 4096
+        made.digest.record_of(asked(obj=1000 + obj), NOW)
+    assert len(made.digest.sending_times) <= 4096
 
 
 def told(*said):
@@ -676,9 +701,11 @@
 
 def test_a_belief_that_is_told_is_worth_half_of_what_is_left_and_voided_by_a_purge():
     made, ask = told(BeliefGossip(99, 0, 12, 0, 4 * S, S))
-    assert made.holders(ask, made.memory(ask, NOW), NOW) == {node(made, 12): NOW + 1950 * MS}
+    assert made.digest.valid_beliefs(ask, made.digest.record_of(ask, NOW), NOW) == {
+        node(made, 12): NOW + 1950 * MS
+    }
     made.invalidate(99, -1, 500 * MS, NOW)
-    assert made.holders(ask, made.memory(ask, NOW), NOW) == {}
+    assert made.digest.valid_beliefs(ask, made.digest.record_of(ask, NOW), NOW) == {}
 
 
 def test_a_belief_that_is_told_stands_behind_an_own_one_and_another_start_of_its_cache():
@@ -693,7 +720,7 @@
         0,
         NOW,
     )
-    assert made.holders(ask, made.memory(ask, NOW), NOW) == {node(made, 12): NOW + S}
+    assert made.digest.valid_beliefs(ask, made.digest.record_of(ask, NOW), NOW) == {node(made, 12): NOW + S}
 
 
 def test_what_is_told_fills_a_miss_from_the_sibling_that_another_front_knows():
@@ -706,12 +733,18 @@
 
 def test_rest_that_is_told_holds_where_nothing_was_seen_here_and_never_lifts_an_own_one():
     made, _ = told(EjectionGossip(21, 0, True, 4 * S, 0, 0), EjectionGossip(22, 0, True, -S, 0, 0))
-    assert node(made, 21).as_source.until == NOW + 1950 * MS and not node(made, 22).as_source.until
-    node(made, 22).as_source.ends.append((NOW, True))
+    assert (
+        node(made, 21).as_source.ejected_until == NOW + 1950 * MS
+        and not node(made, 22).as_source.ejected_until
+    )
+    node(made, 22).as_source.results.append((NOW, True))
     made.receive_gossip(
         [EjectionGossip(22, 0, True, 4 * S, 0, 0), EjectionGossip(21, 0, True, MS, 0, 0)], 0, NOW
     )
-    assert not node(made, 22).as_source.until and node(made, 21).as_source.until == NOW + 1950 * MS
+    assert (
+        not node(made, 22).as_source.ejected_until
+        and node(made, 21).as_source.ejected_until == NOW + 1950 * MS
+    )
 
 
 def test_beliefs_are_told_once_the_most_asked_first_and_those_near_their_end_not_at_all():
@@ -721,8 +754,8 @@
         for _ in range(times):
             made.start_request(ask, NOW)
         believed(made, ask, 12, expiry=NOW + expiry)
-    node(made, 13).as_cache.until = NOW + S
-    made.noted(node(made, 13))
+    node(made, 13).as_cache.ejected_until = NOW + S
+    made.outliers.changed(node(made, 13))
     assert made.gossip_to_send(9, NOW) == [
         EjectionGossip(13, 0, False, S, 0, 0),
         BeliefGossip(2, 0, 12, 0, 8 * S, MS),
@@ -737,7 +770,7 @@
 def test_a_pace_that_is_told_counts_where_none_was_seen_here_and_ages_from_when_it_was_told():
     made, _ = told(EjectionGossip(12, 0, False, 0, 2500, 0))
     by = node(made, 12).as_cache
-    assert by.slowness(NOW) == 2.5 and not by.until and not by.slowness(NOW + 10 * S - 100 * MS)
+    assert by.slowness(NOW) == 2.5 and not by.ejected_until and not by.slowness(NOW + 10 * S - 100 * MS)
     made.receive_gossip([EjectionGossip(12, 0, False, 0, 9000, 0)], 0, NOW)
     assert by.slowness(NOW) == 2.5
     assert made.gossip_to_send(9, NOW) == [EjectionGossip(12, 0, False, 0, 2500, 100 * MS)]
@@ -759,15 +792,15 @@
     made = router()
     for number in range(20_000):  # a returning front gets as many in a second: none may cost by the others
         made.invalidate(number, -1, number * MS, NOW)
-    assert len(made.purges) == 20_000 and made.purges["object", 7] == NOW - 7 * MS
+    assert len(made.invalidations.purges) == 20_000 and made.invalidations.purges["object", 7] == NOW - 7 * MS
     made.invalidate(5, -1, 0, NOW + S)  # a later purge of one of them outlives the former
     made.invalidate(
         -1, 3, 0, NOW + 37 * S
     )  # all are old in the same turn: a walk through them would hold up its GETs
-    assert len(made.purges) >= 19_900
+    assert len(made.invalidations.purges) >= 19_900
     for number in range(6000):
         made.invalidate(-1, 3, number, NOW + 37 * S)
-    assert set(made.purges) == {("object", 5), ("group", 3)}
+    assert set(made.invalidations.purges) == {("object", 5), ("group", 3)}
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_slow_start_of_many_routers.py
+++ b/tests/routing/test_slow_start_of_many_routers.py
@@ -9,8 +9,10 @@
 
 from sprucegate.routing.actions import SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
-from sprucegate.routing.router import MS, Router, S
+from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
+from sprucegate.units import MILLISECOND as MS
+from sprucegate.units import SECOND as S
 
 CACHES, ORIGIN, COLD = (11, 12, 13, 14, 15, 16), 31, 16
 SERVICE = 40 * MS
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -38,11 +38,11 @@
 
 
 def test_walks_are_alike_by_seed_and_tell_a_changed_decision(monkeypatch):
-    from sprucegate.routing import router
+    from sprucegate.routing import retry
 
     first = walked(1)
     assert walked(1) == first != walked(2)
-    monkeypatch.setattr(router, "RETRY_SHARE", 0.1)
+    monkeypatch.setattr(retry, "RETRY_BUDGET_RATIO", 0.1)
     assert walked(1) != first
 
 
