--- a/sprucegate/discovery/moves.py
+++ b/sprucegate/discovery/moves.py
@@ -30,7 +30,9 @@
     location = entries[0].location
     router = Router(RoutingSettings(my_location=location), 0, 0)
     router.update_endpoints(entries, True, 0)
-    return [router.hashing["cache"].best(at.to_bytes(8, "big") + bytes(4), 1)[0].id for at in range(count)]
+    return [
+        router.registry.groups["cache"].best(at.to_bytes(8, "big") + bytes(4), 1)[0].id for at in range(count)
+    ]
 
 
 def moves(before, after, objects=OBJECTS):
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -177,7 +177,9 @@
         """The origin is in trouble where the rules' own brake holds it back."""
         nodes = self.driver.router.group("origin")
         now = self.driver.clock()
-        return {"origin": "rests"} if nodes and all(now < node.as_cache.until for node in nodes) else {}
+        return (
+            {"origin": "rests"} if nodes and all(now < node.as_cache.ejected_until for node in nodes) else {}
+        )
 
     def warm(self, box, start):
         """Whether that start answers here and has had its time: cold credit is earned by then at every front."""
--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -9,7 +9,7 @@
 
 from sprucegate.front import configuration
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
-from sprucegate.routing.router import MS
+from sprucegate.units import MILLISECOND as MS
 
 # Settings as the platform sends them for each shape, times in microseconds; names are those of the wire.
 OLD = {
