--- a/sprucegate/routing/hashing.py
+++ b/sprucegate/routing/hashing.py
@@ -3,6 +3,8 @@
 from zlib import crc32
 
 LOW_32_BITS = 0xFFFFFFFF
+MURMUR_FACTOR_1 = 0x85EBCA6B
+MURMUR_FACTOR_2 = 0xC2B2AE35
 
 
 def hash32(data: bytes, start: int = 0) -> int:
@@ -12,8 +14,8 @@
     MurmurHash3 (Appleby 2011) removes that.
     """
     value = crc32(data, start)
-    value = (value ^ (value >> 16)) * 0x85EBCA6B & LOW_32_BITS
-    value = (value ^ (value >> 13)) * 0xC2B2AE35 & LOW_32_BITS
+    value = (value ^ (value >> 16)) * MURMUR_FACTOR_1 & LOW_32_BITS
+    value = (value ^ (value >> 13)) * MURMUR_FACTOR_2 & LOW_32_BITS
     return value ^ (value >> 16)
 
 
--- a/sprucegate/routing/rendezvous.py
+++ b/sprucegate/routing/rendezvous.py
@@ -1,12 +1,12 @@
-"""Weighted rendezvous hashing: the order in which a group's caches are asked for an object.
+"""Weighted rendezvous hashing: the order in which a group's servers are asked for an object.
 
-Each node gets for a key the score weight / log(u), u being a hash of node and key in (0, 1); the least
+Each server gets for a key the score weight / log(u), where u is a hash of server and key in (0, 1); the least
 score comes first (Thaler and Ravishankar 1998, with the weights of Schindelhauer and Schomaker 2005). All
-fronts come to the same order. A node that comes or goes moves only the keys that it has or had.
+routers compute the same order. A server that comes or goes moves only the keys that it has or had.
 
-Of thousands of nodes the first few are wanted. So the hashes of all nodes are worked out together, as
-lanes of one large whole number, 64 bits a node, and only those that may be among the first are scored. The
-result is that of scoring and sorting all of them. No I/O, no clock.
+Of thousands of servers the first few are wanted. So the hashes of all servers are computed together, as
+lanes of one large whole number, 64 bits a server, and only those that may be among the first are scored. The
+result is that of scoring and sorting all of them.
 """
 
 from array import array
@@ -14,24 +14,34 @@
 from functools import lru_cache
 from heapq import nlargest
 from math import exp, log
-from typing import NamedTuple
+from typing import Any, NamedTuple, Protocol
 from zlib import crc32
 
-from sprucegate.routing.hashing import LOW_32_BITS, hash32
+from sprucegate.routing.hashing import LOW_32_BITS, MURMUR_FACTOR_1, MURMUR_FACTOR_2, hash32
 
-LABEL = 8  # bytes of a node's id
-LANE = 8  # bytes of a lane: a hash of 32 bits, and room above it for a product
-SPAN = 2**32  # of a hash
-FEW = 32  # nodes that are scored and sorted one by one, which is quicker then
-ZEROS = bytes(LABEL)
+LABEL_BYTES = 8
+LANE_BYTES = 8  # a hash of 32 bits, and room above it for a product
+HASH_SPAN = 2**32
+SMALL_GROUP = 32  # servers that are scored and sorted one by one, which is quicker then
+ZEROS = bytes(LABEL_BYTES)
 
 
-def label_of(node_id):
-    return node_id.to_bytes(LABEL, "big")
+class Member(Protocol):
+    """A server as a group needs it; `label` and `lane` are `label_of` its id and `lane_of` its label."""
 
+    id: int
+    label: bytes
+    lane: bytes
 
-def score(weight, hashed):
-    return weight / log((hashed + 0.5) / SPAN)
+
+def label_of(node_id: int) -> bytes:
+    """A server's id as it is hashed."""
+    return node_id.to_bytes(LABEL_BYTES, "big")
+
+
+def score(weight: float, hashed: int) -> float:
+    """Score of a server of this weight for its 32-bit hash with the key; never positive."""
+    return weight / log((hashed + 0.5) / HASH_SPAN)
 
 
 class _Lanes(NamedTuple):
@@ -43,44 +53,54 @@
 
 
 @lru_cache(8)
-def _lanes(count):
+def _lanes(count: int) -> _Lanes:
     ones = int.from_bytes(b"\1\0\0\0\0\0\0\0" * count, "little")
     return _Lanes(ones, ones * LOW_32_BITS, int.from_bytes(array("Q", range(count)).tobytes(), "little"))
 
 
-def lane_of(label):
-    """What a node's lane begins with; kept with the node, as groups change more often than nodes come."""
-    return crc32(label).to_bytes(LANE, "little")
+def lane_of(label: bytes) -> bytes:
+    """A server's part of the lanes; kept with the server, as groups change more often."""
+    return crc32(label).to_bytes(LANE_BYTES, "little")
 
 
 class Rendezvous:
-    """One group of nodes, each with `id`, `label` and `lane`, in an order that the caller keeps."""
-
-    def __init__(self):
-        self.nodes, self.weights, self.lanes = [], [], bytearray()
-        self.counted = Counter()  # weight -> nodes of it
-
-    def insert(self, at, node, weight):
+    """One group of servers in an order that the caller keeps.
+
+    :ivar nodes: its servers.
+    :ivar weights: their weights.
+    :ivar lanes: their lanes, joined.
+    :ivar counted: servers of each weight.
+    """
+
+    def __init__(self) -> None:
+        self.nodes: list[Any] = []
+        self.weights: list[float] = []
+        self.lanes = bytearray()
+        self.counted: Counter[float] = Counter()
+
+    def insert(self, at: int, node: Member, weight: float) -> None:
+        """Put a server at a position."""
         self.nodes.insert(at, node)
         self.weights.insert(at, weight)
-        self.lanes[LANE * at : LANE * at] = node.lane
+        self.lanes[LANE_BYTES * at : LANE_BYTES * at] = node.lane
         self.counted[weight] += 1
 
-    def remove(self, at):
+    def remove(self, at: int) -> None:
+        """Take out the server at a position."""
         weight = self.weights.pop(at)
-        del self.nodes[at], self.lanes[LANE * at : LANE * (at + 1)]
+        del self.nodes[at], self.lanes[LANE_BYTES * at : LANE_BYTES * (at + 1)]
         self.counted[weight] -= 1
         if not self.counted[weight]:
             del self.counted[weight]
 
-    def weight(self):
-        """Of all nodes together; by counts, as sums of thousands drift and take long."""
+    def weight(self) -> float:
+        """Of all servers together; by counts, as sums of thousands drift and take long."""
         return sum([weight * count for weight, count in self.counted.items()])
 
-    def best(self, key, most):
-        """The first `most` nodes for a key (bytes), or all where there are fewer."""
+    def best(self, key: bytes, most: int) -> list[Any]:
+        """The first `most` servers for a key, or all where there are fewer."""
         start = hash32(key)
-        if len(self.nodes) <= FEW or 2 * most >= len(self.nodes):
+        if len(self.nodes) <= SMALL_GROUP or 2 * most >= len(self.nodes):
             scored = [
                 (score(weight, hash32(node.label, start)), node.id, node)
                 for node, weight in zip(self.nodes, self.weights, strict=True)
@@ -89,36 +109,37 @@
             scored = self._scored(start, most)
         return [node for _, _, node in sorted(scored)[:most]]
 
-    def _scored(self, start, most):
+    def _scored(self, start: int, most: int) -> list[tuple[float, int, Any]]:
         """(score, id, node) of all that may be among the first `most`."""
         hashed = self._hashes(start)
         first = nlargest(most, hashed)
         if len(self.counted) > 1:
             # A heavier one may come before these by a lower hash, though not by one under this.
             worst = max(score(self.weights[h & LOW_32_BITS], h >> 32) for h in first)
-            least = max(0, int(exp(max(self.counted) / worst) * SPAN) - 2) << 32
+            least = max(0, int(exp(max(self.counted) / worst) * HASH_SPAN) - 2) << 32
             first = [h for h in hashed if h >= least]
         pairs = [(h & LOW_32_BITS, h >> 32) for h in first]
         return [(score(self.weights[at], h), self.nodes[at].id, self.nodes[at]) for at, h in pairs]
 
-    def _hashes(self, start):
-        """Of each node, its hash above its place in the group: `hash32(label, start)` of all at once."""
+    def _hashes(self, start: int) -> "array[int]":
+        """Of each server, its hash above its place in the group: `hash32(label, start)` of all at once."""
         count = len(self.nodes)
         ones, words, places = _lanes(count)
         # crc32(label, start) is crc32(label) xor a term of `start` alone, as CRC is affine.
-        h = int.from_bytes(self.lanes, "little") ^ ones * (crc32(ZEROS, start) ^ crc32(ZEROS))
-        h = (h ^ (h >> 16) & words) * 0x85EBCA6B & words
-        h = (h ^ (h >> 13) & words) * 0xC2B2AE35 & words
-        h ^= (h >> 16) & words
+        hashes = int.from_bytes(self.lanes, "little") ^ ones * (crc32(ZEROS, start) ^ crc32(ZEROS))
+        hashes = (hashes ^ (hashes >> 16) & words) * MURMUR_FACTOR_1 & words
+        hashes = (hashes ^ (hashes >> 13) & words) * MURMUR_FACTOR_2 & words
+        hashes ^= (hashes >> 16) & words
         found = array("Q")
-        found.frombytes((h << 32 | places).to_bytes(LANE * count, "little"))
+        found.frombytes((hashes << 32 | places).to_bytes(LANE_BYTES * count, "little"))
         return found
 
 
 class Ranking:
-    """The first nodes for one key, as long as a group is of one version."""
+    """The first servers for one key, valid as long as the group is of that version."""
 
     __slots__ = ("version", "nodes")
 
-    def __init__(self, version, nodes):
-        self.version, self.nodes = version, nodes
+    def __init__(self, version: int, nodes: list[Any]) -> None:
+        self.version = version
+        self.nodes = nodes
--- a/sprucegate/routing/server_registry.py
+++ b/sprucegate/routing/server_registry.py
@@ -32,7 +32,7 @@
         self.index_of: dict[int, int] = {}
         self.indices = count()
         self.groups: defaultdict[str, Rendezvous] = defaultdict(Rendezvous)
-        self.largest_weight: Counter[str] = Counter()
+        self.largest_weight: defaultdict[str, float] = defaultdict(float)
         self.versions: Counter[str] = Counter()
         self.platform_clock_offset = 0
 
