--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -155,7 +155,7 @@
         now = NOW + at * 50 * MS
         get = made.start_request(asked(f"r-{at}", obj=at % 9, size=300), now)
         said += get.route(now)
-        if get.open() and at % 3:
+        if get.open_attempts() and at % 3:
             get.attempt_ended(
                 0, AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, (300 + 200 * (at % 5)) * MS, 0, {}, True, now
             )
