--- a/sprucegate/simulator/host.py
+++ b/sprucegate/simulator/host.py
@@ -1,65 +1,78 @@
-"""Batches of the wire as calls on routers, one a front, and their results as actions."""
+"""Host: batches of the simulator's protocol as calls on routers, and the routers' actions as lines."""
+
+from collections.abc import Iterable
+from typing import Any
 
 from sprucegate.routing import actions, events
+from sprucegate.routing.request import RequestState
 from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.simulator import codec
 from sprucegate.simulator.settings import settings_from
+from sprucegate.units import MICROSECOND
+
 
+class Instance:
+    """One router instance of the simulation.
 
-class Front:
-    """One instance: its router, the GETs that still await something, its timer and its part of the reply."""
+    :ivar requests: states of requests that can still change, by id.
+    :ivar timer_at: time of the timer that is set (ns), None for none.
+    :ivar reply: lines for the batch at hand.
+    """
 
-    def __init__(self, instance, settings, seed, now):
-        self.instance = instance
+    def __init__(self, number: int, settings: dict[str, Any], seed: int, now: int) -> None:
+        self.number = number
         self.router = Router(RoutingSettings.from_mapping(settings), seed, now)
-        self.gets = {}
-        self.armed = None
-        self.out = []
-
-    def arm(self, now):
-        """Keep one timer, for the next due time. The wire has no un-setting: an older one is passed over."""
-        due = self.router.next_deadline()
-        if due is None or (self.armed is not None and self.armed <= max(due, now)):
+        self.requests: dict[str, RequestState] = {}
+        self.timer_at: int | None = None
+        self.reply: list[str] = []
+
+    def set_timer(self, now: int) -> None:
+        """Keep one timer, for the next deadline. A timer can't be unset: an older one is ignored when it ends."""
+        deadline = self.router.next_deadline()
+        if deadline is None or (self.timer_at is not None and self.timer_at <= max(deadline, now)):
             return
-        # The wire counts whole microseconds: rounding down would wake the router before it is due.
-        delay = -(-(max(due, now) - now) // 1000)
-        self.armed = now + delay * 1000
-        self.out.append(f"notify_me\ti={self.instance}\tdelay={delay}\ttoken={self.armed}")
-
-    def say(self, handle, decided):
-        """Encode what was decided; a GET of which nothing more can come is let go."""
-        instance = self.instance
-        key = handle.request.id if handle is not None else None
-        for one in decided:
-            match one:
-                case actions.SendAttempt():
-                    line = codec.forward_line(instance, key, one)
-                case actions.RejectRequest():
-                    advice = f"\tretryAfter={one.retry_after // 1000}" if one.retry_after else ""
-                    line = f"not_now\ti={instance}\ttxn={key}{advice}"
-                case actions.FailRequest():
-                    line = f"report_failure\ti={instance}\ttxn={key}"
-                case actions.CancelAttempt():
-                    line = f"cancel\ti={instance}\ttxn={key}\tshot={one.number}"
-                case actions.HealthCheck():
-                    line = f"check\ti={instance}\tcache={one.cache}"
-                case actions.SendGossip():
-                    blob = one.payload.hex() or "-"
-                    line = f"broadcast_to\ti={instance}\tneighbourId={one.peer}\tblob={blob}"
-                case actions.SubscribeToEndpoints():
-                    line = f"track\ti={instance}\ton=1"
-            self.out.append(line)
-        if handle is not None and handle.is_settled():
-            self.gets.pop(key, None)
+        # The protocol counts whole microseconds: rounded down, the timer would end before the deadline.
+        delay = -(-(max(deadline, now) - now) // MICROSECOND)
+        self.timer_at = now + delay * MICROSECOND
+        self.reply.append(f"notify_me\ti={self.number}\tdelay={delay}\ttoken={self.timer_at}")
+
+    def add_actions(self, state: RequestState | None, decided: Iterable[Any]) -> None:
+        """Add actions to the reply; a request to which nothing more can happen is forgotten."""
+        request_id = state.request.id if state is not None else None
+        for action in decided:
+            self.reply.append(self._line(request_id, action))
+        if state is not None and state.is_settled():
+            self.requests.pop(state.request.id, None)
+
+    def _line(self, request_id: str | None, action: Any) -> str:
+        instance = self.number
+        match action:
+            case actions.SendAttempt():
+                line = codec.attempt_line(instance, request_id, action)
+            case actions.RejectRequest():
+                advice = f"\tretryAfter={action.retry_after // MICROSECOND}" if action.retry_after else ""
+                line = f"not_now\ti={instance}\ttxn={request_id}{advice}"
+            case actions.FailRequest():
+                line = f"report_failure\ti={instance}\ttxn={request_id}"
+            case actions.CancelAttempt():
+                line = f"cancel\ti={instance}\ttxn={request_id}\tshot={action.number}"
+            case actions.HealthCheck():
+                line = f"check\ti={instance}\tcache={action.cache}"
+            case actions.SendGossip():
+                blob = action.payload.hex() or "-"
+                line = f"broadcast_to\ti={instance}\tneighbourId={action.peer}\tblob={blob}"
+            case actions.SubscribeToEndpoints():
+                line = f"track\ti={instance}\ton=1"
+        return line
 
 
 class Host:
-    """Keeps the fronts of one process apart and turns batches into replies."""
+    """Keeps the instances of one process apart and turns batches into replies."""
 
-    def __init__(self):
-        self.fronts = {}
-        self.calls = {
+    def __init__(self) -> None:
+        self.instances: dict[int, Instance] = {}
+        self.handlers = {
             "targets": self._targets,
             "incoming": self._incoming,
             "response": self._response,
@@ -72,57 +85,60 @@
             "power_off": self._power_off,
         }
 
-    def reply(self, now, lines):
-        """The actions for one batch, given the lines between its clock and its end."""
-        touched = {}
-        lines = iter(lines)
-        for line in lines:
+    def reply(self, now: int, lines: Iterable[codec.Line]) -> list[str]:
+        """The lines that answer one batch, given those between its clock and its end.
+
+        :raises MalformedLineError: for a line that cannot be read, or one of an unknown instance.
+        """
+        touched: dict[int, None] = {}
+        remaining = iter(lines)
+        for line in remaining:
             if line.name == "init":
                 instance = line.integer("i")
                 settings = settings_from(line.fields, line.fault)
-                self.fronts[instance] = Front(instance, settings, line.integer("entropy"), now)
-            elif line.name in self.calls:
+                self.instances[instance] = Instance(instance, settings, line.integer("entropy"), now)
+            elif line.name in self.handlers:
                 instance = line.integer("i")
-                if instance not in self.fronts:
+                if instance not in self.instances:
                     if line.name != "power_off":
                         raise line.fault(f"names instance {instance} before its init")
                     continue
-                self.calls[line.name](line, self.fronts[instance], now, lines)
+                self.handlers[line.name](line, self.instances[instance], now, remaining)
             else:
                 continue
             touched[instance] = None
-        out = []
+        reply: list[str] = []
         for instance in touched:
-            front = self.fronts.get(instance)
-            if front is not None:
-                front.arm(now)
-                out += front.out
-                front.out = []
-        return out
-
-    def _targets(self, line, front, now, lines):
+            target = self.instances.get(instance)
+            if target is not None:
+                target.set_timer(now)
+                reply += target.reply
+                target.reply = []
+        return reply
+
+    def _targets(self, line, target, now, lines):
         entries = []
         for _ in range(line.integer("elements", 0)):
             entry = next(lines, None)
             if entry is None or entry.name != "cache":
                 raise line.fault(f"announces more entries than the {len(entries)} that follow")
-            entries.append(entry.listed())
+            entries.append(entry.endpoint())
         how = line.need("how")
         if how == "broken":
-            front.router.endpoint_list_failed(now)
+            target.router.endpoint_list_failed(now)
         elif how in ("patch", "whole", "stale_copy"):
-            front.router.update_endpoints(entries, how != "patch", now)
+            target.router.update_endpoints(entries, how != "patch", now)
         else:
             return
-        self._due(front, now)
+        self._timer_ended(target, now)
 
-    def _due(self, front, now):
-        for handle, decided in front.router.on_timer(now):
-            front.say(handle, decided)
+    def _timer_ended(self, target, now):
+        for state, decided in target.router.on_timer(now):
+            target.add_actions(state, decided)
 
-    def _incoming(self, line, front, now, _lines):
+    def _incoming(self, line, target, now, _lines):
         key = line.need("txn")
-        handle = front.router.start_request(
+        state = target.router.start_request(
             events.Request(
                 id=key,
                 object=line.hexadecimal("resource", 0),
@@ -136,43 +152,43 @@
             ),
             now,
         )
-        front.gets[key] = handle
-        front.say(handle, handle.route(now))
+        target.requests[key] = state
+        target.add_actions(state, state.route(now))
 
-    def _response(self, line, front, now, _lines):
+    def _response(self, line, target, now, _lines):
         key = line.need("txn")
         number, outcome = line.integer("shot"), line.choice("result", codec.OUTCOMES)
         spent, waited = line.time("spent", 0), line.time("fillWait", 0)
-        found, load, done = line.found(), line.load(), line.flag("finished")
-        handle = front.gets.get(key)
-        if handle is not None:
-            decided = handle.attempt_ended(number, outcome, found, spent, waited, load, done, now)
-            front.say(handle, decided)
+        found, load, done = line.cache_status(), line.load(), line.flag("finished")
+        state = target.requests.get(key)
+        if state is not None:
+            decided = state.attempt_ended(number, outcome, found, spent, waited, load, done, now)
+            target.add_actions(state, decided)
 
-    def _headers(self, line, front, now, _lines):
+    def _headers(self, line, target, now, _lines):
         key, number = line.need("txn"), line.integer("shot")
-        handle = front.gets.get(key)
-        if handle is not None:
-            front.say(handle, handle.response_started(number, now))
+        state = target.requests.get(key)
+        if state is not None:
+            target.add_actions(state, state.response_started(number, now))
 
-    def _left(self, line, front, now, _lines):
+    def _left(self, line, target, now, _lines):
         key = line.need("txn")
-        handle = front.gets.get(key)
-        if handle is not None:
-            front.say(handle, handle.client_disconnected(now))
+        state = target.requests.get(key)
+        if state is not None:
+            target.add_actions(state, state.client_disconnected(now))
 
-    def _purged(self, line, front, now, _lines):
-        front.router.invalidate(
+    def _purged(self, line, target, now, _lines):
+        target.router.invalidate(
             line.hexadecimal("resource", -1), line.integer("batchId", -1), line.time("copyAge", 0), now
         )
 
-    def _wake(self, line, front, now, _lines):
-        if line.need("token") == str(front.armed):
-            front.armed = None
-            self._due(front, now)
+    def _wake(self, line, target, now, _lines):
+        if line.need("token") == str(target.timer_at):
+            target.timer_at = None
+            self._timer_ended(target, now)
 
-    def _health(self, line, front, now, _lines):
-        front.router.receive_load_report(
+    def _health(self, line, target, now, _lines):
+        target.router.receive_load_report(
             line.integer("cache"),
             line.choice("result", codec.OUTCOMES),
             line.time("spent", 0),
@@ -180,8 +196,8 @@
             now,
         )
 
-    def _note_from(self, line, front, now, _lines):
-        front.router.receive_peer_message(line.integer("neighbour"), line.payload("blob"), now)
+    def _note_from(self, line, target, now, _lines):
+        target.router.receive_peer_message(line.integer("neighbour"), line.payload("blob"), now)
 
-    def _power_off(self, _line, front, _now, _lines):
-        del self.fronts[front.instance]
+    def _power_off(self, _line, target, _now, _lines):
+        del self.instances[target.number]
--- a/sprucegate/simulator/process.py
+++ b/sprucegate/simulator/process.py
@@ -2,14 +2,21 @@
 
 import sys
 import traceback
+from collections.abc import Iterable
+from typing import BinaryIO
 
 from sprucegate.simulator.codec import Line, MalformedLineError
 from sprucegate.simulator.host import Host
 
 
-def run(source, sink):
-    """Answer batches until the input ends."""
-    host, now, lines = Host(), None, []
+def run(source: Iterable[bytes], sink: BinaryIO) -> None:
+    """Answer batches until the input ends.
+
+    :raises MalformedLineError: for input that cannot be read.
+    """
+    host = Host()
+    now: int | None = None
+    lines: list[Line] = []
     for number, raw in enumerate(source, 1):
         try:
             text = raw.decode("utf-8").rstrip("\r\n")
@@ -37,14 +44,16 @@
             actions.append("ready\n")
             sink.write("\n".join(actions).encode())
             sink.flush()
-            now, lines = None, []
+            now = None
+            lines = []
         else:
             lines.append(Line(text, number))
     if now is not None:
         raise MalformedLineError("input ended inside a batch")
 
 
-def main():
+def main() -> int:
+    """Run until the input ends; the exit status: 2 for malformed input, 1 if the output was closed, else 0."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except MalformedLineError as fault:
--- a/sprucegate/simulator/settings.py
+++ b/sprucegate/simulator/settings.py
@@ -1,4 +1,7 @@
-"""The wire's settings as a plain map under our names, times in nanoseconds. Unknown ones are skipped."""
+"""The simulator's settings as a plain map under the names used here, times in nanoseconds. Unknown ones are skipped."""
+
+from collections.abc import Callable, Mapping
+from typing import Any
 
 from sprucegate.simulator.codec import truth
 
@@ -15,6 +18,7 @@
     return lambda text: [read(item) for item in text.split(",")] if text else []
 
 
+DELIVERY_SERVICES_MAX = 10_000
 EFFECTS = {"pure": "idempotent", "token": "tokened", "side_effect": "non-idempotent"}
 SOURCES = {"silent": "none"}
 LOAD_BY = {"piggyback": "answers", "pull": "probe", "silent": "none"}
@@ -76,7 +80,7 @@
     "weightKind": ("weights", _words(SOURCES)),
 }
 # One list a name, an item for each delivery service, in the wire's order; what an item leaves out is None.
-BY_DS = {
+BY_DELIVERY_SERVICE = {
     "aim": ("latency_objective", _ns),
     "aimStretch": ("objective_stretch", float),
     "deadline": ("viewer_timeout", _ns),
@@ -87,8 +91,8 @@
 }
 
 
-def settings_from(fields, fault):
-    """The map for one front: `fields` has the wire's paths and texts, `fault(text)` makes what is raised."""
+def settings_from(fields: Mapping[str, str], fault: Callable[[str], Exception]) -> dict[str, Any]:
+    """The map for one router: `fields` has the protocol's paths and texts, `fault(text)` makes what is raised."""
 
     def value(path, read):
         try:
@@ -98,9 +102,9 @@
 
     settings = {name: value(path, read) for path, (name, read) in NAMES.items() if path in fields}
     count = value("categories.count", int) if "categories.count" in fields else 0
-    if not 0 <= count <= 10_000:
+    if not 0 <= count <= DELIVERY_SERVICES_MAX:
         raise fault(f"counts {count} delivery services")
-    for key, (name, read) in BY_DS.items():
+    for key, (name, read) in BY_DELIVERY_SERVICE.items():
         paths = [f"categories.{at}.{key}" for at in range(count)]
         settings[name] = [value(path, read) if path in fields else None for path in paths]
     return settings
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -78,7 +78,7 @@
 
 def test_an_outcome_is_decoded_in_our_words():
     line = Line("response\ti=0\tnote=9\tresult=QueueFull\treport=outstanding:7,odd:1,x1:1.25", 1)
-    assert line.found() is CacheStatus.FILL_SLOTS_EXHAUSTED
+    assert line.cache_status() is CacheStatus.FILL_SLOTS_EXHAUSTED
     assert line.load() == {"inflight": 7.0, "link_use": 1.25}
     assert AttemptOutcome.FULL.never_executed and not AttemptOutcome.TIMED_OUT.never_executed
 
