--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -50,13 +50,13 @@
         (90, 76, BELIEF_TIME_MAX_NS),  # the cap bounds the line
     ],
 )
-def test_life_of_a_belief(older, newer, life):
+def test_validity_of_a_belief_follows_the_request_rate(older, newer, life):
     record = ObjectRecord(0)
     record.counts = [0, newer, older]
     assert record.belief_time() == min(BELIEF_TIME_MAX_NS, life)
 
 
-def test_counts_roll_into_spans():
+def test_counts_advance_by_spans():
     record = ObjectRecord(10)
     record.counts = [5, 4, 3]
     record.advance(12)
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("failed_ago, counted", [(None, 1), (S, 0), (3 * S, 1)])
-def test_a_repeat_after_giving_up_is_not_demand(failed_ago, counted):
+def test_a_retry_after_a_rejection_is_not_counted(failed_ago, counted):
     made = router()
     if failed_ago is not None:
         made.digest.record_of(asked(), NOW).rejected_at = NOW - failed_ago
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("change", ["restart", "purge", "group purge", "drain", "expiry"])
-def test_beliefs_die(change):
+def test_beliefs_are_voided(change):
     made = router()
     record = believed(made, asked(), 12, expiry=NOW if change == "expiry" else NOW + S)
     if change == "restart":
@@ -131,7 +131,7 @@
     ) is used
 
 
-def test_fronts_pick_alike_whatever_the_order_of_their_lists():
+def test_routers_pick_alike_whatever_the_order_of_their_lists():
     one, other = router(), router()
     other.group("cache").reverse()
     for obj in range(50):
@@ -165,7 +165,7 @@
     assert made.caches.width(asked(), record, len(made.group("cache")), NOW) == width
 
 
-def test_a_crowded_cache_is_passed_by():
+def test_a_slow_cache_is_passed_by():
     made = router()
     first = made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[0]
     first.as_cache.speeds.extend((NOW, 6.0, 12) for _ in range(4))
@@ -175,7 +175,7 @@
     assert second is not first and in_time
 
 
-def test_what_is_late_everywhere_is_shed_with_a_time_to_come_back():
+def test_what_would_be_late_everywhere_is_rejected_with_retry_after():
     made = router()
     made.draws.chance = lambda text: 0.99
     for cache in CACHES:
@@ -198,7 +198,7 @@
     assert attempt.only_if_cached is looks
 
 
-def test_a_fill_out_beyond_its_objective_counts_before_it_ends():
+def test_a_fill_in_flight_beyond_its_objective_counts_as_late():
     made = router()
     source = node(made, PARENTS[0])
     made.sources.fills.extend(Fill(source, NOW - S, NOW - MS, None) for _ in range(6))
@@ -220,14 +220,14 @@
         ),  # a window in which repeats are thrown away is not used
     ],
 )
-def test_no_effect_twice(effect, outcomes, age, answer):
+def test_what_is_not_idempotent_is_never_sent_twice(effect, outcomes, age, answer):
     made = router(effect=["idempotent", "idempotent", effect])
     state = state_with(made, asked(ds=2, ttl=9 * S), *outcomes)
     assert isinstance(state.route(NOW + age)[0], answer)
 
 
 @pytest.mark.parametrize("ds, most", [(2, 3), (0, 2), (1, 1)])
-def test_further_forwards_go_by_revenue(ds, most):
+def test_most_attempts_go_by_revenue(ds, most):
     made = router(effect=["idempotent"] * 3)
     allowed = [
         made.retry_policy.may_attempt(state_with(made, asked(ds=ds), *[AttemptOutcome.FULL] * n), NOW)
@@ -236,7 +236,7 @@
     assert allowed == [n <= most for n in range(6)]
 
 
-def test_a_spent_retry_budget_stops_further_forwards():
+def test_a_spent_retry_budget_stops_retries():
     made = router()
     made.retry_policy.retries.extend([True] * 30 + [False] * 70)
     assert not made.retry_policy.may_attempt(state_with(made, asked(), AttemptOutcome.FULL), NOW)
@@ -244,7 +244,7 @@
 
 
 @pytest.mark.parametrize("outcome, again", [(AttemptOutcome.NOT_SENT, True), (AttemptOutcome.FULL, False)])
-def test_what_never_left_goes_elsewhere_outside_the_retry_budget(outcome, again):
+def test_an_attempt_not_sent_is_replaced_outside_the_retry_budget(outcome, again):
     made = router()
     state = made.start_request(asked(), NOW)
     (first,) = state.route(NOW)
@@ -257,7 +257,7 @@
     )
 
 
-def test_an_answer_is_owed_before_the_viewer_leaves():
+def test_a_final_answer_is_given_at_the_deadline():
     made = router()
     state = made.start_request(asked(ttl=3 * S), NOW)
     state.attempts = state_with(made, asked(), None).attempts
@@ -275,7 +275,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_a_draining_node_is_named_no_more(state):
+def test_a_draining_server_gets_nothing(state):
     made = router()
     believed(made, asked(), 11, 12, 13)
     made.update_endpoints([entry(c, state) for c in (11, 12, 13, 21)], False, NOW)
@@ -283,7 +283,7 @@
     assert (attempt.cache, attempt.fill_source) == (14, 22)
 
 
-def test_what_a_whole_list_leaves_out_is_gone():
+def test_what_a_complete_list_leaves_out_is_gone():
     made = router()
     made.update_endpoints([entry(11)], True, NOW)
     assert [n.id for n in made.group("cache")] == [11] and not made.group("parent")
@@ -299,14 +299,14 @@
         (31, 0, 0, True),  # the origin has no cold start
     ],
 )
-def test_cold_starts_earn_credit(cache, ago, carried, room):
+def test_slow_start_earns_credit(cache, ago, carried, room):
     made = router([entry(c, started=NOW - 3 * S) for c in (11, 21)])
     made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(carried))
     made.slow_start.has_budget(node(made, cache), 0, NOW - ago * MS)
     assert made.slow_start.has_budget(node(made, cache), 0, NOW) is room
 
 
-def test_one_cold_cache_left_does_not_earn_for_all_that_stood():
+def test_the_last_cold_cache_does_not_earn_for_those_gone():
     """As its group's last one it earned what four had carried, and was attempt 3.3 times what it could do."""
     made = router([entry(11, started=NOW - 9 * S)])
     made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
@@ -322,7 +322,7 @@
     assert 0 < earned * 0.4 / 2 <= 1.4 * 0.7 * 4 / 4 + 0.2  # its own part of 4 s of work a second
 
 
-def test_a_front_that_starts_among_cold_caches_alone_still_earns():
+def test_a_router_among_cold_caches_alone_still_earns_credit():
     """With nothing carried its budget was nothing; where GETs can't pass the caches by, all were shed for good."""
     made = router([entry(c, started=NOW) for c in CACHES], direct=False)
     said = [
@@ -331,14 +331,14 @@
     assert any(isinstance(one, SendAttempt) for one in said)
 
 
-def test_an_answer_without_a_word_is_neither_hit_nor_fill_in_the_count():
+def test_an_unknown_cache_status_is_not_counted():
     made = router(tells="hit")
     state = state_with(made, asked(), None)
     learn(made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, 50 * MS, 0, {}, NOW)
     assert not made.slow_start.statuses
 
 
-def test_many_fronts_first_gets_are_spread_over_a_cold_start():
+def test_first_requests_of_many_routers_are_spread_over_a_cold_start():
     """156 fronts that each see a GET a second pushed a cold parent over: each one's first was free."""
     attempt = 0
     for number in range(150):
@@ -390,7 +390,7 @@
         ([False] * 6, 0, False, 1.0, False, False),  # nor where its peers' GETs end so too
     ],
 )
-def test_outliers_are_set_aside(ends, speed, peers_good, peers_speed, alone, aside):
+def test_outliers_are_ejected(ends, speed, peers_good, peers_speed, alone, aside):
     one, rivals = HealthRecord(), [HealthRecord(), HealthRecord()]
     for at, good in enumerate(ends):
         one.record(NOW - (9 - at) * 10 * MS, good, speed)
@@ -400,7 +400,7 @@
     assert (one.ejected_until > NOW) is aside
 
 
-def test_never_more_than_half_are_set_aside():
+def test_at_most_half_of_the_caches_are_ejected():
     made = router()
     for cache in CACHES:
         node(made, cache).as_cache.ejected_until = NOW + S
@@ -413,7 +413,7 @@
     assert made.sources.parent_or_origin(state_with(made, asked()), NOW)[0].id == ORIGIN
 
 
-def test_a_first_get_of_unknown_size_is_not_held_for_late():
+def test_a_first_request_of_unknown_size_is_expected_in_time():
     made = router(objective_stretch=[0.0] * 3)
     assert made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[1]
 
@@ -427,7 +427,7 @@
         (AttemptOutcome.FULL, CacheStatus.UNKNOWN, [], 0),  # load, not a fault
     ],
 )
-def test_a_slow_fill_is_not_laid_to_the_cache(outcome, found, ends, speeds):
+def test_a_slow_fill_does_not_count_against_the_cache(outcome, found, ends, speeds):
     made = router()
     state = state_with(made, asked(size=100), None)
     state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
@@ -437,7 +437,7 @@
 
 
 @pytest.mark.parametrize("slowness, noted", [(1.0, 1), (5.0, 0)])
-def test_an_ageing_parents_fills_say_nothing_of_the_link(slowness, noted):
+def test_fills_of_a_slow_parent_say_nothing_of_the_link(slowness, noted):
     made = router(client_kb_per_s=1000)
     for parent, slow in zip(PARENTS, (slowness, 1.0), strict=True):
         node(made, parent).as_source.speeds.extend((NOW, slow, 0) for _ in range(4))
@@ -448,7 +448,7 @@
     assert len(made.link.health.speeds) == noted
 
 
-def test_a_cache_out_of_reach_is_left_alone_then_tried_and_taken_for_cold():
+def test_an_unreachable_cache_is_avoided_then_tried_and_taken_for_restarted():
     made = router()
     state = state_with(made, asked(), None, None)
     learn(made, state, state.attempts[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
@@ -477,7 +477,7 @@
         (AttemptOutcome.FULL, CacheStatus.FILL_SOURCE_REFUSED, 0, 21, False),
     ],
 )
-def test_a_late_fill_is_laid_to_the_one_who_made_it_late(outcome, found, waited, blamed, good):
+def test_a_late_fill_counts_against_the_source_that_made_it_late(outcome, found, waited, blamed, good):
     made = router(client_kb_per_s=1000)
     state = state_with(made, asked(size=100), None)
     state.attempts[0].fill = fill = Fill(node(made, 21), NOW - 2 * S, NOW - S, None)
@@ -501,7 +501,7 @@
     )
 
 
-def test_a_throttled_get_never_looks_at_the_origin():
+def test_a_throttled_request_never_asks_the_origin():
     made = router([entry(c, EndpointState.GONE) for c in PARENTS])
     made.draws.chance = lambda text: 0.99
     made.sources.fills.extend(Fill(node(made, ORIGIN), NOW - S, NOW, False) for _ in range(20))
@@ -509,7 +509,7 @@
 
 
 @pytest.mark.parametrize("use, age, looks", [(20.0, 0, True), (1.0, 0, False), (20.0, 2 * S, False)])
-def test_a_link_told_to_be_jammed_takes_no_new_fills(use, age, looks):
+def test_a_link_reported_full_takes_no_new_fills(use, age, looks):
     made = router(client_kb_per_s=1000)
     made.link.use, made.link.use_at = use, NOW - age
     attempt = made.plan(state_with(made, asked(size=500)), NOW)
@@ -517,7 +517,7 @@
 
 
 @pytest.mark.parametrize("slow, seen", [(5.0, 5.0), (2.0, 1.0)])
-def test_a_front_with_one_get_at_a_time_still_sees_a_jam(slow, seen):
+def test_a_router_with_one_request_at_a_time_still_sees_a_full_link(slow, seen):
     one = HealthRecord()
     one.speeds.extend((NOW, slow, 1) for _ in range(4))
     assert one.expected_slowness(1, NOW) == seen
@@ -544,7 +544,7 @@
 
 
 @pytest.mark.parametrize("ds, times, kept", [(0, 1, False), (0, 2, True), (2, 2, False)])
-def test_copies_are_kept_of_what_is_asked_again_and_never_of_writes(ds, times, kept):
+def test_copies_are_stored_of_what_is_requested_again_and_never_of_writes(ds, times, kept):
     made, ask = router(), asked(ds=ds)
     made.digest.record_of(ask, NOW).counts[0] = times
     assert made.should_store_own_copy(ask, NOW - MS, NOW) is kept
@@ -558,7 +558,7 @@
         (False, CacheStatus.FILL_SOURCE_BROKEN, 0, True),
     ],
 )
-def test_an_error_speaks_against_those_it_can_be_the_fault_of(returned, told, against_cache, against_source):
+def test_an_error_counts_against_those_who_can_have_caused_it(returned, told, against_cache, against_source):
     made, ask = router(), asked(size=100)
     state, fill = state_with(made, ask, None), Fill(node(made, PARENTS[0]), NOW, NOW + S, None)
     state.attempts[0].fill, made.digest.record_of(ask, NOW).returned = fill, returned
@@ -576,7 +576,7 @@
         (AttemptOutcome.UNREACHABLE, False),
     ],
 )
-def test_a_connection_cut_or_a_client_gone_says_nothing_of_the_source(outcome, good):
+def test_a_reset_or_cancelled_attempt_says_nothing_of_the_source(outcome, good):
     made = router()
     state, fill = state_with(made, asked(size=100), None), Fill(node(made, PARENTS[0]), NOW, NOW + S, None)
     state.attempts[0].fill = fill
@@ -584,7 +584,7 @@
     assert fill.on_time is good
 
 
-def test_a_connection_that_ends_with_many_forwards_is_one_bad_end():
+def test_a_connection_that_ends_with_many_attempts_is_one_failure():
     made, state = router(), None
     state = state_with(made, asked(), None, None, None, None)
     for at, attempt in enumerate(state.attempts):
@@ -592,7 +592,7 @@
     assert len(node(made, 11).as_cache.results) == 1 and node(made, 11).as_cache.ejected_until == 0
 
 
-def test_a_link_that_looked_full_is_tried_by_some_fills():
+def test_a_link_that_looks_full_is_tried_by_some_fills():
     made = router(client_kb_per_s=1000)
     made.link.health.speeds.extend((NOW, 20.0, 3) for _ in range(16))
     tried = 0
@@ -618,7 +618,7 @@
     ) == before and not made.digest.valid_beliefs(asked(), record, NOW)
 
 
-def test_a_restart_does_not_hide_what_is_still_out_there():
+def test_a_restart_keeps_the_count_of_attempts_in_flight():
     made = router()
     made.plan(state_with(made, asked()), NOW)
     cache = next(n for n in made.registry.servers.values() if n.in_flight)
@@ -644,7 +644,7 @@
         ("hit", 700, False, 21, CacheStatus.UNKNOWN),  # silence is no answer where hits are told
     ],
 )
-def test_silence_is_resolved_by_time_or_stays_open(tells, spent, held, source, found):
+def test_an_untold_cache_status_is_resolved_by_time_or_stays_open(tells, spent, held, source, found):
     """Untold fill waits read as crowded caches: hits were shed, the full link in was not seen."""
     made = router(**{**SILENT, "tells": tells})
     attempt = Attempt(node(made, 11), node(made, source), 1, held)
@@ -652,7 +652,7 @@
 
 
 @pytest.mark.parametrize("filling, hits, pace", [(0, 0, 1.1), (3, 0, 4.4), (3, 64, 1.2)])
-def test_an_even_part_of_a_told_link_stands_in_for_told_waits(filling, hits, pace):
+def test_an_even_part_of_the_stated_link_rate_stands_in_for_fill_waits(filling, hits, pace):
     made = router(**SILENT)  # 12 transfers over four fronts, of which LINK_SHARE counts
     made.link.fills_in_flight = filling
     made.link.misses.extend([False] * hits or [True] * 64)
@@ -671,14 +671,14 @@
 @pytest.mark.parametrize(
     "told_ago, inflight, pace", [(0, 2, 1.2), (0, 20, 12.0), (3 * S, 20, 1.0), (0, 0, 1.0)]
 )
-def test_told_gets_over_the_listed_size_tell_a_crowd_of_other_fronts(told_ago, inflight, pace):
+def test_reported_requests_over_the_weight_raise_the_expected_slowness(told_ago, inflight, pace):
     made = router()
     at = node(made, 11)
     at.load, at.load_at = {"inflight": inflight}, NOW - told_ago
     assert at.expected_slowness(NOW) == pytest.approx(pace)
 
 
-def test_parts_of_an_object_share_what_tells_their_size():
+def test_parts_of_an_object_share_their_sending_times():
     made = router()
     first = asked(obj=7)
     earlier = made.digest.record_of(
@@ -699,7 +699,7 @@
     return made, ask
 
 
-def test_a_belief_that_is_told_is_worth_half_of_what_is_left_and_voided_by_a_purge():
+def test_a_belief_from_gossip_lasts_half_of_the_time_left_and_is_voided_by_a_purge():
     made, ask = told(BeliefGossip(99, 0, 12, 0, 4 * S, S))
     assert made.digest.valid_beliefs(ask, made.digest.record_of(ask, NOW), NOW) == {
         node(made, 12): NOW + 1950 * MS
@@ -708,7 +708,7 @@
     assert made.digest.valid_beliefs(ask, made.digest.record_of(ask, NOW), NOW) == {}
 
 
-def test_a_belief_that_is_told_stands_behind_an_own_one_and_another_start_of_its_cache():
+def test_a_belief_from_gossip_replaces_no_own_one_and_needs_the_same_start_of_its_cache():
     made, ask = told()
     believed(made, ask, 12, expiry=NOW + S)
     made.receive_gossip(
@@ -723,7 +723,7 @@
     assert made.digest.valid_beliefs(ask, made.digest.record_of(ask, NOW), NOW) == {node(made, 12): NOW + S}
 
 
-def test_what_is_told_fills_a_miss_from_the_sibling_that_another_front_knows():
+def test_gossip_has_a_miss_filled_from_a_sibling_that_another_router_knows():
     made, ask = told()
     first = made.start_request(ask, NOW).route(NOW)[0].cache
     other = next(c for c in CACHES if c != first)
@@ -731,7 +731,7 @@
     assert made.start_request(asked("r-2"), NOW).route(NOW)[0].fill_source == other
 
 
-def test_rest_that_is_told_holds_where_nothing_was_seen_here_and_never_lifts_an_own_one():
+def test_an_ejection_from_gossip_holds_where_nothing_was_seen_and_never_shortens_an_own_one():
     made, _ = told(EjectionGossip(21, 0, True, 4 * S, 0, 0), EjectionGossip(22, 0, True, -S, 0, 0))
     assert (
         node(made, 21).as_source.ejected_until == NOW + 1950 * MS
@@ -747,7 +747,7 @@
     )
 
 
-def test_beliefs_are_told_once_the_most_asked_first_and_those_near_their_end_not_at_all():
+def test_beliefs_are_sent_once_the_most_requested_first_and_none_that_end_soon():
     made = router()
     for obj, times, expiry in ((1, 1, 8 * S), (2, 5, 8 * S), (3, 9, S)):
         ask = asked(obj=obj)
@@ -767,7 +767,7 @@
     )
 
 
-def test_a_pace_that_is_told_counts_where_none_was_seen_here_and_ages_from_when_it_was_told():
+def test_slowness_from_gossip_counts_where_none_was_seen_and_keeps_its_age():
     made, _ = told(EjectionGossip(12, 0, False, 0, 2500, 0))
     by = node(made, 12).as_cache
     assert by.slowness(NOW) == 2.5 and not by.ejected_until and not by.slowness(NOW + 10 * S - 100 * MS)
@@ -776,7 +776,7 @@
     assert made.gossip_to_send(9, NOW) == [EjectionGossip(12, 0, False, 0, 2500, 100 * MS)]
 
 
-def test_a_pace_that_goes_round_among_fronts_ends_with_the_sample_that_it_came_from():
+def test_slowness_that_goes_round_among_routers_ends_with_its_sample():
     fronts, now = [router() for _ in range(3)], NOW
     fronts[0].receive_gossip([EjectionGossip(12, 0, False, 0, 2500, 0)], 0, NOW)
     for now in range(NOW, NOW + 12 * S, S):
@@ -788,7 +788,7 @@
     assert not any(node(one, 12).as_cache.slowness(now) for one in fronts)
 
 
-def test_many_purges_at_once_are_each_kept_until_they_are_done_and_let_go_a_few_at_a_time():
+def test_many_purges_are_each_kept_until_done_and_forgotten_a_few_at_a_time():
     made = router()
     for number in range(20_000):  # a returning front gets as many in a second: none may cost by the others
         made.invalidate(number, -1, number * MS, NOW)
@@ -806,5 +806,5 @@
 @pytest.mark.parametrize(
     "most, warmed", [(7, {*CACHES, *PARENTS, ORIGIN}), (6, {*PARENTS, ORIGIN}), (3, {ORIGIN, PARENTS[0]})]
 )
-def test_connections_are_made_at_the_start_to_all_or_to_those_that_all_gets_go_through(most, warmed):
+def test_connections_at_the_start_go_to_all_servers_or_to_those_of_every_fill(most, warmed):
     assert set(router().endpoints_to_connect(most)) == warmed
--- a/tests/simulator/test_simulator.py
+++ b/tests/simulator/test_simulator.py
@@ -28,7 +28,7 @@
     return [reply.splitlines() for reply in sink.getvalue().decode().split("ready\n")[:-1]]
 
 
-def test_a_get_is_forwarded_and_an_empty_batch_is_answered():
+def test_a_request_is_sent_and_an_empty_batch_is_answered():
     empty, first = replies("", INIT + GET)
     assert empty == []
     assert first[0].startswith("deliver_via\ti=0\ttxn=r-a\tcache=11\tcap=") and "\tsupplier=31" in first[0]
@@ -76,14 +76,14 @@
     assert got[0][-1].startswith("internal_error\ti=0\twhat=OverflowError")
 
 
-def test_an_outcome_is_decoded_in_our_words():
+def test_an_outcome_is_decoded():
     line = Line("response\ti=0\tnote=9\tresult=QueueFull\treport=outstanding:7,odd:1,x1:1.25", 1)
     assert line.cache_status() is CacheStatus.FILL_SLOTS_EXHAUSTED
     assert line.load() == {"inflight": 7.0, "link_use": 1.25}
     assert AttemptOutcome.FULL.never_executed and not AttemptOutcome.TIMED_OUT.never_executed
 
 
-def test_settings_are_a_plain_map_in_our_names():
+def test_settings_are_a_plain_map():
     line = Line(INIT.splitlines()[0], 1)
     settings = settings_from(line.fields, line.fault)
     assert settings["latency_objective"] == [400_000_000] and settings["effect"] == ["idempotent"]
