--- a/sprucegate/fleet/quotas/borrower.py
+++ b/sprucegate/fleet/quotas/borrower.py
@@ -1,113 +1,174 @@
-"""What a front may use of each source's places: by its steward's leases, else its floor. No I/O, no clock.
+"""What a front may use of each source's slots: the lease holder's grants, else its floor.
 
-Leases as of Gray and Cheriton (SOSP 1989): the borrower counts one from the question that it answers, the lender from
-its answer on and longer. A front's own floor is a lease the other way: with each question it is the steward's to lend
-for a time, and the front counts that time as longer than the steward does. So at any instant what all fronts use is
-within what their floors make together, however many stewards there are and whatever is cut off.
+Leases as of Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency",
+SOSP 1989: the borrower counts a lease from its request on, the lender from its answer on and longer. A front's own
+floor is a lease the other way: each request leaves it to the lease holder for a time, which the front counts as longer
+than the lease holder does. So at any instant what all fronts use is within the sum of their floors, however many lease
+holders there are and whatever is disconnected.
 
-It is checked at each decision against the time of then: a process that stood still goes by nothing that is over.
+It is checked against the time of each decision: a process that was suspended uses nothing that has expired.
 """
 
-from sprucegate.fleet.quotas.settings import LEASE, QUIET, Need, S, Send, later, pace
+from collections.abc import Callable
 
-NUMBERS = 64  # questions whose answers may still come
-NOBODY = "", 0  # in place of a steward's name and life
+from sprucegate.fleet.quotas.actions import Send
+from sprucegate.fleet.quotas.fair_queue import AvailableSlots, SourceState
+from sprucegate.fleet.quotas.messages import (
+    NO_LEASE_HOLDER,
+    LeaseGrant,
+    LeaseHolderId,
+    QuotaRequest,
+    SourceDemand,
+    SourceGrant,
+)
+from sprucegate.fleet.quotas.settings import (
+    LEASE_DURATION,
+    QuotaSettings,
+    promise_duration,
+    request_interval,
+)
+from sprucegate.units import MILLISECOND, SECOND
+
+IDLE_REQUEST_INTERVAL = 300 * MILLISECOND  # between two requests without demand
+OPEN_REQUESTS_MAX = 64  # whose answers may still come
+NO_SLOTS = AvailableSlots({}, 0)
+DEMAND_INTERVAL_DIVISOR = 5  # new demand is sent after this part of the request interval
 
 
 class Borrower:
-    def __init__(self, name, life, terms, now):
-        self.name, self.life, self.terms = name, life, terms
-        self.steward, self.turn, self.number, self.grant, self.echo = NOBODY, 0, 0, 0, 0
-        self.sent, self.lent, self.until = {}, {}, now  # question -> when; source -> ({tenant: n}, spare)
-        # A former life of this front may have left its floors to a steward just before it ended.
-        self.waived_until, self.waived = now + later(terms.waive), True
-        # What a former steward lent; until when it may lend the floors, and surely counts what it lent as in use.
-        self.old, self.old_until, self.held_until = {}, self.waived_until, now
-        self.borrows, self.floors = False, False  # by the view
-        self.at, self.unanswered, self.factor = now, 0, {}
-
-    def room(self, source, now):
-        """({tenant: places}, places in all) at this instant."""
-        if self.borrows and now < self.until:
-            tenants, spare = self.lent.get(source, ({}, 0))
-            return tenants, sum(tenants.values()) + spare
-        if self.floors and now >= self.waived_until:
-            return {}, int(self.terms.floor(self.name, source) * self.factor.get(source, 1.0))
-        return {}, 0
-
-    def moves(self, steward, now):
-        """Another steward, or none: what the former lent is dropped, what it may still lend is told to the next."""
-        if steward == self.steward:
+    """The borrowing side of one front under one lease holder at a time.
+
+    :ivar lease_holder: whom this front asks; `epoch`: how often that changed.
+    :ivar granted: {source: slots} of the latest grant, in force until `expires`.
+    :ivar floors_waived_until: until then the own floors may be lent by some lease holder.
+    :ivar former_lease: {source: slots} that the former lease holder lent; it may lend the floors until
+        `former_floors_until`, and counts those slots as in use until `former_counted_until`.
+    :ivar may_borrow: whether the membership view allows grants; `may_use_floors`: whether it allows floors.
+    :ivar slow_start: {source: part of its slots that it has after a cold start}.
+    """
+
+    def __init__(self, name: str, incarnation: int, settings: QuotaSettings, now: int) -> None:
+        self.name = name
+        self.incarnation = incarnation
+        self.settings = settings
+        self.lease_holder = NO_LEASE_HOLDER
+        self.epoch = 0
+        self.sequence = 0
+        self.grant = 0
+        self.echo = 0
+        self.sent_at: dict[int, int] = {}  # by sequence number
+        self.granted: dict[int, AvailableSlots] = {}
+        self.expires = now
+        # A former incarnation of this front may have left its floors to a lease holder just before it ended.
+        self.floors_waived_until = now + promise_duration(settings.floor_waiver)
+        self.former_lease: dict[int, int] = {}
+        self.former_floors_until = self.floors_waived_until
+        self.former_counted_until = now
+        self.may_borrow = False
+        self.may_use_floors = False
+        self.next_request_at = now
+        self.unanswered = 0
+        self.slow_start: dict[int, float] = {}
+
+    def available_slots(self, source: int, now: int) -> AvailableSlots:
+        """Return the slots of a source at this instant."""
+        if self.may_borrow and now < self.expires:
+            return self.granted.get(source, NO_SLOTS)
+        if self.may_use_floors and now >= self.floors_waived_until:
+            floor = self.settings.floor(self.name, source)
+            return AvailableSlots({}, int(floor * self.slow_start.get(source, 1.0)))
+        return NO_SLOTS
+
+    def follow(self, lease_holder: LeaseHolderId, now: int) -> None:
+        """Change the lease holder: grants of the former are dropped, and the next is told what it may still lend."""
+        if lease_holder == self.lease_holder:
             return
-        valid = now < self.until + self.terms.longest
-        if self.steward != NOBODY:
-            self.old = (
-                {source: sum(t.values()) + spare for source, (t, spare) in self.lent.items()} if valid else {}
-            )
-            self.old_until, self.held_until = self.waived_until, self.until + self.terms.longest
-        self.steward, self.turn, self.echo, self.grant = steward, self.turn + 1, 0, 0
-        self.lent, self.until, self.sent, self.unanswered, self.at = {}, now, {}, 0, now
-
-    def next_due(self):
-        return self.at
-
-    def due(self, demand, ended, now):
-        """Its question, where it is time. `demand(source)`, `ended(source)`: as the queue gives them."""
-        if self.steward == NOBODY or now < self.at:
+        counted_until = self.expires + self.settings.fill_time_max
+        if self.lease_holder != NO_LEASE_HOLDER:
+            still_counted = now < counted_until
+            lent = {source: slots.total for source, slots in self.granted.items()}
+            self.former_lease = lent if still_counted else {}
+            self.former_floors_until = self.floors_waived_until
+            self.former_counted_until = counted_until
+        self.lease_holder = lease_holder
+        self.epoch += 1
+        self.echo = 0
+        self.grant = 0
+        self.granted = {}
+        self.expires = now
+        self.sent_at = {}
+        self.unanswered = 0
+        self.next_request_at = now
+
+    def next_deadline(self) -> int:
+        """Return when the next request is to be sent."""
+        return self.next_request_at
+
+    def on_timer(
+        self,
+        demand: Callable[[int], SourceState],
+        take_fill_counts: Callable[[int], tuple[int, int]],
+        now: int,
+    ) -> list[Send]:
+        """Return the next request, if it is time; `demand` and `take_fill_counts` are the fair queue's."""
+        if self.lease_holder == NO_LEASE_HOLDER or now < self.next_request_at:
             return []
-        rows, busy = [], False
-        for source in sorted(self.terms.places):
+        sources = []
+        has_demand = False
+        for source in sorted(self.settings.slots):
             tenants, using = demand(source)
-            busy = busy or bool(tenants)
-            old = self.old.get(source, 0) if now < self.old_until else 0
-            if tenants or old:
-                rows.append([source, using, old, *ended(source), tenants])
-        self.number += 1
-        self.unanswered += 1
-        self.sent[self.number] = now
-        while len(self.sent) > NUMBERS:
-            del self.sent[next(iter(self.sent))]
-        self.at = now + (pace(len(self.terms.names)) if busy else QUIET)
-        self.waived_until = max(self.waived_until, now + later(self.terms.waive))
-        name, life = self.steward
-        return [
-            Send(
-                name,
-                Need(
-                    self.life,
-                    life,
-                    self.turn,
-                    self.number,
-                    self.echo,
-                    self.grant,
-                    max(0, self.old_until - now),
-                    max(0, self.held_until - now),
-                    rows,
-                ),
-            )
-        ]
-
-    def wants(self, now):
-        """There is demand that the last question did not tell."""
-        self.at = min(
-            self.at, max(now, self.sent.get(self.number, now - S) + pace(len(self.terms.names)) // 5)
+            has_demand = has_demand or bool(tenants)
+            former = self.former_lease.get(source, 0) if now < self.former_floors_until else 0
+            if tenants or former:
+                sources.append(SourceDemand(source, using, former, *take_fill_counts(source), tenants))
+        self._count_request(has_demand, now)
+        request = QuotaRequest(
+            incarnation=self.incarnation,
+            lease_holder=self.lease_holder.incarnation,
+            epoch=self.epoch,
+            sequence=self.sequence,
+            echo=self.echo,
+            grant=self.grant,
+            floors_lent=max(0, self.former_floors_until - now),
+            lease_counted=max(0, self.former_counted_until - now),
+            sources=sources,
         )
+        return [Send(self.lease_holder.name, request)]
+
+    def _count_request(self, has_demand: bool, now: int) -> None:
+        self.sequence += 1
+        self.unanswered += 1
+        self.sent_at[self.sequence] = now
+        while len(self.sent_at) > OPEN_REQUESTS_MAX:
+            del self.sent_at[next(iter(self.sent_at))]
+        interval = request_interval(len(self.settings.fronts)) if has_demand else IDLE_REQUEST_INTERVAL
+        self.next_request_at = now + interval
+        waived_until = now + promise_duration(self.settings.floor_waiver)
+        self.floors_waived_until = max(self.floors_waived_until, waived_until)
+
+    def demand_changed(self, now: int) -> None:
+        """There is demand that the last request did not report: send the next one sooner."""
+        interval = request_interval(len(self.settings.fronts)) // DEMAND_INTERVAL_DIVISOR
+        earliest = self.sent_at.get(self.sequence, now - SECOND) + interval
+        self.next_request_at = min(self.next_request_at, max(now, earliest))
 
-    def heard(self, sender, message, now):
-        """A lease; whether it changed anything."""
-        sent = self.sent.get(message.number)
-        if (
-            sender != self.steward[0]
-            or message.turn != self.turn
-            or sent is None
-            or message.grant <= self.grant
-        ):
+    def on_grant(self, sender: str, message: LeaseGrant, now: int) -> bool:
+        """Take a grant, unless it is late or another's; return whether it is in force now."""
+        sent_at = self.sent_at.get(message.sequence)
+        if sender != self.lease_holder.name or message.epoch != self.epoch:
+            return False
+        if sent_at is None or message.grant <= self.grant:
             return False
         if not self.echo:
-            self.at = now  # the first answer: by the next question its floors count as lent
-        self.grant, self.echo, self.unanswered = message.grant, max(self.echo, message.stamp), 0
-        self.until = sent + LEASE
-        self.lent = {
-            source: ({tenant: n for tenant, n in tenants}, spare) for source, spare, tenants in message.rows
-        }
-        return now < self.until
+            self.next_request_at = now  # by the request after the first answer the own floors count as lent
+        self.grant = message.grant
+        self.echo = max(self.echo, message.stamp)
+        self.unanswered = 0
+        self.expires = sent_at + LEASE_DURATION
+        self.granted = {row.source: _slots_of(row) for row in message.sources}
+        return now < self.expires
+
+
+def _slots_of(grant: SourceGrant) -> AvailableSlots:
+    by_tenant = {row.tenant: row.slots for row in grant.tenants}
+    return AvailableSlots(by_tenant, sum(by_tenant.values()) + grant.spare)
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -1,330 +1,299 @@
-"""The shares in a front: GETs that wait, words to and from stewards, timers. What is decided is in shares.py.
+"""The quotas in a front: its waiting requests, messages to and from lease holders, timers. `coordinator` decides.
 
-The seam to the front is put in when the fleet is made: `driver.places`, and `router.slot_limited_sources`, the sources
-whose fills wait for a place. Nothing here is asked of another front on a request's path.
+The component sets itself as `driver.places`, and the sources whose fills wait for slots as
+`router.slot_limited_sources`. Nothing here asks another front on a request's path.
 """
 
 import time
 
-import msgspec
-
 from sprucegate.fleet.components import FleetComponent
-from sprucegate.fleet.links.codec import ComponentMessage, FrameError
+from sprucegate.fleet.links.codec import ComponentMessage
 from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
-from sprucegate.fleet.quotas import slots
-from sprucegate.fleet.quotas.coordinator import Shares
+from sprucegate.fleet.quotas import codec
+from sprucegate.fleet.quotas.actions import AbandonWait, LeaseHolderChanged, Send, StartFill
+from sprucegate.fleet.quotas.coordinator import QuotaCoordinator
 from sprucegate.fleet.quotas.fair_queue import tenant_of
-from sprucegate.fleet.quotas.settings import Asks, GiveUp, Goes, Lent, Moved, Need, Send, Start, Terms
+from sprucegate.fleet.quotas.settings import QuotaSettings, Tenant
+from sprucegate.fleet.quotas.slots import slow_start_ratio
+from sprucegate.fleet.quotas.status import quota_status
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
+from sprucegate.units import SECOND
+
+SLOW_START_INTERVAL_S = 0.5  # between two looks at which sources have just started
+TIMER_WAIT_MAX_S = 1.0
+RETRY_AFTER_FAULT_S = 0.1
+FILL_TIME_MAX_DEFAULT = (
+    3 * SECOND
+)  # where neither the operator's file nor the settings bound a request's time
+CACHE_HITS = (CacheStatus.HIT, CacheStatus.STALE_HIT, CacheStatus.COLLAPSED)
+# After these the fill may go on at the source, for all that is known here.
+DETACHED_OUTCOMES = (AttemptOutcome.CANCELLED, AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET)
+
 
-S = 1_000_000_000
-FACTORS = 0.5  # seconds between two looks at which sources have just started
-HITS = (CacheStatus.HIT, CacheStatus.STALE_HIT, CacheStatus.COLLAPSED)
-GOES_ON = (
-    AttemptOutcome.CANCELLED,
-    AttemptOutcome.TIMED_OUT,
-    AttemptOutcome.RESET,
-)  # at the source, for all that is known here
-
-_Count = msgspec.Meta(ge=0, le=1 << 20)
-_Time = msgspec.Meta(ge=0, le=1 << 62)
-_needs = msgspec.msgpack.Decoder(
-    tuple[
-        int,
-        int,
-        int,
-        int,
-        int,
-        int,
-        int,
-        int,
-        list[tuple[int, int, int, int, int, list[tuple[int, int, int]]]],
-    ]
-).decode
-_lents = msgspec.msgpack.Decoder(
-    tuple[int, int, int, int, list[tuple[int, int, list[tuple[int, int]]]]]
-).decode
-_word = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
-_encode = msgspec.msgpack.Encoder().encode
-_goes = msgspec.msgpack.Decoder(tuple[str, int, int]).decode
-_asks = msgspec.msgpack.Decoder(tuple[int, int]).decode
-KINDS = (None, Need, Lent, Asks, Goes)
-DECODERS = (None, _needs, _lents, _asks, _goes)
-
-
-def packed(message):
-    return _encode((KINDS.index(type(message)), tuple(message)))
-
-
-def unpacked(data, terms):
-    """One word on shares; raises Unreadable for what no front of this fleet says."""
-    try:
-        kind, raw = _word(data)
-        if not 0 < kind < len(KINDS):
-            raise FrameError(f"a word on shares of kind {kind}, which is not known here")
-        made = KINDS[kind](*DECODERS[kind](raw))
-    except msgspec.MsgspecError as fault:
-        raise FrameError(f"a word on shares that can't be read: {fault}") from None
-    if isinstance(made, Asks | Goes):
-        return made
-    if isinstance(made, Need):
-        counts = [n for row in made.rows for n in (*row[1:5], *[n for tenant in row[5] for n in tenant])]
-        tenants = [t for row in made.rows for t, _, _ in row[5]]
-    else:
-        counts = [n for row in made.rows for n in (row[1], *[n for _, n in row[2]])]
-        tenants = [t for row in made.rows for t, _ in row[2]]
-        for source, spare, rows in made.rows:
-            if spare + sum(n for _, n in rows) > terms.places.get(source, 1 << 20):
-                raise FrameError(f"more places of {source:x} lent than there are: its file has other figures")
-    if any(n < 0 or n > 1 << 20 for n in counts) or any(not 0 <= t < len(terms.tenants) for t in tenants):
-        raise FrameError("a word on shares with tenants or counts that can't be: its file has other figures")
-    return made
-
-
-class Token:
-    """One wait of one GET for a place."""
-
-    __slots__ = ("get", "source", "out", "has")
+class SlotWait:
+    """One wait of one request for a slot.
+
+    :ivar get: the open request; `source`: where its fill is to run.
+    :ivar out: the attempt that runs by the slot, or None.
+    :ivar has: whether the slot was given.
+    """
+
+    __slots__ = ("get", "has", "out", "source")
 
     def __init__(self, get, source):
-        self.get, self.source, self.out, self.has = get, source, None, False
+        self.get = get
+        self.source = source
+        self.out = None
+        self.has = False
 
 
 class QuotaComponent(FleetComponent):
-    name, question = "shares", "share"
+    """Joins the quota coordinator to a front's driver and to its fleet.
+
+    `fleet`: the front's fleet service; `node`: the block `shares` of the operator's file.
+    """
+
+    name = "shares"
+    question = "share"
 
     def __init__(self, fleet, node):
-        self.fleet, self.node, self.driver, self.loop = fleet, node, fleet.driver, fleet.loop
+        self.fleet = fleet
+        self.node = node
+        self.driver = fleet.driver
+        self.loop = fleet.loop
         timeouts = [one for one in self.driver.wanted.settings.get("viewer_timeout", ()) if one]
-        longest = node.longest or max(timeouts, default=3 * S)
-        self.terms = Terms(tuple(node.weights), tuple(node.fronts), {}, longest, node.waiting)
-        self.shares = Shares(fleet.name, fleet.being, self.terms, time.monotonic_ns())
-        self.shares.borrower.floors = (
-            True  # until a view says otherwise, once no former life can have lent them
+        self.settings = QuotaSettings(
+            tenants=tuple(Tenant(*one) for one in node.weights),
+            fronts=tuple(node.fronts),
+            slots={},
+            fill_time_max=node.longest or max(timeouts, default=FILL_TIME_MAX_DEFAULT),
+            waiting_max=node.waiting,
         )
-        self.tokens, self.timer, self.names, self.up = {}, None, {}, False
-        self.driver.places, self.driver.router.slot_limited_sources = self, self.terms.places
+        self.quotas = QuotaCoordinator(fleet.name, fleet.being, self.settings, time.monotonic_ns())
+        # Until a view says otherwise; floors that a former incarnation may have lent are still waited for.
+        self.quotas.borrower.may_use_floors = True
+        self.waits_by_request = {}
+        self.timer = None
+        self.source_names = {}
+        self.up = False
+        self.driver.places = self
+        self.driver.router.slot_limited_sources = self.settings.slots
 
     async def start(self):
+        """Begin with the front's identity in the fleet."""
         self.up = True
         own = self.fleet.peer.members.own
         self.on_identity_changed(own.name, own.life)
-        self._ages()
+        self._update_slow_start()
 
     def start_without_storage(self):
-        # Without it what waits for a place would be neither filled nor answered.
+        """Go on with the floors alone: else requests that wait for slots would be neither filled nor answered."""
         self.up = True
-        self._ages()
-        self._arm()
+        self._update_slow_start()
+        self._set_timer()
 
     async def stop(self):
+        """Stop the timers."""
         self.up = False
         if self.timer is not None:
             self.timer.cancel()
 
-    # What the fleet says.
+    # Events of the fleet.
 
     def on_endpoints_changed(self):
-        """Sources that are listed, and how many fills each bears at once by the file: by its name, else by its kind."""
-        router, kinds = self.driver.router, {value: name for name, value in self.driver.wanted.kinds.items()}
-        found = {}
-        for node in [*router.group("parent"), *router.group("origin")]:
-            at = self.driver.servers.places.get(node.id)
-            name = at.name if at is not None else ""
-            count = self.node.counts.get(name) or self.node.counts.get(kinds.get(node.entry.kind, ""))
+        """Set the slots of the listed sources: what the operator's file gives by a source's name, else by its kind."""
+        router = self.driver.router
+        kinds = {value: name for name, value in self.driver.wanted.kinds.items()}
+        slots = {}
+        for source in [*router.group("parent"), *router.group("origin")]:
+            server = self.driver.servers.places.get(source.id)
+            name = server.name if server is not None else ""
+            count = self.node.counts.get(name) or self.node.counts.get(kinds.get(source.entry.kind, ""))
             if count:
-                found[node.id], self.names[node.id] = count, name
-        self.names = {source: name for source, name in self.names.items() if source in found}
-        if found != self.terms.places:
-            self.terms.places.clear()
-            self.terms.places.update(found)
+                slots[source.id] = count
+                self.source_names[source.id] = name
+        self.source_names = {source: name for source, name in self.source_names.items() if source in slots}
+        if slots != self.settings.slots:
+            self.settings.slots.clear()
+            self.settings.slots.update(slots)
 
     def on_identity_changed(self, name, life):
-        self._do(self.shares.renamed(name, life, time.monotonic_ns()))
+        """This front has another name or incarnation."""
+        self._perform(self.quotas.on_identity_changed(name, life, time.monotonic_ns()))
 
     def on_view_changed(self, view):
+        """Tell the coordinator who may lend, and whether this front may borrow or use its floors."""
         own = self.fleet.peer.members.own
-        lenders = [(name, row.life) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)]
-        lenders += [(own.name, own.life)] if view.allows_own(OwnAction.LEND) else []
-        self._do(
-            self.shares.viewed(
-                lenders,
-                view.allows_own(OwnAction.BORROW),
-                view.allows_own(OwnAction.FLOOR),
-                time.monotonic_ns(),
-            )
-        )
+        candidates = [
+            (name, row.life) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)
+        ]
+        if view.allows_own(OwnAction.LEND):
+            candidates.append((own.name, own.life))
+        may_borrow = view.allows_own(OwnAction.BORROW)
+        may_use_floors = view.allows_own(OwnAction.FLOOR)
+        now = time.monotonic_ns()
+        self._perform(self.quotas.on_view_changed(candidates, may_borrow, may_use_floors, now))
 
     def on_message(self, sender, data):
-        self._do(self.shares.heard(sender, unpacked(data, self.terms), time.monotonic_ns()))
+        """A message of another front; raises FrameError for one that can't be read."""
+        message = codec.decode(data, self.settings)
+        self._perform(self.quotas.on_message(sender, message, time.monotonic_ns()))
 
-    def _ages(self):
-        if not self.up:
-            return
-        router, now = self.driver.router, self.driver.clock()
-        warm, floor = router.settings.parent_warm_time, router.settings.parent_cold_share
-        self.shares.factors(
-            {
-                node.id: slots.cold(node.started and now - router.age(node, now), warm, floor, now)
-                for node in router.group("parent")
-            }
-        )
-        self.loop.call_later(FACTORS, self._ages)
+    def explain(self, given):
+        """Return the rows of `fleet why share`, of the tenants or sources given, or of all."""
+        now = time.monotonic_ns()
+        return quota_status(self.quotas, self.node.names, self.source_names, given, now)
 
-    # What the front says.
+    # Events of the front: the calls of the driver.
 
     def tenant(self, headers):
-        """Index of a client's tenant; whatever can't be one shares the common part."""
-        at, listed = tenant_of(headers.get(self.node.header_bytes), self.node.listed)
+        """Return the index of a client's tenant; clients that name no listed one belong to the common tenant."""
+        index, listed = tenant_of(headers.get(self.node.header_bytes), self.node.listed)
         if not listed:
             self.driver.book.count("tenants_unlisted")
-        return at
+        return index
 
     def waits(self, get, source, now):
-        """A slow GET: it has sent nothing for this, and is routed again once it has a place."""
-        token, at = Token(get, source), time.monotonic_ns()
-        self.tokens[get] = token
+        """A request needs a slot: it has sent nothing for this fill, and is routed again once it has one."""
+        wait = SlotWait(get, source)
+        self.waits_by_request[get] = wait
         self.driver.book.count("gets_slow")
-        self._do(self.shares.arrives(token, source, get.tenant, at + get.handle.deadline - now, at))
+        # The driver's clock and the fleet's differ: only durations are taken over.
+        monotonic = time.monotonic_ns()
+        deadline = monotonic + get.handle.deadline - now
+        self._perform(self.quotas.request_arrived(wait, source, get.tenant, deadline, monotonic))
 
     def sent(self, get, out, forward, now):
-        """A forward goes out: by the GET's place, if it is the fill that the place is for."""
-        token = self.tokens.get(get)
-        if (
-            token is not None
-            and token.has
-            and token.out is None
-            and forward.fill_source == token.source
-            and (not forward.only_if_cached)
-        ):
-            token.out, out.place = out, token
-            out.limit = min(out.limit, now + self.terms.longest)
+        """An attempt goes out: by the request's slot, if it is the fill that the slot is for."""
+        wait = self.waits_by_request.get(get)
+        if wait is None or not wait.has or wait.out is not None:
+            return
+        if forward.fill_source == wait.source and not forward.only_if_cached:
+            wait.out = out
+            out.place = wait
+            out.limit = min(out.limit, now + self.settings.fill_time_max)
 
     def ended(self, out, outcome, found, waited, now):
-        token = out.place
-        if token is None:
+        """An attempt ended; `found`: the server's cache status, `waited`: ns of the fill by its answer, or 0."""
+        wait = out.place
+        if wait is None:
             return
         out.place = None
-        if self.tokens.get(token.get) is token:
-            del self.tokens[token.get]
-        at = time.monotonic_ns()
-        if outcome in GOES_ON:
-            self.shares.lingers(token, at)
-            return self._arm()
-        if outcome.never_executed or found in HITS:
-            return self._do(self.shares.unused(token, at))
-        took = now - out.at
-        good = outcome is AttemptOutcome.RETURNED and took <= self.driver.router.latency_objective(
-            token.get.asked
-        )
-        self._do(self.shares.ended(token, waited or took, good, at))
+        if self.waits_by_request.get(wait.get) is wait:
+            del self.waits_by_request[wait.get]
+        monotonic = time.monotonic_ns()
+        if outcome in DETACHED_OUTCOMES:
+            self.quotas.fill_detached(wait, monotonic)
+            self._set_timer()
+        elif outcome.never_executed or found in CACHE_HITS:
+            self._perform(self.quotas.slot_unused(wait, monotonic))
+        else:
+            duration = now - out.at
+            on_time = outcome is AttemptOutcome.RETURNED and duration <= self.driver.router.latency_objective(
+                wait.get.asked
+            )
+            self._perform(self.quotas.fill_ended(wait, waited or duration, on_time, monotonic))
 
     def left(self, get):
-        """It is over, or its client left: it waits no more."""
-        token = self.tokens.pop(get, None)
-        if token is None:
+        """A request is over, or its client has left: it waits no more."""
+        wait = self.waits_by_request.pop(get, None)
+        if wait is None:
             return
-        if not token.has:
-            self.shares.left(token)
-        elif token.out is None:
-            self._do(self.shares.unused(token, time.monotonic_ns()))
+        if not wait.has:
+            self.quotas.request_cancelled(wait)
+        elif wait.out is None:
+            self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
 
-    # What is decided.
+    # Actions of the coordinator.
 
-    def _do(self, actions):
+    def _perform(self, actions):
         for action in actions:
             match action:
                 case Send(to, message):
                     self._send(to, message)
-                case Start(token, source):
-                    self._starts(token, source)
-                case GiveUp(token, _):
-                    if self.tokens.get(token.get) is token:
-                        del self.tokens[token.get]
-                    self.driver.book.count("gets_not_waited")
-                    now = self.driver.clock()
-                    self.driver.guarded(token.get, self._gives_up, token.get, now)
-                case Moved(steward):
-                    self.fleet.log("shares_steward", steward=steward)
-        self._arm()
-
-    def _gives_up(self, get, now):
+                case StartFill(wait, source):
+                    self._start_fill(wait, source)
+                case AbandonWait(wait, _):
+                    self._abandon(wait)
+                case LeaseHolderChanged(name):
+                    self.fleet.log("shares_steward", steward=name)
+        self._set_timer()
+
+    def _abandon(self, wait):
+        self._forget(wait)
+        self.driver.book.count("gets_not_waited")
+        now = self.driver.clock()
+        self.driver.guarded(wait.get, self._give_up, wait.get, now)
+
+    def _forget(self, wait):
+        if self.waits_by_request.get(wait.get) is wait:
+            del self.waits_by_request[wait.get]
+
+    def _give_up(self, get, now):
         self.driver.say(get, get.handle.give_up(now), now)
 
-    def _starts(self, token, source):
-        get, now = token.get, self.driver.clock()
-        if self.tokens.get(get) is not token or get.handle.finished:
-            return self._do(self.shares.unused(token, time.monotonic_ns()))
-        token.has, get.handle.slot_source = True, source
-        self.driver.guarded(get, self._routes, get, now)
-        if token.out is None:  # a sibling has it by now, or another source is to be asked
-            if self.tokens.get(get) is token:
-                del self.tokens[get]
-            self._do(self.shares.unused(token, time.monotonic_ns()))
-
-    def _routes(self, get, now):
-        decided = get.handle.route(now)
-        get.handle.slot_source = None  # for this forward alone
-        self.driver.say(get, decided, now)
+    def _start_fill(self, wait, source):
+        get = wait.get
+        now = self.driver.clock()
+        if self.waits_by_request.get(get) is not wait or get.handle.finished:
+            self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
+            return
+        wait.has = True
+        get.handle.slot_source = source
+        self.driver.guarded(get, self._route, get, now)
+        if wait.out is None:  # another cache has the object by now, or another source is to be asked
+            self._forget(wait)
+            self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
+
+    def _route(self, get, now):
+        actions = get.handle.route(now)
+        get.handle.slot_source = None  # for this attempt alone
+        self.driver.say(get, actions, now)
         self.driver.arm(now)
 
     def _send(self, to, message):
-        own = self.fleet.peer.members.own
-        if to == own.name:
-            self.loop.call_soon(self._own, message)
+        members = self.fleet.peer.members
+        if to == members.own.name:
+            self.loop.call_soon(self._on_own_message, message)
             return
-        member = self.fleet.peer.members.known.get(to)
+        member = members.known.get(to)
         if member is not None:
-            self.fleet.links.send(to, member.address, ComponentMessage(self.name, packed(message)), False)
+            frame = ComponentMessage(self.name, codec.encode(message))
+            self.fleet.links.send(to, member.address, frame, False)
 
-    def _own(self, message):
+    def _on_own_message(self, message):
         own = self.fleet.peer.members.own
-        self._do(self.shares.heard(own.name, message, time.monotonic_ns()))
+        self._perform(self.quotas.on_message(own.name, message, time.monotonic_ns()))
+
+    # Timers.
 
-    def _arm(self):
+    def _set_timer(self):
         if not self.up:
             return
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0, self.shares.next_due() - time.monotonic_ns()) / S
-        self.timer = self.loop.call_later(min(wait, 1.0), self._due)
+        wait = max(0, self.quotas.next_deadline() - time.monotonic_ns()) / SECOND
+        self.timer = self.loop.call_later(min(wait, TIMER_WAIT_MAX_S), self._on_timer)
 
-    def _due(self):
+    def _on_timer(self):
         try:
-            self._do(self.shares.due(time.monotonic_ns()))
-        except Exception as fault:  # without a next time all slow GETs would wait until their end
+            self._perform(self.quotas.on_timer(time.monotonic_ns()))
+        except (
+            Exception
+        ) as fault:  # without a next call all waiting requests would wait until their deadlines
             self.driver.fault(fault)
-            self.timer = self.loop.call_later(0.1, self._due)
-
-    # Questions.
+            self.timer = self.loop.call_later(RETRY_AFTER_FAULT_S, self._on_timer)
 
-    def explain(self, given):
-        now, queue, borrower = time.monotonic_ns(), self.shares.queue, self.shares.borrower
-        rows = []
-        for source, count in sorted(self.terms.places.items()):
-            lent, places_now = borrower.room(source, now)
-            tenants, using = queue.demand(source)
-            said = {t: (u, w) for t, u, w in tenants}
-            for tenant, name in enumerate(self.node.names):
-                if given and name not in given and self.names.get(source) not in given:
-                    continue
-                row = queue.sources.get(source)
-                rows.append(
-                    {
-                        "source": self.names.get(source, f"{source:x}"),
-                        "tenant": name,
-                        "weight": self.terms.tenants[tenant][0],
-                        "using": said.get(tenant, (0, 0))[0],
-                        "waiting": said.get(tenant, (0, 0))[1],
-                        "lent": lent.get(tenant, 0),
-                        "all_here": places_now,
-                        "used_here": using,
-                        "floor": self.terms.floor(self.shares.name, source),
-                        "places": count,
-                        "mean_ms": row.mean() // 1_000_000 if row else None,
-                        "fills": len(row.times) if row else 0,
-                        "steward": borrower.steward[0] or "none: its floor",
-                        "lease_ms": max(0, borrower.until - now) // 1_000_000,
-                    }
-                )
-        return rows
+    def _update_slow_start(self):
+        if not self.up:
+            return
+        router = self.driver.router
+        now = self.driver.clock()
+        warm_time = router.settings.parent_warm_time
+        initial_ratio = router.settings.parent_cold_share
+        ratios = {}
+        for source in router.group("parent"):
+            started = source.started and now - router.age(source, now)
+            ratios[source.id] = slow_start_ratio(started, warm_time, initial_ratio, now)
+        self.quotas.set_slow_start(ratios)
+        self.loop.call_later(SLOW_START_INTERVAL_S, self._update_slow_start)
--- a/sprucegate/fleet/quotas/coordinator.py
+++ b/sprucegate/fleet/quotas/coordinator.py
@@ -1,145 +1,215 @@
-"""The shares of one front as one: its queue, what it borrows, what it lends. No I/O: (event, now) in, actions out."""
+"""The quotas of one front as one state machine: its fair queue, what it borrows, what it lends, whom it follows."""
 
+from collections.abc import Hashable
 from zlib import crc32
 
-from sprucegate.fleet.quotas.borrower import NOBODY, Borrower
-from sprucegate.fleet.quotas.fair_queue import Queue
-from sprucegate.fleet.quotas.lease_holder import Steward
-from sprucegate.fleet.quotas.settings import AVOID, MERGE, MS, SILENT, Asks, Goes, Lent, Moved, Need, Send
-
-LATER = 1 << 62
-LOOK = 50 * MS  # between two looks at a queue that waits for leases
-
-
-class Shares:
-    def __init__(self, name, life, terms, now):
-        self.name, self.terms = name, terms
-        self.borrower, self.steward = Borrower(name, life, terms, now), Steward(life, terms, now)
-        self.queue = Queue(terms, self.borrower.room)
-        self.lenders, self.avoided, self.looked_at, self.merged_at = [], {}, now, now
-
-    # What happens. Each call gives what is to be done.
-
-    def viewed(self, lenders, borrows, floors, now):
-        """`lenders`: (name, life) of fronts that may be stewards by this front's view, itself among them."""
-        self.lenders, self.borrower.borrows, self.borrower.floors = sorted(lenders), borrows, floors
-        return self._chooses(now)
-
-    def arrives(self, token, source, tenant, due, now):
-        done = self.queue.arrives(token, source, tenant, due, now)
-        if token in self.queue.waits:
-            self.borrower.wants(now)
-        return done
-
-    def left(self, token):
-        self.queue.left(token)
-
-    def lingers(self, token, now):
-        self.queue.lingers(token, now)
+from sprucegate.fleet.quotas.actions import Action, LeaseHolderChanged, Send
+from sprucegate.fleet.quotas.borrower import Borrower
+from sprucegate.fleet.quotas.fair_queue import FairQueue
+from sprucegate.fleet.quotas.lease_holder import LeaseHolder
+from sprucegate.fleet.quotas.messages import (
+    NO_LEASE_HOLDER,
+    LeaseGrant,
+    LeaseHolderId,
+    LeaseHolderNotice,
+    LeaseHolderQuery,
+    Message,
+    QuotaRequest,
+)
+from sprucegate.fleet.quotas.settings import QuotaSettings
+from sprucegate.units import MILLISECOND, SECOND
+
+NEVER = 1 << 62
+QUEUE_CHECK_INTERVAL = 50 * MILLISECOND  # between two looks at a queue that waits for leases
+UNANSWERED_REQUESTS_MAX = 3  # in a row: then the lease holder is avoided
+AVOIDED_DURATION = 3 * SECOND
+QUERY_INTERVAL = SECOND  # between two queries of a lease holder to fronts that don't follow it
+
+
+class QuotaCoordinator:
+    """Each call takes an event and the time, and returns the actions that it asks for.
+
+    :ivar candidates: fronts that may be lease holders by this front's membership view, itself among them.
+    :ivar avoided: {lease holder that didn't answer: until when it is passed over}.
+    """
+
+    def __init__(self, name: str, incarnation: int, settings: QuotaSettings, now: int) -> None:
+        self.name = name
+        self.settings = settings
+        self.borrower = Borrower(name, incarnation, settings, now)
+        self.lease_holder = LeaseHolder(incarnation, settings, now)
+        self.queue = FairQueue(settings, self.borrower.available_slots)
+        self.candidates: list[LeaseHolderId] = []
+        self.avoided: dict[LeaseHolderId, int] = {}
+        self.checked_at = now
+        self.queried_at = now
+
+    def on_view_changed(
+        self, candidates: list[LeaseHolderId], may_borrow: bool, may_use_floors: bool, now: int
+    ) -> list[Action]:
+        """A new membership view: who may be the lease holder, and whether this front may use grants and its floors."""
+        self.candidates = sorted(LeaseHolderId(*one) for one in candidates)
+        self.borrower.may_borrow = may_borrow
+        self.borrower.may_use_floors = may_use_floors
+        return self._choose_lease_holder(now)
+
+    def on_identity_changed(self, name: str, incarnation: int, now: int) -> list[Action]:
+        """This front is another incarnation, or has another name: nothing that was lent holds for it.
+
+        Fills that were started go on; under the new name nobody counts them.
+        """
+        former = self.borrower
+        self.name = name
+        self.borrower = Borrower(name, incarnation, self.settings, now)
+        self.lease_holder = LeaseHolder(incarnation, self.settings, now)
+        self.borrower.slow_start = former.slow_start
+        self.borrower.may_borrow = former.may_borrow
+        self.borrower.may_use_floors = former.may_use_floors
+        self.borrower.epoch = former.epoch + 1
+        self.queue.available_slots = self.borrower.available_slots
+        return self._choose_lease_holder(now)
+
+    def set_slow_start(self, ratios: dict[int, float]) -> None:
+        """Set {source: part of its slots that it has now, after a cold start}."""
+        self.lease_holder.slow_start = ratios
+        self.borrower.slow_start = ratios
+
+    def request_arrived(
+        self, token: Hashable, source: int, tenant: int, deadline: int, now: int
+    ) -> list[Action]:
+        """A request needs a fill at a source, see `FairQueue.request_arrived`."""
+        actions = self.queue.request_arrived(token, source, tenant, deadline, now)
+        if token in self.queue.waiting:
+            self.borrower.demand_changed(now)
+        return actions
+
+    def request_cancelled(self, token: Hashable) -> None:
+        """The client of a waiting request has left."""
+        self.queue.request_cancelled(token)
+
+    def fill_detached(self, token: Hashable, now: int) -> None:
+        """Nobody waits for a fill here any more; it may go on at the source."""
+        self.queue.fill_detached(token, now)
+
+    def slot_unused(self, token: Hashable, now: int) -> list[Action]:
+        """A started request needed no fill."""
+        return self.queue.slot_unused(token, now)
+
+    def fill_ended(self, token: Hashable, duration: int, on_time: bool, now: int) -> list[Action]:
+        """A fill ended after `duration` ns; its slot may be lent on at once."""
+        actions = self.queue.fill_ended(token, duration, on_time, now)
+        self.borrower.demand_changed(now)
+        return actions
+
+    def on_message(self, sender: str, message: Message, now: int) -> list[Action]:
+        """A message of another front, or of this one to itself."""
+        match message:
+            case QuotaRequest():
+                return self._on_request(sender, message, now)
+            case LeaseHolderQuery():
+                return self._on_query(sender, message, now)
+            case LeaseHolderNotice(name, incarnation, followers):
+                return self._on_other_lease_holder(sender, LeaseHolderId(name, incarnation), followers, now)
+            case LeaseGrant():
+                return self.queue.on_timer(now) if self.borrower.on_grant(sender, message, now) else []
+
+    def _on_request(self, sender: str, message: QuotaRequest, now: int) -> list[Action]:
+        followed = self.borrower.lease_holder
+        if followed not in (self._own_id(), NO_LEASE_HOLDER) and sender != self.name:
+            return [Send(sender, LeaseHolderNotice(*followed, 0))]
+        if self._own_id() not in self.candidates:
+            return []
+        return [*self.lease_holder.on_request(sender, message, now)]
 
-    def unused(self, token, now):
-        return self.queue.unused(token, now)
+    def _on_query(self, sender: str, message: LeaseHolderQuery, now: int) -> list[Action]:
+        followed = self.borrower.lease_holder
+        if followed == NO_LEASE_HOLDER:
+            return []
+        followers = self.lease_holder.follower_count(now) if followed == self._own_id() else 0
+        notice = Send(sender, LeaseHolderNotice(*followed, followers))
+        sender_id = LeaseHolderId(sender, message.incarnation)
+        return [notice, *self._on_other_lease_holder(sender, sender_id, message.followers, now)]
 
-    def ended(self, token, took, good, now):
-        done = self.queue.ended(token, took, good, now)
-        self.borrower.wants(now)  # its place may be lent on at once
-        return done
+    def _on_other_lease_holder(
+        self, sender: str, other: LeaseHolderId, followers: int, now: int
+    ) -> list[Action]:
+        """The sender follows `other`: of two lease holders side by side the one with fewer followers gives way.
 
-    def heard(self, sender, message, now):
-        if isinstance(message, Need):
-            if self.borrower.steward not in (self._own(), NOBODY) and sender != self.name:
-                return [Send(sender, Goes(*self.borrower.steward, 0))]
-            return self.steward.heard(sender, message, now) if self._own() in self.lenders else []
-        if isinstance(message, Asks):
-            if self.borrower.steward == NOBODY:
-                return []
-            size = self.steward.size(now) if self.borrower.steward == self._own() else 0
-            said = [Send(sender, Goes(*self.borrower.steward, size))]
-            return said + self._told(sender, (sender, message.life), message.size, now)
-        if isinstance(message, Goes):
-            return self._told(sender, (message.name, message.life), message.size, now)
-        if isinstance(message, Lent) and self.borrower.heard(sender, message, now):
-            return self.queue.due(now)
-        return []
-
-    def _told(self, sender, steward, size, now):
-        """Whom another front goes by. Of two that lend side by side the one with fewer fronts gives way: what they
-        leave behind is what is not lent for a while."""
-        own = self.borrower.steward
-        if steward == own or steward not in self._able():
+        Fewer, as the floors of fronts that change can't be lent for a while.
+        """
+        followed = self.borrower.lease_holder
+        if other == followed or other not in self._available():
             return []
-        if sender != own[0]:  # else the one asked goes by another itself, and so does this front
-            if own != self._own():
+        if (
+            sender != followed.name
+        ):  # else the one that was asked follows another itself, and so does this front
+            if followed != self._own_id():
                 return []
-            if not size and sender != steward[0]:  # by hearsay: that one is asked itself
-                return [Send(steward[0], Asks(own[1], self.steward.size(now)))]
-            if (-size, _order(steward)) > (-self.steward.size(now), _order(own)):
+            own_followers = self.lease_holder.follower_count(now)
+            if not followers and sender != other.name:  # by hearsay: that one is asked itself
+                return [Send(other.name, LeaseHolderQuery(followed.incarnation, own_followers))]
+            if (-followers, _hash_order(other)) > (-own_followers, _hash_order(followed)):
                 return []
-        self.borrower.moves(steward, now)
-        return [Moved(steward[0])]
-
-    def _own(self):
-        return self.name, self.borrower.life
-
-    def _able(self):
-        return [one for one in self.lenders if one not in self.avoided]
-
-    def renamed(self, name, life, now):
-        """Another process of this front's name, or another life of it: nothing that was lent holds for it."""
-        factor, borrows, floors = self.borrower.factor, self.borrower.borrows, self.borrower.floors
-        turn = self.borrower.turn
-        self.name = name
-        # What was started goes on; what was lent by a former name is counted by nobody under this one.
-        self.borrower, self.steward = Borrower(name, life, self.terms, now), Steward(life, self.terms, now)
-        self.borrower.factor, self.borrower.borrows, self.borrower.floors = factor, borrows, floors
-        self.borrower.turn, self.queue.room = turn + 1, self.borrower.room
-        return self._chooses(now)
-
-    def factors(self, factor):
-        """{source: part of its places that it bears now, as it has just started}."""
-        self.steward.factor = self.borrower.factor = factor
-
-    # What is due.
-
-    def next_due(self):
-        waits = self.queue.next_due()
-        look = self.looked_at + LOOK if waits is not None else LATER
-        ask = self.borrower.next_due() if self.borrower.steward != NOBODY else LATER
-        return min(ask, look, LATER if waits is None else waits, *self.avoided.values(), LATER)
-
-    def due(self, now):
-        self.looked_at = now
-        done = []
-        if self.borrower.unanswered >= SILENT and self.borrower.steward[0] != self.name:
-            # It stands still, or is cut off from here, and nobody has said so yet.
-            self.avoided[self.borrower.steward] = now + AVOID
+        return self._follow(other, now)
+
+    def _follow(self, lease_holder: LeaseHolderId, now: int) -> list[Action]:
+        self.borrower.follow(lease_holder, now)
+        return [LeaseHolderChanged(lease_holder.name)]
+
+    def _own_id(self) -> LeaseHolderId:
+        return LeaseHolderId(self.name, self.borrower.incarnation)
+
+    def _available(self) -> list[LeaseHolderId]:
+        return [one for one in self.candidates if one not in self.avoided]
+
+    def next_deadline(self) -> int:
+        """Return when `on_timer` is to be called."""
+        times = [NEVER, *self.avoided.values()]
+        queue_deadline = self.queue.next_deadline()
+        if queue_deadline is not None:
+            times += [queue_deadline, self.checked_at + QUEUE_CHECK_INTERVAL]
+        if self.borrower.lease_holder != NO_LEASE_HOLDER:
+            times.append(self.borrower.next_deadline())
+        return min(times)
+
+    def on_timer(self, now: int) -> list[Action]:
+        """Avoid a silent lease holder, choose one, serve the queue, and send the next request."""
+        self.checked_at = now
+        followed = self.borrower.lease_holder
+        if self.borrower.unanswered >= UNANSWERED_REQUESTS_MAX and followed.name != self.name:
+            # It is suspended or disconnected, and no view has said so yet.
+            self.avoided[followed] = now + AVOIDED_DURATION
         self.avoided = {one: until for one, until in self.avoided.items() if now < until}
-        done += self._chooses(now)
-        done += self.queue.due(now)
-        return done + self.borrower.due(self.queue.demand, self.queue.told, now)
+        actions = self._choose_lease_holder(now)
+        actions += self.queue.on_timer(now)
+        actions += self.borrower.on_timer(self.queue.demand, self.queue.take_fill_counts, now)
+        return actions
 
-    def _chooses(self, now):
-        """The steward: the one that there is, else by hash among those that may be, one at all whose views agree.
+    def _choose_lease_holder(self, now: int) -> list[Action]:
+        """Keep the lease holder while it is available, else take the first by hash, which is one where views agree.
 
-        One that returns does not become it again: each change leaves places idle until what the former lent is over.
+        The first by hash does not become it again when it returns: each change leaves slots idle until what the former
+        lent has expired.
         """
-        able = self._able()
-        if self.borrower.steward in able:
-            if self.borrower.steward == self._own() and now - self.merged_at >= MERGE:
-                self.merged_at = now
-                others = [one for one in able if one != self._own() and not self.steward.hears(*one, now)]
-                return (
-                    [Send(min(others, key=_order)[0], Asks(self.borrower.life, self.steward.size(now)))]
-                    if others
-                    else []
-                )
+        available = self._available()
+        followed = self.borrower.lease_holder
+        if followed in available:
+            if followed == self._own_id() and now - self.queried_at >= QUERY_INTERVAL:
+                self.queried_at = now
+                return self._query_other_fronts(available, now)
             return []
-        steward = min(able, key=_order, default=NOBODY)
-        if steward == self.borrower.steward:
+        chosen = min(available, key=_hash_order, default=NO_LEASE_HOLDER)
+        return [] if chosen == followed else self._follow(chosen, now)
+
+    def _query_other_fronts(self, available: list[LeaseHolderId], now: int) -> list[Action]:
+        """Ask the first front by hash that doesn't follow this lease holder which one it follows."""
+        own = self._own_id()
+        others = [one for one in available if one != own and not self.lease_holder.is_followed_by(one, now)]
+        if not others:
             return []
-        self.borrower.moves(steward, now)
-        return [Moved(steward[0])]
+        query = LeaseHolderQuery(own.incarnation, self.lease_holder.follower_count(now))
+        return [Send(min(others, key=_hash_order).name, query)]
 
 
-def _order(one):
-    return crc32(one[0].encode()), one
+def _hash_order(lease_holder: LeaseHolderId) -> tuple[int, LeaseHolderId]:
+    return crc32(lease_holder.name.encode()), lease_holder
--- a/sprucegate/fleet/quotas/fair_queue.py
+++ b/sprucegate/fleet/quotas/fair_queue.py
@@ -1,228 +1,294 @@
-"""Slow GETs in one front: whose fill starts next, who waits, who is answered at once. No I/O, no clock.
+"""Requests of one front that wait for slots: whose fill starts next, who waits, who is answered at once.
 
-Start-time fair queueing with several served at a time, SFQ(D): Goyal, Vin, Cheng, "Start-time Fair Queueing", 1996;
-Jin, Chase, Kaur, "Interposed Proportional Sharing", SIGMETRICS 2004. A GET is charged the source's mean fill when it
-starts, by its tenant's weight, and settled by what its fill took when it ends. Deficit round robin (Shreedhar and
-Varghese, 1995) was not taken: it charges when a turn is over, and a turn of one long fill is long.
-
-(event, now) in, actions out; times in ns. Places are asked for at each decision: `room(source, now)` gives
-({tenant: places lent to it}, places in all).
+Start-time fair queueing with several fills served at a time, SFQ(D): Goyal, Vin, Cheng, "Start-time Fair Queueing",
+1996; Jin, Chase, Kaur, "Interposed Proportional Sharing", SIGMETRICS 2004. A request is charged the source's mean fill
+time when it starts, by its tenant's weight, and what its fill took differently when it ends.
 """
 
 import heapq
 from collections import deque
+from collections.abc import Callable, Hashable, Mapping
 from itertools import count
+from typing import NamedTuple
 
-from sprucegate.fleet.quotas.settings import COMMON, MS, GiveUp, Start
+from sprucegate.fleet.quotas.actions import AbandonWait, Action, StartFill
+from sprucegate.fleet.quotas.messages import TenantDemand
+from sprucegate.fleet.quotas.settings import COMMON_TENANT, QuotaSettings
+from sprucegate.units import MILLISECOND
 
-SAMPLES = 64  # last fills of a source that its mean is taken of
-USUAL = 100 * MS  # charged before any was seen
-LEAN = 4  # samples that it counts for
-DEBT = 8  # fills of the mean: what a tenant owes, or is owed, by settling at the most
-SOURCES_MOST = 1000
+MEAN_SAMPLES_MAX = 64  # latest fills of a source that its mean is taken of
+INITIAL_FILL_TIME = 100 * MILLISECOND  # assumed before any fill has ended
+INITIAL_FILL_SAMPLES = 4  # samples that the assumption counts for
+CORRECTION_MEANS_MAX = 8  # bound of one fill's correction, in mean fills
+SOURCES_MAX = 1000
+STALE_DEADLINES_MAX = 1000  # of requests that no longer wait, beside twice those that do
+TENANT_HEADER_BYTES_MAX = 200
 
 
-class Waiting:
-    __slots__ = ("token", "tenant", "source", "due", "open")
+class AvailableSlots(NamedTuple):
+    """Slots of one source at one instant: those lent to tenants, and how many there are in all."""
 
-    def __init__(self, token, tenant, source, due):
-        self.token, self.tenant, self.source, self.due, self.open = token, tenant, source, due, True
+    by_tenant: Mapping[int, int]
+    total: int
 
 
-class Filling:
-    __slots__ = ("tenant", "source", "since", "charged")
+class SourceState(NamedTuple):
+    """Demand at one source: tenants that have any, and all running fills."""
 
-    def __init__(self, tenant, source, since, charged):
-        self.tenant, self.source, self.since, self.charged = tenant, source, since, charged
+    tenants: list[TenantDemand]
+    using: int
 
 
-class Source:
-    def __init__(self):
-        self.using, self.waiting, self.tags = {}, {}, {}  # by tenant: open fills; GETs; finish tags
-        self.virtual, self.times = 0, deque(maxlen=SAMPLES)
-        self.ended = self.late = 0  # fills since they were last told to the steward
+class WaitingRequest:
+    """A request in the queue; `open` until it starts, is answered or is cancelled. `deadline`: its client's, ns."""
 
-    def mean(self):
-        # Few samples lean on the usual: by a first one of 10 ms all that waited were answered 10 ms before their end.
-        return (sum(self.times) + LEAN * USUAL) // (len(self.times) + LEAN)
+    __slots__ = ("deadline", "open", "source", "tenant", "token")
 
-    def backlogged(self):
-        return [tenant for tenant, queue in self.waiting.items() if queue]
+    def __init__(self, token: Hashable, tenant: int, source: int, deadline: int) -> None:
+        self.token = token
+        self.tenant = tenant
+        self.source = source
+        self.deadline = deadline
+        self.open = True
 
 
-class Queue:
-    def __init__(self, terms, room):
-        self.terms, self.room = terms, room
-        self.sources, self.waits, self.filling = {}, {}, {}  # by source; by token
-        self.ends, self.order = [], count()  # (latest start, order, Waiting)
-        self.lingering = []  # (until, order, token) of fills that may go on at the source
+class RunningFill:
+    """A fill that has a slot since `since`; `charged`: ns of slot time that its tenant was charged at the start."""
 
-    # Asked.
+    __slots__ = ("charged", "since", "source", "tenant")
 
-    def next_due(self):
-        while self.ends and not self.ends[0][2].open:
-            heapq.heappop(self.ends)
-        times = [heap[0][0] for heap in (self.ends, self.lingering) if heap]
-        return min(times, default=None)
+    def __init__(self, tenant: int, source: int, since: int, charged: int) -> None:
+        self.tenant = tenant
+        self.source = source
+        self.since = since
+        self.charged = charged
 
-    def demand(self, source):
-        """([tenant, using, waiting] of each that has any, open fills)."""
-        one = self.sources.get(source)
-        if one is None:
-            return [], 0
-        tenants = sorted(one.using.keys() | one.waiting.keys())
-        rows = [[t, one.using.get(t, 0), len(one.waiting.get(t, ()))] for t in tenants]
-        return [row for row in rows if row[1] or row[2]], sum(one.using.values())
-
-    # What happens.
-
-    def arrives(self, token, source, tenant, due, now):
-        """A GET that needs a fill there; `due`: when its client has to have it."""
-        one = self._source(source)
-        if one is None:
-            return [GiveUp(token, source)]
-        waiting = Waiting(token, tenant, source, due)
-        queue = one.waiting.setdefault(tenant, deque())
-        lent, places = self.room(source, now)
-        ahead = len(queue)
-        if self._idle(one, places) and not one.backlogged():
-            return self._starts(one, waiting, now)
-        # In its own tenant's queue, at what that tenant may have at once: what can't be in time is answered now.
-        part = self._part(one, tenant, lent, places)
-        wait = (ahead + 1) * one.mean() // part if part else 0
-        if ahead >= self.terms.waiting or now + wait + one.mean() > due:
-            return [GiveUp(token, source)]
-        queue.append(waiting)
-        self.waits[token] = waiting
-        if len(self.ends) > 1000 + 2 * len(
-            self.waits
-        ):  # those that have started stand there until their time
-            self.ends = [end for end in self.ends if end[2].open]
-            heapq.heapify(self.ends)
-        heapq.heappush(self.ends, (due - one.mean(), next(self.order), waiting))
-        return self._dispatch(source, one, now)
-
-    def left(self, token):
-        """Its client went while it waited."""
-        if (waiting := self.waits.pop(token, None)) is not None:
-            waiting.open = False
-            self._drop(waiting)
 
-    def unused(self, token, now):
-        """It went another way after all: its place is free, and nothing is charged."""
-        return self.ended(token, 0, None, now)
+class SourceQueue:
+    """The queues, running fills and SFQ tags of one source, each by tenant."""
 
-    def lingers(self, token, now):
-        """Nobody waits for it here any more, and it may go on at the source: its place is taken until it can't."""
-        if (was := self.filling.get(token)) is not None:
-            heapq.heappush(
-                self.lingering, (max(now, was.since + self.terms.longest), next(self.order), token)
-            )
+    def __init__(self) -> None:
+        self.using: dict[int, int] = {}
+        self.waiting: dict[int, deque[WaitingRequest]] = {}
+        self.finish_tags: dict[int, float] = {}
+        self.virtual_time: float = 0
+        self.fill_times: deque[int] = deque(maxlen=MEAN_SAMPLES_MAX)
+        self.ended = 0  # fills since they were last reported to the lease holder
+        self.late = 0
 
-    def ended(self, token, took, good, now):
-        """Its fill took that long (0: there was none); `good`: it came in time, None: nothing is known by it."""
-        if (was := self.filling.pop(token, None)) is None:
-            return []
-        one, weight = self.sources[was.source], self.terms.tenants[was.tenant][0]
-        one.using[was.tenant] -= 1
-        if good is not None:
-            one.times.append(took)
-            one.ended += 1
-            one.late += not good
-        most = DEBT * one.mean()
-        one.tags[was.tenant] += max(-most, min(most, took - was.charged)) / weight
-        if not one.using[was.tenant]:
-            del one.using[was.tenant]
-        return self._dispatch(was.source, one, now)
-
-    def due(self, now):
-        """Whoever can't be in time any more is answered; whoever may start by now does."""
-        done = []
-        while self.lingering and self.lingering[0][0] <= now:
-            token = heapq.heappop(self.lingering)[2]
-            if token in self.filling:
-                done += self.ended(token, now - self.filling[token].since, None, now)
-        while self.ends and (self.ends[0][0] <= now or not self.ends[0][2].open):
-            waiting = heapq.heappop(self.ends)[2]
-            if waiting.open:
-                waiting.open = False
-                del self.waits[waiting.token]
-                self._drop(waiting)
-                done.append(GiveUp(waiting.token, waiting.source))
-        for source, one in self.sources.items():
-            if one.backlogged():
-                done += self._dispatch(source, one, now)
-        return done
-
-    def told(self, source):
-        """(fills that ended, of these late) since the last call."""
-        one = self.sources.get(source)
-        if one is None:
-            return 0, 0
-        said, one.ended, one.late = (one.ended, one.late), 0, 0
-        return said
+    def mean_fill_time(self) -> int:
+        """Return the mean of the latest fills (ns); few samples are weighed with INITIAL_FILL_TIME."""
+        total = sum(self.fill_times) + INITIAL_FILL_SAMPLES * INITIAL_FILL_TIME
+        return total // (len(self.fill_times) + INITIAL_FILL_SAMPLES)
+
+    def backlogged(self) -> list[int]:
+        """Return the tenants that have waiting requests."""
+        return [tenant for tenant, queue in self.waiting.items() if queue]
 
-    # How.
+    def start_tag(self, tenant: int) -> float:
+        """Return the tenant's SFQ start tag: one that was idle starts at the present virtual time, with no credit."""
+        return max(self.virtual_time, self.finish_tags.get(tenant, 0))
 
-    def _source(self, source):
-        if source not in self.sources and len(self.sources) >= SOURCES_MOST:
+    def has_free_slot(self, total: int) -> bool:
+        """Whether fewer than `total` fills run."""
+        return sum(self.using.values()) < total
+
+    def remove(self, waiting: WaitingRequest) -> None:
+        """Take a request out of its queue."""
+        queue = self.waiting[waiting.tenant]
+        queue.remove(waiting)
+        if not queue:
+            del self.waiting[waiting.tenant]
+
+
+class FairQueue:
+    """All waiting requests and running fills of one front.
+
+    `available_slots(source, now)` is asked at each decision, so that nothing starts by a lease that is over.
+    """
+
+    def __init__(
+        self, settings: QuotaSettings, available_slots: Callable[[int, int], AvailableSlots]
+    ) -> None:
+        self.settings = settings
+        self.available_slots = available_slots
+        self.sources: dict[int, SourceQueue] = {}
+        self.waiting: dict[Hashable, WaitingRequest] = {}
+        self.running: dict[Hashable, RunningFill] = {}
+        self.deadlines: list[tuple[int, int, WaitingRequest]] = []  # heap of (latest start, order, request)
+        self.detached: list[tuple[int, int, Hashable]] = []  # heap of (time of release, order, token)
+        self.order = count()
+
+    def next_deadline(self) -> int | None:
+        """Return when `on_timer` is to be called, or None."""
+        while self.deadlines and not self.deadlines[0][2].open:
+            heapq.heappop(self.deadlines)
+        times = [self.deadlines[0][0]] if self.deadlines else []
+        if self.detached:
+            times.append(self.detached[0][0])
+        return min(times, default=None)
+
+    def demand(self, source: int) -> SourceState:
+        """Return the demand at a source."""
+        queue = self.sources.get(source)
+        if queue is None:
+            return SourceState([], 0)
+        tenants = sorted(queue.using.keys() | queue.waiting.keys())
+        rows = [TenantDemand(t, queue.using.get(t, 0), len(queue.waiting.get(t, ()))) for t in tenants]
+        return SourceState([row for row in rows if row.using or row.waiting], sum(queue.using.values()))
+
+    def take_fill_counts(self, source: int) -> tuple[int, int]:
+        """Return (fills that ended, those of them that were late) since the last call."""
+        queue = self.sources.get(source)
+        if queue is None:
+            return 0, 0
+        counts = queue.ended, queue.late
+        queue.ended = 0
+        queue.late = 0
+        return counts
+
+    def request_arrived(
+        self, token: Hashable, source: int, tenant: int, deadline: int, now: int
+    ) -> list[Action]:
+        """A request needs a fill at a source before `deadline`: start it, let it wait, or abandon it at once."""
+        queue = self._source_queue(source)
+        if queue is None:
+            return [AbandonWait(token, source)]
+        waiting = WaitingRequest(token, tenant, source, deadline)
+        tenant_queue = queue.waiting.setdefault(tenant, deque())
+        slots = self.available_slots(source, now)
+        ahead = len(tenant_queue)
+        if queue.has_free_slot(slots.total) and not queue.backlogged():
+            return self._start(queue, waiting, now)
+        wait = self._expected_wait(queue, tenant, ahead, slots)
+        if ahead >= self.settings.waiting_max or now + wait + queue.mean_fill_time() > deadline:
+            return [AbandonWait(token, source)]
+        tenant_queue.append(waiting)
+        self.waiting[token] = waiting
+        self._drop_stale_deadlines()
+        heapq.heappush(self.deadlines, (deadline - queue.mean_fill_time(), next(self.order), waiting))
+        return self._dispatch(source, queue, now)
+
+    def request_cancelled(self, token: Hashable) -> None:
+        """The client of a waiting request has left."""
+        waiting = self.waiting.pop(token, None)
+        if waiting is not None:
+            waiting.open = False
+            self.sources[waiting.source].remove(waiting)
+
+    def slot_unused(self, token: Hashable, now: int) -> list[Action]:
+        """A started request needed no fill: its slot is free, and its tenant's charge is returned."""
+        return self.fill_ended(token, 0, None, now)
+
+    def fill_detached(self, token: Hashable, now: int) -> None:
+        """Nobody waits for the fill here, but it may go on at the source: its slot is kept for the longest fill."""
+        fill = self.running.get(token)
+        if fill is not None:
+            released = max(now, fill.since + self.settings.fill_time_max)
+            heapq.heappush(self.detached, (released, next(self.order), token))
+
+    def fill_ended(self, token: Hashable, duration: int, on_time: bool | None, now: int) -> list[Action]:
+        """A fill ended after `duration` ns (0: there was none); `on_time` None: it tells nothing of the source."""
+        fill = self.running.pop(token, None)
+        if fill is None:
+            return []
+        queue = self.sources[fill.source]
+        weight = self.settings.tenants[fill.tenant].weight
+        queue.using[fill.tenant] -= 1
+        if on_time is not None:
+            queue.fill_times.append(duration)
+            queue.ended += 1
+            queue.late += not on_time
+        bound = CORRECTION_MEANS_MAX * queue.mean_fill_time()
+        queue.finish_tags[fill.tenant] += max(-bound, min(bound, duration - fill.charged)) / weight
+        if not queue.using[fill.tenant]:
+            del queue.using[fill.tenant]
+        return self._dispatch(fill.source, queue, now)
+
+    def on_timer(self, now: int) -> list[Action]:
+        """Release detached fills, abandon requests that can't be filled in time, start those that may start now."""
+        actions = self._release_detached(now)
+        while self.deadlines and (self.deadlines[0][0] <= now or not self.deadlines[0][2].open):
+            waiting = heapq.heappop(self.deadlines)[2]
+            if waiting.open:
+                self._take_out(waiting)
+                actions.append(AbandonWait(waiting.token, waiting.source))
+        for source, queue in self.sources.items():
+            if queue.backlogged():
+                actions += self._dispatch(source, queue, now)
+        return actions
+
+    def _release_detached(self, now: int) -> list[Action]:
+        actions: list[Action] = []
+        while self.detached and self.detached[0][0] <= now:
+            token = heapq.heappop(self.detached)[2]
+            if token in self.running:
+                actions += self.fill_ended(token, now - self.running[token].since, None, now)
+        return actions
+
+    def _drop_stale_deadlines(self) -> None:
+        if len(self.deadlines) > STALE_DEADLINES_MAX + 2 * len(self.waiting):
+            self.deadlines = [entry for entry in self.deadlines if entry[2].open]
+            heapq.heapify(self.deadlines)
+
+    def _source_queue(self, source: int) -> SourceQueue | None:
+        """Return the source's queue; None where there are SOURCES_MAX busy ones."""
+        if source not in self.sources and len(self.sources) >= SOURCES_MAX:
             idle = next(
-                (at for at, one in self.sources.items() if not one.using and not one.backlogged()), None
+                (one for one, queue in self.sources.items() if not queue.using and not queue.backlogged()),
+                None,
             )
             if idle is None:
                 return None
             del self.sources[idle]
-        return self.sources.setdefault(source, Source())
-
-    @staticmethod
-    def _idle(one, places):
-        return sum(one.using.values()) < places
-
-    def _part(self, one, tenant, lent, places):
-        """Places that a tenant may have at once while all that wait now go on waiting."""
-        weights = {t: self.terms.tenants[t][0] for t in {*one.backlogged(), *one.using, tenant}}
-        return max(lent.get(tenant, 0), places * weights[tenant] / sum(weights.values()))
-
-    def _drop(self, waiting):
-        queue = self.sources[waiting.source].waiting[waiting.tenant]
-        queue.remove(waiting)
-        if not queue:
-            del self.sources[waiting.source].waiting[waiting.tenant]
-
-    def _dispatch(self, source, one, now):
-        """Each free place to the tenant that has had least of what it may have by its weight."""
-        done = []
-        while backlogged := one.backlogged():
-            lent, places = self.room(source, now)
-            if not self._idle(one, places):
+        return self.sources.setdefault(source, SourceQueue())
+
+    def _expected_wait(self, queue: SourceQueue, tenant: int, ahead: int, slots: AvailableSlots) -> float:
+        """Return the wait (ns) behind `ahead` requests of the tenant, while all other tenants go on waiting.
+
+        The tenant then has the slots of its lease, or its part by weight of all slots.
+        """
+        contenders = {*queue.backlogged(), *queue.using, tenant}
+        weights = {one: self.settings.tenants[one].weight for one in contenders}
+        part = max(slots.by_tenant.get(tenant, 0), slots.total * weights[tenant] / sum(weights.values()))
+        return (ahead + 1) * queue.mean_fill_time() // part if part else 0
+
+    def _take_out(self, waiting: WaitingRequest) -> None:
+        waiting.open = False
+        del self.waiting[waiting.token]
+        self.sources[waiting.source].remove(waiting)
+
+    def _dispatch(self, source: int, queue: SourceQueue, now: int) -> list[Action]:
+        """Give each free slot to the backlogged tenant with the smallest start tag."""
+        actions: list[Action] = []
+        while backlogged := queue.backlogged():
+            slots = self.available_slots(source, now)
+            if not queue.has_free_slot(slots.total):
                 break
-            # What the steward lent to a tenant goes before what it lent to nobody: that was weighed over all fronts.
-            own = [t for t in backlogged if one.using.get(t, 0) < lent.get(t, 0)]
-            tenant = min(own or backlogged, key=lambda t: (self._tag(one, t), t))
-            waiting = one.waiting[tenant][0]
-            self._drop(waiting)
-            waiting.open = False
-            del self.waits[waiting.token]
-            done += self._starts(one, waiting, now)
-        return done
-
-    @staticmethod
-    def _tag(one, tenant):
-        """A start tag: one that was idle begins at the present, so that it has saved nothing up."""
-        return max(one.virtual, one.tags.get(tenant, 0))
-
-    def _starts(self, one, waiting, now):
-        tenant, charge = waiting.tenant, one.mean()
-        one.virtual = self._tag(one, tenant)
-        one.tags[tenant] = one.virtual + charge / self.terms.tenants[tenant][0]
-        one.using[tenant] = one.using.get(tenant, 0) + 1
-        self.filling[waiting.token] = Filling(tenant, waiting.source, now, charge)
-        return [Start(waiting.token, waiting.source)]
-
-
-def tenant_of(said, listed):
-    """(index, whether it was a listed one) of what a client's header says: never a key of any table but by the list."""
-    if said is None or not 0 < len(said) <= 200:
-        return COMMON, False
-    at = listed.get(bytes(said).strip())
-    return (COMMON, False) if at is None else (at, True)
+            # A tenant's own lease goes before spare slots: the lease holder weighed it over all fronts.
+            leased = [t for t in backlogged if queue.using.get(t, 0) < slots.by_tenant.get(t, 0)]
+            tenant = min(leased or backlogged, key=lambda t: (queue.start_tag(t), t))
+            waiting = queue.waiting[tenant][0]
+            self._take_out(waiting)
+            actions += self._start(queue, waiting, now)
+        return actions
+
+    def _start(self, queue: SourceQueue, waiting: WaitingRequest, now: int) -> list[Action]:
+        tenant = waiting.tenant
+        charge = queue.mean_fill_time()
+        queue.virtual_time = queue.start_tag(tenant)
+        queue.finish_tags[tenant] = queue.virtual_time + charge / self.settings.tenants[tenant].weight
+        queue.using[tenant] = queue.using.get(tenant, 0) + 1
+        self.running[waiting.token] = RunningFill(tenant, waiting.source, now, charge)
+        return [StartFill(waiting.token, waiting.source)]
+
+
+def tenant_of(header: bytes | None, listed: Mapping[bytes, int]) -> tuple[int, bool]:
+    """Return (index of the tenant, whether it is a listed one) for a client's header.
+
+    Only listed names become keys of any table; every other client belongs to the common tenant.
+    """
+    if header is None or not 0 < len(header) <= TENANT_HEADER_BYTES_MAX:
+        return COMMON_TENANT, False
+    index = listed.get(bytes(header).strip())
+    return (COMMON_TENANT, False) if index is None else (index, True)
--- a/sprucegate/fleet/quotas/lease_holder.py
+++ b/sprucegate/fleet/quotas/lease_holder.py
@@ -1,285 +1,286 @@
-"""A steward lends places of floors that fronts left to it, by tenants' weights and demand. No I/O, no clock.
+"""The lease holder lends slots of the floors that fronts left to it, by tenants' weights and demand.
 
-What is lent at any time is within the floors that are surely this steward's until the last fill by it has ended; what a
-former steward of the same floors may still have lent is taken off. Among tenants place time is shared: a place goes to
-the one that has had least by its weight (start-time fairness over all fronts); one that was idle begins at the present.
-What nobody wants is lent to fronts as spare, so that a GET which comes alone waits for nobody.
+At any time its grants are within the floors that are surely its own until the last fill by them has ended; what a
+former lease holder may still have lent of the same floors is subtracted. `allocation` decides who gets which slots.
 """
 
-from sprucegate.fleet.quotas.settings import DRIFT, LEASE, MS, Lent, Send, later
-from sprucegate.fleet.quotas.slots import Learned
+from typing import NamedTuple
 
-FRESH = 20 * MS  # a table of who gets what is made anew after this, or with other demand
-FORGOTTEN = 60_000_000_000
-FRONTS_MOST = 1000
-ON_MOST = 8  # fronts that one question gives something to besides the one that asked
+from sprucegate.fleet.quotas.actions import Send
+from sprucegate.fleet.quotas.allocation import FrontDemand, SlotAllocator
+from sprucegate.fleet.quotas.messages import (
+    LeaseGrant,
+    LeaseHolderId,
+    QuotaRequest,
+    SourceGrant,
+    TenantSlots,
+)
+from sprucegate.fleet.quotas.settings import (
+    CLOCK_DRIFT_DIVISOR,
+    LEASE_DURATION,
+    QuotaSettings,
+    promise_duration,
+)
+from sprucegate.fleet.quotas.slots import AdaptiveLimit
+from sprucegate.units import SECOND
 
+FOLLOWER_TIMEOUT = (
+    2 * LEASE_DURATION
+)  # since its last request a front counts as a follower, and its demand counts
+FRONT_KEPT_MIN = 60 * SECOND  # for which a silent front is remembered at least
+FRONTS_MAX = 1000
+UNREQUESTED_GRANTS_MAX = 8  # to other fronts, at one request
 
-class Front:
-    """What is known of one borrower, one life of it."""
 
-    def __init__(self, life, turn):
-        self.life, self.turn, self.number = life, turn, 0
-        self.waived, self.old_until, self.held_until, self.old, self.using, self.want = 0, 0, 0, {}, {}, {}
-        self.grants, self.at = [], 0  # (grant, {source: places}, end); when it was heard last
+class GrantRecord(NamedTuple):
+    """A grant as the lease holder counts it: {source: slots} until `expires`."""
 
-    def busy(self, source, longest, now):
-        """What it may use now: by its last word, and by all leases that it may have started fills on since."""
-        said = self.using.get(source, 0) if now < self.at + later(LEASE + longest) else 0
-        return max(
-            [said, *[lent.get(source, 0) for _, lent, end in self.grants if now < end + later(longest)]]
+    number: int
+    slots: dict[int, int]
+    expires: int
+
+
+class FrontRecord:
+    """What is known of one incarnation of a borrower, by its latest request.
+
+    :ivar waived_until: until then its floors are this lease holder's to lend.
+    :ivar former_lease: {source: slots} lent to it by its former lease holder, which may lend its floors until
+        `former_floors_until`, and surely counts those slots as in use until `former_counted_until`.
+    :ivar using: {source: running fills}; `demand`: {source: {tenant: (running, waiting)}}.
+    :ivar grants: those by which it may have started fills.
+    :ivar heard_at: time of the latest request; 0: none.
+    """
+
+    def __init__(self, incarnation: int, epoch: int) -> None:
+        self.incarnation = incarnation
+        self.epoch = epoch
+        self.sequence = 0
+        self.waived_until = 0
+        self.former_floors_until = 0
+        self.former_counted_until = 0
+        self.former_lease: dict[int, int] = {}
+        self.using: dict[int, int] = {}
+        self.demand: dict[int, FrontDemand] = {}
+        self.grants: list[GrantRecord] = []
+        self.heard_at = 0
+
+    def slots_in_use(self, source: int, fill_time_max: int, now: int) -> int:
+        """Return the most slots it may use now: by its latest request, and by each grant whose fills may still run."""
+        reported_until = self.heard_at + promise_duration(LEASE_DURATION + fill_time_max)
+        reported = self.using.get(source, 0) if now < reported_until else 0
+        fill_duration = promise_duration(fill_time_max)
+        lent = [one.slots.get(source, 0) for one in self.grants if now < one.expires + fill_duration]
+        return max([reported, *lent])
+
+    def has_waiting_requests(self) -> bool:
+        """Whether any request waited at its latest request for slots."""
+        return any(waiting for rows in self.demand.values() for _, waiting in rows.values())
+
+    def update(self, request: QuotaRequest, settings: QuotaSettings, now: int) -> None:
+        """Take over what a request says."""
+        self.sequence = request.sequence
+        self.heard_at = now
+        if request.echo:
+            # Sent after this lease holder's clock showed `echo`: the floors are its own for this long at the least.
+            waiver = settings.floor_waiver
+            self.waived_until = max(self.waived_until, request.echo + waiver - waiver // CLOCK_DRIFT_DIVISOR)
+        self.former_floors_until = now + promise_duration(request.floors_lent) if request.floors_lent else 0
+        # Counted from the echo, which was before the request was sent: shorter than it may be.
+        counted = request.lease_counted
+        self.former_counted_until = (
+            request.echo + counted - counted // CLOCK_DRIFT_DIVISOR if request.echo else 0
         )
+        self.former_lease = {row.source: row.former_lease for row in request.sources}
+        self.using = {row.source: row.using for row in request.sources}
+        self.demand = {
+            row.source: {tenant: (using, waiting) for tenant, using, waiting in row.tenants}
+            for row in request.sources
+        }
+        ended = now - promise_duration(settings.fill_time_max)
+        self.grants = [one for one in self.grants if one.number >= request.grant and one.expires > ended]
+
+
+class LeaseHolder:
+    """The lending side of one incarnation of a front; every front has one, and uses it when others follow it.
+
+    :ivar fronts: followers by name; `former_fronts`: former incarnations, until their fills have ended.
+    :ivar limits: adaptive limits by source; `slow_start`: {source: part of its slots after a cold start}.
+    :ivar grant: number of the latest grant; it rises over restarts as well, as it starts at the clock.
+    """
 
+    def __init__(self, incarnation: int, settings: QuotaSettings, now: int) -> None:
+        self.incarnation = incarnation
+        self.settings = settings
+        self.fronts: dict[str, FrontRecord] = {}
+        self.former_fronts: list[FrontRecord] = []
+        self.allocator = SlotAllocator(settings)
+        self.limits: dict[int, AdaptiveLimit] = {}
+        self.slow_start: dict[int, float] = {}
+        self.grant = int(now)
 
-class Steward:
-    def __init__(self, life, terms, now):
-        self.life, self.terms = life, terms
-        self.fronts, self.ghosts = {}, []  # name -> Front; former lives, until their fills have ended
-        self.had, self.had_at = (
-            {},
-            {},
-        )  # (source, tenant[, front]) -> place time by weight; when it was charged
-        self.tables, self.learned, self.factor = {}, {}, {}
-        self.grant = int(now)  # rises over restarts of what this name says as well
-
-    def heard(self, sender, need, now):
-        """The answer to a front's question: all that it holds from here on."""
-        front = self._front(sender, need, now) if need.steward == self.life else None
+    def on_request(self, sender: str, request: QuotaRequest, now: int) -> list[Send]:
+        """Answer a front's request, and grant slots that it gave back to fronts that wait for them."""
+        front = self._front_of(sender, request, now) if request.lease_holder == self.incarnation else None
         if front is None:
             return []
-        # Of sources that are listed here alone: a peer that names others could fill any table by them.
-        need = need._replace(rows=[row for row in need.rows if row[0] in self.terms.places])
-        self._charges(sender, front, need, now)
-        before = dict(front.using)
-        front.number, front.at = need.number, now
-        if need.echo:
-            # Sent after this steward's clock showed `echo`: its floors are this one's so long at the least.
-            front.waived = max(front.waived, need.echo + self.terms.waive - self.terms.waive // DRIFT)
-        front.old_until = now + later(need.old) if need.old else 0
-        # From the echo on, which was before it was sent: shorter than it may be.
-        front.held_until = need.echo + need.held - need.held // DRIFT if need.echo else 0
-        front.old = {row[0]: row[2] for row in need.rows}
-        front.using = {row[0]: row[1] for row in need.rows}
-        front.want = {row[0]: {t: (using, waiting) for t, using, waiting in row[5]} for row in need.rows}
-        ended = now - later(self.terms.longest)
-        front.grants = [one for one in front.grants if one[0] >= need.grant and one[2] > ended]
-        for source, _, _, ended, late, _ in need.rows:
-            self.learned.setdefault(source, Learned(now)).told(ended, late, now)
-        done = [self._grant(sender, front, now)]
-        if any(front.using.get(source, 0) < count for source, count in before.items()):
-            done += self._lends_on(sender, now)
-        return done
-
-    def _lends_on(self, sender, now):
-        """What one gave back goes on at once to those that wait, in answer to what they asked last.
-
-        Else a place would be idle until the next question of whoever is to have it: a tenth of the place time.
+        # Only listed sources: a peer that names others could fill any table with them.
+        listed = [row for row in request.sources if row.source in self.settings.slots]
+        request = request._replace(sources=listed)
+        elapsed = min(now - front.heard_at, LEASE_DURATION) if front.heard_at else 0
+        self.allocator.charge(sender, request.sources, elapsed, now)
+        used_before = dict(front.using)
+        front.update(request, self.settings, now)
+        for row in request.sources:
+            limit = self.limits.setdefault(row.source, AdaptiveLimit(now))
+            limit.fills_ended(row.ended, row.late, now)
+        sends = [self._grant(sender, front, now)]
+        if any(front.using.get(source, 0) < count for source, count in used_before.items()):
+            sends += self._grant_to_waiting(sender, now)
+        return sends
+
+    def _grant_to_waiting(self, sender: str, now: int) -> list[Send]:
+        """Grant slots that were given back to fronts that wait, in answer to their latest requests.
+
+        Else a slot would be idle until the next request of the front that is to have it.
         """
-        done = []
+        sends: list[Send] = []
         for name, front in self.fronts.items():
-            if (
-                name == sender
-                or now - front.at > LEASE // 2
-                or not any(waiting for rows in front.want.values() for _, waiting in rows.values())
-            ):
+            if name == sender or now - front.heard_at > LEASE_DURATION // 2:
                 continue
-            had = front.grants[-1][1] if front.grants else {}
-            if any(
-                sum(tenants.values()) + spare > had.get(source, 0)
-                for source in front.want
-                for tenants, spare in [self._lends(name, front, source, now)]
-            ):
-                done.append(self._grant(name, front, now))
-                if len(done) >= ON_MOST:
+            if front.has_waiting_requests() and self._would_gain(name, front, now):
+                sends.append(self._grant(name, front, now))
+                if len(sends) >= UNREQUESTED_GRANTS_MAX:
                     break
-        return done
-
-    def _grant(self, sender, front, now):
-        rows, total = [], {}
-        for source in self.terms.places:
-            tenants, spare = self._lends(sender, front, source, now)
-            if tenants or spare:
-                rows.append([source, spare, sorted([t, n] for t, n in tenants.items())])
-                total[source] = spare + sum(tenants.values())
+        return sends
+
+    def _would_gain(self, name: str, front: FrontRecord, now: int) -> bool:
+        granted = front.grants[-1].slots if front.grants else {}
+        for source in front.demand:
+            by_tenant, spare = self._slots_for(name, front, source, now)
+            if sum(by_tenant.values()) + spare > granted.get(source, 0):
+                return True
+        return False
+
+    def _grant(self, name: str, front: FrontRecord, now: int) -> Send:
+        sources = []
+        totals = {}
+        for source in self.settings.slots:
+            by_tenant, spare = self._slots_for(name, front, source, now)
+            if by_tenant or spare:
+                tenants = sorted(TenantSlots(tenant, slots) for tenant, slots in by_tenant.items())
+                sources.append(SourceGrant(source, spare, tenants))
+                totals[source] = spare + sum(by_tenant.values())
         self.grant += 1
-        front.grants.append((self.grant, total, now + later(LEASE)))
-        return Send(sender, Lent(front.turn, front.number, now, self.grant, rows))
-
-    def hears(self, name, life, now):
-        """Whether that front goes by this one."""
-        front = self.fronts.get(name)
-        return front is not None and front.life == life and now - front.at < 2 * LEASE
-
-    def size(self, now):
-        return sum(now - front.at < 2 * LEASE for front in self.fronts.values())
-
-    def capacity(self, source, now):
-        """Places that this steward may lend at this instant, lent ones included."""
-        horizon = now + later(LEASE) + later(self.terms.longest)
-        pooled = [(name, one) for name, one in self.fronts.items() if one.waived >= horizon]
-        floors = {name: self.terms.floor(name, source) for name, _ in pooled}
-        surely = sum(self._surely(one, source, floors[name], now) for name, one in pooled)
-        part = self.learned[source].part if source in self.learned else 1.0
-        return int(min(surely, sum(floors.values())) * min(part, self.factor.get(source, 1.0)))
+        front.grants.append(GrantRecord(self.grant, totals, now + promise_duration(LEASE_DURATION)))
+        return Send(name, LeaseGrant(front.epoch, front.sequence, now, self.grant, sources))
+
+    def is_followed_by(self, front_id: LeaseHolderId, now: int) -> bool:
+        """Whether that incarnation of a front follows this lease holder."""
+        front = self.fronts.get(front_id.name)
+        if front is None or front.incarnation != front_id.incarnation:
+            return False
+        return now - front.heard_at < FOLLOWER_TIMEOUT
+
+    def follower_count(self, now: int) -> int:
+        """Return how many fronts follow this lease holder."""
+        return sum(now - front.heard_at < FOLLOWER_TIMEOUT for front in self.fronts.values())
+
+    def capacity(self, source: int, now: int) -> int:
+        """Return the slots of a source that may be lent at this instant, lent ones included.
+
+        They rest on the floors that are waived until the last fill by a lease of now has ended.
+        """
+        horizon = now + promise_duration(LEASE_DURATION) + promise_duration(self.settings.fill_time_max)
+        floors = 0
+        lendable = 0
+        for name, front in self.fronts.items():
+            if front.waived_until >= horizon:
+                floor = self.settings.floor(name, source)
+                floors += floor
+                lendable += self._lendable(front, source, floor, now)
+        ratio = self.limits[source].ratio if source in self.limits else 1.0
+        return int(min(lendable, floors) * min(ratio, self.slow_start.get(source, 1.0)))
 
     @staticmethod
-    def _surely(front, source, floor, now):
-        """What this steward may lend on the ground of one front's floor.
+    def _lendable(front: FrontRecord, source: int, floor: int, now: int) -> int:
+        """Return how many slots this lease holder may lend on the ground of one front's floor.
 
-        While a former steward may lend that floor, it is what the former lent to this very front: nobody else can have
-        it. Once the former has counted that as free again, it is no more than the floor: what was lent beyond it, of
-        other fronts' floors, the former may have lent anew (seen in a schedule: one fill over what there are).
+        While a former lease holder may lend that floor, it is what the former lent to this very front, as nobody else
+        can have it. Once the former has counted that as free again, it is no more than the floor: what was lent beyond
+        it, of other fronts' floors, the former may have lent anew.
         """
-        if now >= front.old_until:
+        if now >= front.former_floors_until:
             return floor
-        lent = front.old.get(source, 0)
-        return lent if now < front.held_until else min(lent, floor)
+        lent = front.former_lease.get(source, 0)
+        return lent if now < front.former_counted_until else min(lent, floor)
 
-    def _front(self, sender, need, now):
+    def _front_of(self, sender: str, request: QuotaRequest, now: int) -> FrontRecord | None:
+        """Return the sender's record, a new one for a new incarnation; None for a late request or too many fronts."""
         front = self.fronts.get(sender)
-        if front is not None and (need.life, need.turn, need.number) <= (
-            front.life,
-            front.turn,
-            front.number,
-        ):
-            return None  # late, or twice
-        if front is None or front.life != need.life:
-            # Names come and go with twins and machines: without this a thousand names would be all there ever are.
-            if max(len(self.fronts), len(self.ghosts)) >= FRONTS_MOST:
-                self._forgets(now)
-            if front is None and len(self.fronts) >= FRONTS_MOST or len(self.ghosts) >= FRONTS_MOST:
+        if front is None or front.incarnation != request.incarnation:
+            if front is not None and request.incarnation < front.incarnation:
                 return None
-            if front is not None:
-                self.ghosts.append(front)  # its fills may go on at the source
-            front = self.fronts[sender] = Front(need.life, need.turn)
-        elif front.turn != need.turn:
-            # It went by another since: what it was lent here it has dropped, what it uses it says.
-            front.turn, front.grants, front.waived, front.old = need.turn, [], 0, {}
+            if not self._make_room(front, now):
+                return None
+            front = self.fronts[sender] = FrontRecord(request.incarnation, request.epoch)
+            return front
+        if (request.epoch, request.sequence) <= (front.epoch, front.sequence):
+            return None
+        if front.epoch != request.epoch:
+            # It followed another since: what it was lent here it has dropped, and what it uses it reports.
+            front.epoch = request.epoch
+            front.grants = []
+            front.waived_until = 0
+            front.former_lease = {}
         return front
 
-    def _forgets(self, now):
-        """Fronts of which nothing can be lent, waived or under way any more, and what was kept of sources that went."""
-        over = now - max(FORGOTTEN, 2 * later(self.terms.waive))
-        self.fronts = {name: one for name, one in self.fronts.items() if one.at > over}
-        for table in (self.tables, self.learned):
-            for source in [one for one in table if one not in self.terms.places]:
-                del table[source]
-
-    def _busy(self, source, now, but=None):
-        longest = self.terms.longest
-        self.ghosts = [
-            one
-            for one in self.ghosts
-            if now < max([one.at + LEASE, *[end for *_, end in one.grants]]) + 2 * later(longest)
-        ]
-        return sum(
-            one.busy(source, longest, now) for one in [*self.fronts.values(), *self.ghosts] if one is not but
-        )
+    def _make_room(self, replaced: FrontRecord | None, now: int) -> bool:
+        """Return whether there is room for a new record; the replaced one is kept, as its fills may go on."""
+        if max(len(self.fronts), len(self.former_fronts)) >= FRONTS_MAX:
+            self._forget_silent(now)
+        if replaced is None and len(self.fronts) >= FRONTS_MAX:
+            return False
+        if len(self.former_fronts) >= FRONTS_MAX:
+            return False
+        if replaced is not None:
+            self.former_fronts.append(replaced)
+        return True
+
+    def _forget_silent(self, now: int) -> None:
+        """Forget fronts with no grant, waiver or fill left, and what was kept of sources that are listed no more."""
+        oldest = now - max(FRONT_KEPT_MIN, 2 * promise_duration(self.settings.floor_waiver))
+        self.fronts = {name: front for name, front in self.fronts.items() if front.heard_at > oldest}
+        self.allocator.forget_unlisted_sources()
+        for source in [one for one in self.limits if one not in self.settings.slots]:
+            del self.limits[source]
+
+    def _slots_in_use(self, source: int, now: int, excluded: FrontRecord) -> int:
+        fill_time_max = self.settings.fill_time_max
+        self.former_fronts = [one for one in self.former_fronts if now < self._fills_end(one)]
+        fronts = [*self.fronts.values(), *self.former_fronts]
+        return sum(one.slots_in_use(source, fill_time_max, now) for one in fronts if one is not excluded)
 
-    def _lends(self, sender, front, source, now):
-        """({tenant: places}, spare) for one front, never more than is free or its own."""
-        free = self.capacity(source, now) - self._busy(source, now, but=front)
+    def _fills_end(self, front: FrontRecord) -> int:
+        last_start = max([front.heard_at + LEASE_DURATION, *[one.expires for one in front.grants]])
+        return last_start + 2 * promise_duration(self.settings.fill_time_max)
+
+    def _slots_for(self, name: str, front: FrontRecord, source: int, now: int) -> tuple[dict[int, int], int]:
+        """Return ({tenant: slots}, spare slots) for one front: its allotment, never more than is free or its own."""
+        capacity = self.capacity(source, now)
+        free = capacity - self._slots_in_use(source, now, front)
         if free <= 0:
             return {}, 0
-        tenants, spare = self._table(source, now).get(sender, ({}, 0))
-        tenants = dict(tenants)
-        while sum(tenants.values()) > free:
-            most = max(tenants, key=lambda t: (self._had(source, t), t))
-            tenants[most] -= 1
-            if not tenants[most]:
-                del tenants[most]
-        return tenants, min(spare, free - sum(tenants.values()))
-
-    # Who is to have what.
-
-    def _had(self, source, tenant):
-        return self.had.get((source, tenant), 0)
-
-    def _charges(self, sender, front, need, now):
-        """Place time since its last word, to each tenant by its weight and to each front."""
-        span = min(now - front.at, LEASE) if front.at else 0
-        for source, *_, tenants in need.rows:
-            for tenant, using, _ in tenants:
-                for key, weight in (
-                    ((source, tenant), self.terms.tenants[tenant][0]),
-                    ((source, tenant, sender), 1),
-                ):
-                    if now - self.had_at.get(key, -FORGOTTEN) > LEASE:
-                        # It was idle: it begins at the present, that is where the least of those that were not stands.
-                        present = [
-                            self.had[k]
-                            for k, at in self.had_at.items()
-                            if len(k) == len(key) and k[: len(k) - 1] == key[:-1] and now - at <= LEASE
-                        ]
-                        self.had[key] = max(self.had.get(key, 0), min(present, default=0))
-                    self.had[key] = self.had.get(key, 0) + using * span // weight
-                    self.had_at[key] = now
-        if len(self.had_at) > FRONTS_MOST:
-            for key in [k for k, at in self.had_at.items() if now - at > FORGOTTEN]:
-                del self.had[key], self.had_at[key]
-
-    def _table(self, source, now):
-        """{front: ({tenant: places}, spare)}: whole places, the next one always to who had least by its weight."""
-        made = self.tables.get(source)
-        wants = {
-            name: one.want.get(source, {}) for name, one in self.fronts.items() if now - one.at < 2 * LEASE
+        demand = {
+            other: record.demand.get(source, {})
+            for other, record in self.fronts.items()
+            if now - record.heard_at < FOLLOWER_TIMEOUT
         }
-        capacity = self.capacity(source, now)
-        if made is not None and now - made[0] < FRESH and made[1:3] == (capacity, wants):
-            return made[3]
-        table = self._shared(source, capacity, wants, made[3] if made is not None else {})
-        self.tables[source] = now, capacity, wants, table
-        return table
-
-    def _shared(self, source, capacity, wants, was):
-        """`was`: the table before. Who holds a place keeps it until another is a lease's time behind: each move leaves
-        it idle for a while, and by the hair's breadth of who had least all would move at each question."""
-        want, held = {}, {}
-        for tenants, _ in was.values():
-            for tenant, count in tenants.items():
-                held[tenant] = held.get(tenant, 0) + count
-        for rows in wants.values():
-            for tenant, (using, waiting) in rows.items():
-                want[tenant] = want.get(tenant, 0) + using + waiting
-        given, left = dict.fromkeys(want, 0), capacity
-        for tenant in sorted(want):  # what the file keeps for a tenant goes first
-            given[tenant] = min(want[tenant], self.terms.tenants[tenant][1], left)
-            left -= given[tenant]
-        while left and (open_now := [t for t in sorted(want) if given[t] < want[t]]):
-            # A place of the next lease counts as had: else one that had a little less would get all of them.
-            tenant = min(
-                open_now,
-                key=lambda t: (
-                    self._had(source, t)
-                    + (given[t] - (given[t] < held.get(t, 0))) * LEASE // self.terms.tenants[t][0],
-                    t,
-                ),
-            )
-            given[tenant] += 1
-            left -= 1
-        table = {name: ({}, 0) for name in sorted(wants)}
-        for tenant, count in given.items():
-            self._spread(source, tenant, count, wants, table, was)
-        names = sorted(wants)
-        for at in range(left if names else 0):
-            name = names[(at + source) % len(names)]
-            table[name] = table[name][0], table[name][1] + 1
-        return table
-
-    def _spread(self, source, tenant, count, wants, table, was):
-        """A tenant's places among fronts: where its fills are under way, then where it had least."""
-        rows = {name: one[tenant] for name, one in sorted(wants.items()) if tenant in one}
-        given, held = dict.fromkeys(rows, 0), {n: was.get(n, ({}, 0))[0].get(tenant, 0) for n in rows}
-        for _ in range(count):
-            name = min(
-                [n for n in rows if given[n] < sum(rows[n])],
-                key=lambda n: (
-                    given[n] >= rows[n][0],
-                    self.had.get((source, tenant, n), 0) + (given[n] - (given[n] < held[n])) * LEASE,
-                    n,
-                ),
-            )
-            given[name] += 1
-        for name, places in given.items():
-            if places:
-                table[name][0][tenant] = places
+        allocation = self.allocator.allocate(source, capacity, demand, now)
+        allotted, spare = allocation.get(name, ({}, 0))
+        by_tenant = dict(allotted)
+        while sum(by_tenant.values()) > free:
+            most_served = max(by_tenant, key=lambda t: (self.allocator.used_time(source, t), t))
+            by_tenant[most_served] -= 1
+            if not by_tenant[most_served]:
+                del by_tenant[most_served]
+        return by_tenant, min(spare, free - sum(by_tenant.values()))
--- a/sprucegate/fleet/quotas/slots.py
+++ b/sprucegate/fleet/quotas/slots.py
@@ -1,37 +1,55 @@
-"""How many fills a source bears at once: what the file gives, less where they come late or it has just started.
+"""How many slots a source has now: what the operator's file gives, less while fills come late or it has just started.
 
-Additive increase, multiplicative decrease (Chiu and Jain, 1989) on the share of fills that came late, as adaptive
-limits on concurrency do it. No I/O, no clock. Never above what the file gives: floors rest on that.
+Never more than the file gives, as the fronts' floors rest on that.
 """
 
-S = 1_000_000_000
-SPAN = S  # over which fills are judged
-FEW = 8  # of them tell nothing yet
-LATE, WELL = 0.2, 0.05  # share that came late: from which on less is lent, and up to which more is
-LESS, MORE = 0.8, 0.05
-LEAST = 0.25  # of what the file gives: some fills have to show that it passed
+from sprucegate.units import SECOND
 
+JUDGED_SPAN = SECOND  # over which fills are judged together
+JUDGED_FILLS_MIN = 8  # with fewer the span goes on
+DECREASE_LATE_RATIO = 0.2  # share of late fills above which the limit falls
+INCREASE_LATE_RATIO = 0.05  # share of late fills up to which the limit rises
+DECREASE_FACTOR = 0.8
+INCREASE_STEP = 0.05
+LIMIT_RATIO_MIN = 0.25  # some fills have to run to show that the source has recovered
 
-class Learned:
-    """The part of a source's places that is lent."""
 
-    def __init__(self, now):
-        self.part, self.since, self.ended, self.late = 1.0, now, 0, 0
+class AdaptiveLimit:
+    """The part of a source's slots that is lent: additive increase, multiplicative decrease by the share of late fills.
 
-    def told(self, ended, late, now):
-        self.ended, self.late = self.ended + ended, self.late + late
-        if now - self.since < SPAN or self.ended < FEW:
+    Chiu and Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance", 1989; the same rule
+    governs adaptive concurrency limits.
+
+    :ivar ratio: from LIMIT_RATIO_MIN to 1.
+    """
+
+    def __init__(self, now: int) -> None:
+        self.ratio = 1.0
+        self.since = now
+        self.ended = 0
+        self.late = 0
+
+    def fills_ended(self, ended: int, late: int, now: int) -> None:
+        """Count fills that ended, `late` of them late, and adjust the ratio once there are enough to judge by."""
+        self.ended += ended
+        self.late += late
+        if now - self.since < JUDGED_SPAN or self.ended < JUDGED_FILLS_MIN:
             return
-        share = self.late / self.ended
-        if share > LATE:
-            self.part = max(LEAST, self.part * LESS)
-        elif share <= WELL:
-            self.part = min(1.0, self.part + MORE)
-        self.since, self.ended, self.late = now, 0, 0
+        late_ratio = self.late / self.ended
+        if late_ratio > DECREASE_LATE_RATIO:
+            self.ratio = max(LIMIT_RATIO_MIN, self.ratio * DECREASE_FACTOR)
+        elif late_ratio <= INCREASE_LATE_RATIO:
+            self.ratio = min(1.0, self.ratio + INCREASE_STEP)
+        self.since = now
+        self.ended = 0
+        self.late = 0
+
 
+def slow_start_ratio(started: int, warm_time: int, initial_ratio: float, now: int) -> float:
+    """Return the part of its slots that a source has after a cold start: linear from `initial_ratio` to 1.
 
-def cold(started, warm_time, floor, now):
-    """The part of a source that has just started: by the settings' line, as the rules' own budget grows."""
+    `started`: time of its start, ns, or 0 for one that is warm; `warm_time`: ns until it has all of them.
+    """
     if not started or not warm_time or now - started >= warm_time:
         return 1.0
-    return floor + (1 - floor) * max(0, now - started) / warm_time
+    return initial_ratio + (1 - initial_ratio) * max(0, now - started) / warm_time
--- a/standins/fleet/explore_shares.py
+++ b/standins/fleet/explore_shares.py
@@ -9,16 +9,17 @@
 
 import sys
 
-from sprucegate.fleet.quotas.coordinator import Shares
-from sprucegate.fleet.quotas.settings import LEASE, Send, Start, Terms
+from sprucegate.fleet.quotas.actions import Send, StartFill
+from sprucegate.fleet.quotas.coordinator import QuotaCoordinator
+from sprucegate.fleet.quotas.settings import LEASE_DURATION, QuotaSettings, Tenant
 from standins.fleet import exploring
 
 NAMES, SOURCE, PLACES = ("a", "b", "c"), 21, 2
 MS = 1_000_000
 LONGEST = 2400 * MS  # longer than a lease: what was started by one that is over goes on
-TERMS = Terms(((1, 0), (1, 0)), NAMES, {SOURCE: PLACES}, LONGEST)
-TURN = LEASE // 4
-WHILES = (LEASE // 2, 2 * LEASE, TERMS.waive)
+TERMS = QuotaSettings((Tenant(1, 0), Tenant(1, 0)), NAMES, {SOURCE: PLACES}, LONGEST)
+TURN = LEASE_DURATION // 4
+WHILES = (LEASE_DURATION // 2, 2 * LEASE_DURATION, TERMS.floor_waiver)
 
 
 class Broken(Exception):
@@ -29,13 +30,13 @@
     """`kills`, `cuts`, `gets`: how many may come."""
 
     def __init__(self, gets=4):
-        self.now, self.steps, self.numbers = 0, (), 0
+        self.now, self.steps, self.sequences = 0, (), 0
         self.kills, self.cuts, self.gets = 1, 1, gets
         self.flying, self.fills, self.dead, self.cut = [], [], set(), frozenset()
-        self.fronts = {name: Shares(name, 1, TERMS, 0) for name in NAMES}
+        self.fronts = {name: QuotaCoordinator(name, 1, TERMS, 0) for name in NAMES}
         for name in NAMES:
             self.sees(name)
-        self.goes_on(2 * TERMS.waive)  # what former lives may have lent is over by then
+        self.goes_on(2 * TERMS.floor_waiver)  # what former lives may have lent is over by then
 
     def goes_on(self, span, still="", silent=False):
         """Time passes; `still`: stands still for it, and wakes to what lies there; `silent`: nothing comes."""
@@ -46,30 +47,32 @@
             self.fills = [one for one in self.fills if one[0] > self.now]
             for _, name, token in over:
                 if name not in self.dead and name != still:
-                    self.done(name, self.fronts[name].ended(token, LONGEST, True, self.now))
+                    self.done(name, self.fronts[name].fill_ended(token, LONGEST, True, self.now))
                 elif name == still:
                     lying.append(("ended", token))
             for name in NAMES:
                 if name not in self.dead and name != still:
-                    self.done(name, self.fronts[name].due(self.now))
+                    self.done(name, self.fronts[name].on_timer(self.now))
             while self.flying:
                 sender, to, message = self.flying.pop(0)
                 if to == still:
                     lying.append((sender, message))
                 elif to not in self.dead and not silent:
-                    self.done(to, self.fronts[to].heard(sender, message, self.now))
+                    self.done(to, self.fronts[to].on_message(sender, message, self.now))
         for what, given in lying:
             front = self.fronts[still]
             self.done(
                 still,
-                front.ended(given, LONGEST, True, self.now)
+                front.fill_ended(given, LONGEST, True, self.now)
                 if what == "ended"
-                else front.heard(what, given, self.now),
+                else front.on_message(what, given, self.now),
             )
 
     def sees(self, name):
         there = [n for n in NAMES if n not in self.dead and (n == name or frozenset((n, name)) != self.cut)]
-        self.done(name, self.fronts[name].viewed([(n, 1) for n in there], len(there) > 1, True, self.now))
+        self.done(
+            name, self.fronts[name].on_view_changed([(n, 1) for n in there], len(there) > 1, True, self.now)
+        )
 
     def done(self, name, actions):
         for action in actions:
@@ -77,7 +80,7 @@
                 case Send(to, message):
                     if to not in self.dead and frozenset((name, to)) != self.cut:
                         self.flying.append((name, to, message))
-                case Start(token, _):
+                case StartFill(token, _):
                     self.fills.append((self.now + LONGEST, name, token))
                     if len(self.fills) > PLACES:
                         raise Broken(len(self.fills), self.steps)
@@ -98,11 +101,11 @@
         elif what == "get":
             # Two at once, so that places are taken.
             for _ in range(2):
-                self.numbers += 1
+                self.sequences += 1
                 self.done(
                     given[0],
-                    self.fronts[given[0]].arrives(
-                        self.numbers, SOURCE, given[1], self.now + 60 * LEASE, self.now
+                    self.fronts[given[0]].request_arrived(
+                        self.sequences, SOURCE, given[1], self.now + 60 * LEASE_DURATION, self.now
                     ),
                 )
             self.gets -= 1
@@ -117,24 +120,24 @@
     def state(self):
         fronts = [
             (
-                vars(one.borrower).copy() | {"terms": 0},
-                one.lenders,
+                vars(one.borrower).copy() | {"settings": 0},
+                one.candidates,
                 one.avoided,
-                one.steward.had,
+                one.lease_holder.allocator.slot_time,
                 [
                     (
                         n,
-                        f.turn,
-                        f.number,
-                        f.waived,
-                        f.old_until,
-                        f.held_until,
-                        f.old,
+                        f.epoch,
+                        f.sequence,
+                        f.waived_until,
+                        f.former_floors_until,
+                        f.former_counted_until,
+                        f.former_lease,
                         f.using,
-                        f.want,
+                        f.demand,
                         f.grants,
                     )
-                    for n, f in sorted(one.steward.fronts.items())
+                    for n, f in sorted(one.lease_holder.fronts.items())
                 ],
                 [
                     (t, len(q))
--- a/standins/fleet/sharing.py
+++ b/standins/fleet/sharing.py
@@ -1,4 +1,4 @@
-"""Shares of whole fleets under a time, clocks, a network and troubles by seed; checkers that read the trace alone.
+"""Quotas of whole fleets under a time, clocks, a network and troubles by seed; checkers that read the trace alone.
 
     python -m standins.fleet.sharing --seeds 200 --size 5 --loss 0.1
 
@@ -11,9 +11,10 @@
 from collections import defaultdict
 from itertools import count
 
-from sprucegate.fleet.quotas.coordinator import Shares
-from sprucegate.fleet.quotas.fair_queue import USUAL
-from sprucegate.fleet.quotas.settings import LEASE, GiveUp, Send, Start, Terms
+from sprucegate.fleet.quotas.actions import AbandonWait, Send, StartFill
+from sprucegate.fleet.quotas.coordinator import QuotaCoordinator
+from sprucegate.fleet.quotas.fair_queue import INITIAL_FILL_TIME
+from sprucegate.fleet.quotas.settings import LEASE_DURATION, QuotaSettings, Tenant
 from standins.fleet.schedules import reported
 
 MS, S = 1_000_000, 1_000_000_000
@@ -26,7 +27,7 @@
 
     def __init__(self, world, name):
         self.world, self.name, self.generation = world, name, 0
-        self.up, self.paused, self.lying, self.shares, self.armed = False, False, [], None, None
+        self.up, self.paused, self.lying, self.quotas, self.armed = False, False, [], None, None
         self.lives = {}  # by generation
         self.rate, self.offset = 1 + world.chance.uniform(-4e-4, 4e-4), world.chance.randrange(1000 * S)
 
@@ -42,7 +43,7 @@
             None,
         )
         self.life = self.lives[self.generation] = self.generation << 32 | self.world.chance.getrandbits(32)
-        self.shares = Shares(self.name, self.life, self.world.terms, self.clock())
+        self.quotas = QuotaCoordinator(self.name, self.life, self.world.settings, self.clock())
         self.world.note(self.name, "start")
         self.looks()
 
@@ -61,7 +62,7 @@
     def looks(self):
         """Its view: who is there and heard both ways, as it was told a while ago."""
         lenders, alone = self.world.seen(self)
-        self.event(lambda: self.shares.viewed(lenders, not alone, True, self.clock()))
+        self.event(lambda: self.quotas.on_view_changed(lenders, not alone, True, self.clock()))
 
     def done(self, actions):
         world = self.world
@@ -70,7 +71,7 @@
             match todo.pop(0):
                 case Send(to, message):
                     world.send(self, to, message)
-                case Start(token, source):
+                case StartFill(token, source):
                     token, tenant, takes = token
                     world.note(self.name, "fills", source, tenant, token)
                     world.later(takes, None, world.note, "", "filled", source, tenant, token, self.name)
@@ -90,9 +91,9 @@
                             (token, tenant, takes),
                             self.generation,
                         )
-                case GiveUp(token, _):
+                case AbandonWait(token, _):
                     world.note(self.name, "gives-up", token[0], token[1])
-        due = self.shares.next_due()
+        due = self.quotas.next_deadline()
         if self.armed != due:
             self.armed = due
             world.at(
@@ -102,13 +103,17 @@
     def _due(self, due, generation):
         if self.armed == due and generation == self.generation:
             self.armed = None
-            self.event(lambda: self.shares.due(self.clock()))
+            self.event(lambda: self.quotas.on_timer(self.clock()))
 
     def _ended(self, token, generation):
-        return self.shares.ended(token, token[2], True, self.clock()) if generation == self.generation else []
+        return (
+            self.quotas.fill_ended(token, token[2], True, self.clock())
+            if generation == self.generation
+            else []
+        )
 
     def _lingers(self, token):
-        self.shares.lingers(token, self.clock())
+        self.quotas.fill_detached(token, self.clock())
         return []
 
 
@@ -117,10 +122,12 @@
         self.seed, self.chance, self.now, self.trace, self.loss = seed, random.Random(seed), 0, [], loss
         self.events, self.order, self.cut, self.numbers, self.leaving = [], count(), set(), count(1), 0.0
         names = tuple(f"n{at}" for at in range(size))
-        self.terms = Terms(tenants, names, places or {21: 5, 31: 2}, LONGEST, 60)
+        self.settings = QuotaSettings(
+            tuple(Tenant(*one) for one in tenants), names, places or {21: 5, 31: 2}, LONGEST, 60
+        )
         self.since, self.demand = {}, {}
         self.fronts = {name: Front(self, name) for name in names}
-        self.note("", "places", dict(self.terms.places), dict(enumerate(w for w, _ in tenants)))
+        self.note("", "places", dict(self.settings.slots), dict(enumerate(w for w, _ in tenants)))
 
     def note(self, name, what, *more):
         self.trace.append((self.now, name, what, *more))
@@ -149,7 +156,7 @@
 
     def _comes(self, sender, other, message):
         # By call: one that stood still takes it at the time when it wakes.
-        other.event(lambda: other.shares.heard(sender, message, other.clock()))
+        other.event(lambda: other.quotas.on_message(sender, message, other.clock()))
 
     # Views: each front hears of each change a while later, some soon and some late, as membership finds them.
 
@@ -185,7 +192,7 @@
         if front.up:
             self.note(name, "asks", source, tenant, number, self.now + patience)
             front.event(
-                lambda: front.shares.arrives(
+                lambda: front.quotas.request_arrived(
                     (number, tenant, takes), source, tenant, front.clock() + patience, front.clock()
                 )
             )
@@ -220,7 +227,7 @@
 
     def steward(self):
         """Whom most fronts go by."""
-        said = [f.shares.borrower.steward[0] for f in self.fronts.values() if f.up]
+        said = [f.quotas.borrower.lease_holder.name for f in self.fronts.values() if f.up]
         return max(sorted(set(said)), key=said.count) if said else ""
 
 
@@ -321,7 +328,7 @@
             due[more[2]] = more[3], name
         elif what == "pauses":
             still.add(name)  # it may wake after the time of what waits there
-        elif what == "gives-up" and name not in still and at > due[more[0]][0] - USUAL // 8:
+        elif what == "gives-up" and name not in still and at > due[more[0]][0] - INITIAL_FILL_TIME // 8:
             found.append(f"{at} {name} answers {more[0]} as its time {due[more[0]][0]} ends")
     return found
 
@@ -383,7 +390,7 @@
             open_now[more[0]] += 1 if what == "fills" else -1
         for source in places:
             if waiting[source] and open_now[source] < places[source]:
-                if at - since.setdefault(source, max(at, SETTLED)) > 2 * LEASE:
+                if at - since.setdefault(source, max(at, SETTLED)) > 2 * LEASE_DURATION:
                     found.append(f"{at} a place of {source} is idle since {since[source]}")
                     since[source] = at
             else:
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -15,20 +15,31 @@
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.codec import FrameError
 from sprucegate.fleet.quotas import slots
+from sprucegate.fleet.quotas.actions import AbandonWait, LeaseHolderChanged, Send, StartFill
+from sprucegate.fleet.quotas.allocation import SlotAllocator
 from sprucegate.fleet.quotas.borrower import Borrower
-from sprucegate.fleet.quotas.component import packed, unpacked
-from sprucegate.fleet.quotas.coordinator import Shares
-from sprucegate.fleet.quotas.fair_queue import Queue, Source, tenant_of
-from sprucegate.fleet.quotas.lease_holder import Steward
-from sprucegate.fleet.quotas.settings import LEASE, GiveUp, Lent, Moved, Need, Send, Start, Terms, later
-from sprucegate.fleet.quotas.slots import Learned
+from sprucegate.fleet.quotas.codec import decode, encode
+from sprucegate.fleet.quotas.coordinator import QuotaCoordinator
+from sprucegate.fleet.quotas.fair_queue import AvailableSlots, FairQueue, SourceQueue, SourceState, tenant_of
+from sprucegate.fleet.quotas.lease_holder import LeaseHolder
+from sprucegate.fleet.quotas.messages import (
+    LeaseGrant,
+    LeaseHolderId,
+    QuotaRequest,
+    SourceDemand,
+    SourceGrant,
+    TenantDemand,
+    TenantSlots,
+)
+from sprucegate.fleet.quotas.settings import LEASE_DURATION, QuotaSettings, Tenant, promise_duration
+from sprucegate.fleet.quotas.slots import AdaptiveLimit
 from sprucegate.routing.actions import AwaitSlot
 from standins.fleet import explore_shares, filling, sharing
 from standins.fleet.rig import Rig
 from tests.helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, router
 
 MS, S = 1_000_000, 1_000_000_000
-TERMS = Terms(((1, 0), (1, 0), (2, 0)), ("a", "b", "c"), {21: 6, 31: 2}, S, 20)
+TERMS = QuotaSettings((Tenant(1, 0), Tenant(1, 0), Tenant(2, 0)), ("a", "b", "c"), {21: 6, 31: 2}, S, 20)
 
 
 # The seam in the rules.
@@ -60,11 +71,11 @@
 
 
 def queue(lent=None, count=2, terms=TERMS):
-    return Queue(terms, lambda source, now: (lent or {}, count))
+    return FairQueue(terms, lambda source, now: AvailableSlots(lent or {}, count))
 
 
 def started(actions):
-    return [a.token for a in actions if isinstance(a, Start)]
+    return [a.token for a in actions if isinstance(a, StartFill)]
 
 
 def test_backlogged_tenants_get_place_time_by_weight_and_not_by_count():
@@ -78,69 +89,73 @@
             used[token[0]] += took[token[0]]
 
     for tenant in (0, 1, 2) * 10:
-        start(one.arrives((tenant, next(order)), 21, tenant, 1 << 60, now))
+        start(one.request_arrived((tenant, next(order)), 21, tenant, 1 << 60, now))
     while now < 40 * S:
         ends.sort()
         now, token = ends.pop(0)
-        start(one.ended(token, took[token[0]], True, now))
-        start(one.arrives((token[0], next(order)), 21, token[0], 1 << 60, now))
+        start(one.fill_ended(token, took[token[0]], True, now))
+        start(one.request_arrived((token[0], next(order)), 21, token[0], 1 << 60, now))
     assert used[0] == pytest.approx(used[1], rel=0.05) and used[2] == pytest.approx(2 * used[0], rel=0.05)
 
 
 def test_one_that_was_idle_has_saved_nothing_up():
     one, now = queue(count=1), 0
-    assert started(one.arrives("a0", 21, 0, 1 << 60, now))
+    assert started(one.request_arrived("a0", 21, 0, 1 << 60, now))
     for n in range(1, 11):
-        one.arrives(f"a{n}", 21, 0, 1 << 60, now)
+        one.request_arrived(f"a{n}", 21, 0, 1 << 60, now)
     for n in range(5):
-        one.ended(f"a{n}", 100 * MS, True, n * 100 * MS)
+        one.fill_ended(f"a{n}", 100 * MS, True, n * 100 * MS)
     for n in range(6):
-        one.arrives(f"b{n}", 21, 1, 1 << 60, 500 * MS)
+        one.request_arrived(f"b{n}", 21, 1, 1 << 60, 500 * MS)
     order, running = [], "a5"
     for n in range(8):
-        [running] = started(one.ended(running, 100 * MS, True, S + n * 100 * MS))
+        [running] = started(one.fill_ended(running, 100 * MS, True, S + n * 100 * MS))
         order.append(running[0])
     assert order.count("b") == 4  # in turn from here on, not six of the one that had nothing
 
 
 def test_who_can_not_be_filled_in_its_time_is_answered_at_once_and_who_waits_before_its_end():
     one = queue(count=1)
-    one.arrives("x", 21, 1, 1 << 60, 0)
-    assert one.arrives("late", 21, 1, 150 * MS, 0) == [GiveUp("late", 21)]  # 100 ms each: two before its end
-    assert one.arrives("waits", 21, 1, 250 * MS, 0) == []
-    assert one.arrives("after", 21, 1, 280 * MS, 0) == [GiveUp("after", 21)]
-    assert one.next_due() == 150 * MS and one.due(149 * MS) == []
-    assert one.due(150 * MS) == [GiveUp("waits", 21)] and not one.waits
-    assert queue(count=0).arrives("none", 21, 1, 50 * MS, 0) == [GiveUp("none", 21)]
+    one.request_arrived("x", 21, 1, 1 << 60, 0)
+    assert one.request_arrived("late", 21, 1, 150 * MS, 0) == [
+        AbandonWait("late", 21)
+    ]  # 100 ms each: two before its end
+    assert one.request_arrived("waits", 21, 1, 250 * MS, 0) == []
+    assert one.request_arrived("after", 21, 1, 280 * MS, 0) == [AbandonWait("after", 21)]
+    assert one.next_deadline() == 150 * MS and one.on_timer(149 * MS) == []
+    assert one.on_timer(150 * MS) == [AbandonWait("waits", 21)] and not one.waiting
+    assert queue(count=0).request_arrived("none", 21, 1, 50 * MS, 0) == [AbandonWait("none", 21)]
 
 
 def test_a_queue_is_bounded_by_tenant_and_a_greedy_one_fills_its_own_alone():
     one = queue(count=1)
-    said = [one.arrives(n, 21, 1, 1 << 60, 0) for n in range(40)]
-    assert sum(bool(a and isinstance(a[0], GiveUp)) for a in said) == 19
-    assert one.arrives("other", 21, 2, 1 << 60, 0) == []
+    said = [one.request_arrived(n, 21, 1, 1 << 60, 0) for n in range(40)]
+    assert sum(bool(a and isinstance(a[0], AbandonWait)) for a in said) == 19
+    assert one.request_arrived("other", 21, 2, 1 << 60, 0) == []
 
 
 def test_who_leaves_takes_no_place_and_what_may_go_on_at_the_source_keeps_its_own():
     one = queue(count=1)
-    one.arrives("x", 21, 1, 1 << 60, 0)
-    one.arrives("y", 21, 1, 1 << 60, 0)
-    one.arrives("z", 21, 2, 1 << 60, 0)
-    one.left("y")
-    one.lingers("x", 300 * MS)  # its client left; the fill may run for `longest`
-    assert one.due(999 * MS) == [] and one.next_due() == S
-    assert one.due(S) == [Start("z", 21)]
-    assert one.sources[21].tags[1] > S // 2  # and it is paid for
+    one.request_arrived("x", 21, 1, 1 << 60, 0)
+    one.request_arrived("y", 21, 1, 1 << 60, 0)
+    one.request_arrived("z", 21, 2, 1 << 60, 0)
+    one.request_cancelled("y")
+    one.fill_detached("x", 300 * MS)  # its client left; the fill may run for `longest`
+    assert one.on_timer(999 * MS) == [] and one.next_deadline() == S
+    assert one.on_timer(S) == [StartFill("z", 21)]
+    assert one.sources[21].finish_tags[1] > S // 2  # and it is paid for
 
 
 def test_what_is_lent_to_a_tenant_goes_before_what_is_lent_to_nobody():
     lent = {2: 1}
     one = queue(lent, 2)
-    assert started(one.arrives("a", 21, 1, 1 << 60, 0)) and started(one.arrives("b", 21, 1, 1 << 60, 0))
-    one.arrives("c", 21, 1, 1 << 60, 0)
-    one.arrives("g", 21, 2, 1 << 60, 0)
-    assert started(one.ended("a", 100 * MS, True, 0)) == ["g"]
-    assert started(one.ended("b", 100 * MS, True, 0)) == ["c"]
+    assert started(one.request_arrived("a", 21, 1, 1 << 60, 0)) and started(
+        one.request_arrived("b", 21, 1, 1 << 60, 0)
+    )
+    one.request_arrived("c", 21, 1, 1 << 60, 0)
+    one.request_arrived("g", 21, 2, 1 << 60, 0)
+    assert started(one.fill_ended("a", 100 * MS, True, 0)) == ["g"]
+    assert started(one.fill_ended("b", 100 * MS, True, 0)) == ["c"]
 
 
 @pytest.mark.parametrize(
@@ -164,56 +179,69 @@
 def test_floors_of_all_fronts_make_the_places_and_no_more():
     for count, size, source in itertools.product((0, 1, 2, 5, 8, 9), (1, 3, 8), (21, 22, 31)):
         names = tuple(f"n{at}" for at in range(size))
-        terms = Terms(((1, 0),), names, {source: count}, S)
+        terms = QuotaSettings((Tenant(1, 0),), names, {source: count}, S)
         assert sum(terms.floor(name, source) for name in names) == count
         assert terms.floor("stranger", source) == 0 == terms.floor("n0", 99)
 
 
 def working(now=10 * S):
     """A borrower whose floors no former life can have lent any more, with a view."""
-    one = Borrower("a", 1, TERMS, now - 2 * later(TERMS.waive))
-    one.borrows = one.floors = True
+    one = Borrower("a", 1, TERMS, now - 2 * promise_duration(TERMS.floor_waiver))
+    one.may_borrow = one.may_use_floors = True
     return one
 
 
 def test_a_lease_counts_from_the_question_and_is_checked_at_the_decision():
     one = working()
-    assert one.room(21, 10 * S) == ({}, 2)  # its floor
-    one.moves(("b", 7), 10 * S)
-    [said] = one.due(lambda s: ([[1, 0, 3]], 0), lambda s: (0, 0), 10 * S)
+    assert one.available_slots(21, 10 * S) == ({}, 2)  # its floor
+    one.follow(LeaseHolderId("b", 7), 10 * S)
+    [said] = one.on_timer(lambda s: SourceState([TenantDemand(1, 0, 3)], 0), lambda s: (0, 0), 10 * S)
     need = said.message
-    assert isinstance(said, Send) and (said.to, need.steward, need.echo) == ("b", 7, 0)
-    assert one.room(21, 10 * S) == ({}, 0)  # its floor is the steward's to lend from here on
-    assert one.heard("b", Lent(need.turn, need.number, 5, 9, [[21, 1, [[1, 2]]]]), 10 * S + 100 * MS)
-    assert one.room(21, 10 * S + LEASE - 1) == ({1: 2}, 3)
-    assert one.room(21, 10 * S + LEASE) == ({}, 0)  # it stood still: no timer had to tell
-    assert not one.heard("b", Lent(need.turn, need.number, 5, 9, []), 10 * S)  # twice
-    assert not one.heard("c", Lent(need.turn, need.number, 5, 10, []), 10 * S)  # not its steward
-    back = 10 * S + later(TERMS.waive)
-    assert one.room(21, back - 1) == ({}, 0) and one.room(21, back) == ({}, 2)
-    one.borrows = one.floors = False
-    assert one.room(21, back) == ({}, 0)
+    assert isinstance(said, Send) and (said.to, need.lease_holder, need.echo) == ("b", 7, 0)
+    assert one.available_slots(21, 10 * S) == ({}, 0)  # its floor is the steward's to lend from here on
+    assert one.on_grant(
+        "b",
+        LeaseGrant(need.epoch, need.sequence, 5, 9, [SourceGrant(21, 1, [TenantSlots(1, 2)])]),
+        10 * S + 100 * MS,
+    )
+    assert one.available_slots(21, 10 * S + LEASE_DURATION - 1) == ({1: 2}, 3)
+    assert one.available_slots(21, 10 * S + LEASE_DURATION) == ({}, 0)  # it stood still: no timer had to tell
+    assert not one.on_grant("b", LeaseGrant(need.epoch, need.sequence, 5, 9, []), 10 * S)  # twice
+    assert not one.on_grant("c", LeaseGrant(need.epoch, need.sequence, 5, 10, []), 10 * S)  # not its steward
+    back = 10 * S + promise_duration(TERMS.floor_waiver)
+    assert one.available_slots(21, back - 1) == ({}, 0) and one.available_slots(21, back) == ({}, 2)
+    one.may_borrow = one.may_use_floors = False
+    assert one.available_slots(21, back) == ({}, 0)
 
 
 def need(**more):
-    given = dict(life=1, steward=5, turn=1, number=1, echo=0, grant=0, old=0, held=0, rows=[]) | more
-    return Need(**given)
+    given = dict(
+        incarnation=1, lease_holder=5, epoch=1, sequence=1, echo=0, grant=0, floors_lent=0, lease_counted=0
+    )
+    rows = [
+        SourceDemand(*row, [TenantDemand(*one) for one in tenants]) for *row, tenants in more.pop("rows", [])
+    ]
+    return QuotaRequest(**given | more, sources=rows)
 
 
 def test_a_steward_lends_floors_that_are_surely_its_own_and_never_more():
-    steward, now = Steward(5, TERMS, 0), 100 * S
-    assert steward.heard("a", need(), now)[0].message.rows == []  # nobody's clock is known yet
-    said = steward.heard("a", need(number=2, echo=now, rows=[[21, 0, 0, 0, 0, [[1, 0, 9]]]]), now)[0].message
-    assert said.rows == [[21, 0, [[1, 2]]], [31, 1, []]] and steward.capacity(21, now) == 2
-    assert steward.heard("a", need(number=2, echo=now), now) == []  # twice
-    assert steward.heard("b", need(steward=6, echo=now), now) == []  # meant for another life of this name
-    steward.heard("b", need(echo=now, rows=[[21, 3, 0, 0, 0, [[2, 3, 1]]]]), now)
+    steward, now = LeaseHolder(5, TERMS, 0), 100 * S
+    assert steward.on_request("a", need(), now)[0].message.sources == []  # nobody's clock is known yet
+    said = steward.on_request("a", need(sequence=2, echo=now, rows=[[21, 0, 0, 0, 0, [[1, 0, 9]]]]), now)[
+        0
+    ].message
+    assert said.sources == [(21, 0, [(1, 2)]), (31, 1, [])] and steward.capacity(21, now) == 2
+    assert steward.on_request("a", need(sequence=2, echo=now), now) == []  # twice
+    assert (
+        steward.on_request("b", need(lease_holder=6, echo=now), now) == []
+    )  # meant for another life of this name
+    steward.on_request("b", need(echo=now, rows=[[21, 3, 0, 0, 0, [[2, 3, 1]]]]), now)
     assert steward.capacity(21, now) == 4
     # b uses three still: of four there is one, whatever a may have by weight.
-    said = steward.heard(
-        "a", need(number=3, echo=now, grant=said.grant, rows=[[21, 0, 0, 0, 0, [[1, 0, 9]]]]), now
+    said = steward.on_request(
+        "a", need(sequence=3, echo=now, grant=said.grant, rows=[[21, 0, 0, 0, 0, [[1, 0, 9]]]]), now
     )
-    assert said[0].message.rows[0] == [21, 0, [[1, 1]]]
+    assert said[0].message.sources[0] == (21, 0, [(1, 1)])
     # Once a front was not heard for SLACK its floor is lent no more: leases by it have to be over when it uses it.
     assert steward.capacity(21, now + S) == 0
 
@@ -222,63 +250,65 @@
     "old, held, lent, after", [(0, 0, 0, 2), (S, 0, 0, 0), (S, S, 3, 2), (S, 0, 3, 2), (S, 0, 1, 1)]
 )
 def test_what_a_former_steward_may_still_lend_is_taken_off(old, held, lent, after):
-    steward, now = Steward(5, TERMS, 0), 100 * S
-    steward.heard("a", need(echo=now, old=old, held=held, rows=[[21, 0, lent, 0, 0, []]]), now)
+    steward, now = LeaseHolder(5, TERMS, 0), 100 * S
+    steward.on_request(
+        "a", need(echo=now, floors_lent=old, lease_counted=held, rows=[[21, 0, lent, 0, 0, []]]), now
+    )
     assert steward.capacity(21, now) == after
     later_on = now + 2 * S
-    steward.heard("a", need(number=2, echo=later_on), later_on)
+    steward.on_request("a", need(sequence=2, echo=later_on), later_on)
     assert steward.capacity(21, later_on) == 2
 
 
 def test_fronts_of_the_past_make_way_and_many_lives_at_once_do_not_pile_up():
-    steward = Steward(5, TERMS, 0)
+    steward = LeaseHolder(5, TERMS, 0)
     for at in range(1500):
-        steward.heard(f"x{at}", need(), S)
-    assert len(steward.fronts) == 1000 and not steward.heard("y", need(), 2 * S)
-    assert steward.heard("y", need(), 200 * S) and len(steward.fronts) == 1
+        steward.on_request(f"x{at}", need(), S)
+    assert len(steward.fronts) == 1000 and not steward.on_request("y", need(), 2 * S)
+    assert steward.on_request("y", need(), 200 * S) and len(steward.fronts) == 1
     for life in range(2, 1500):
-        steward.heard("y", need(life=life), 200 * S)
-    assert len(steward.ghosts) <= 1000
+        steward.on_request("y", need(incarnation=life), 200 * S)
+    assert len(steward.former_fronts) <= 1000
 
 
 def test_sources_that_are_not_listed_fill_no_table():
-    steward = Steward(5, TERMS, 0)
-    steward.heard("a", need(echo=S, rows=[[at, 1, 0, 9, 9, [[1, 1, 1]]] for at in range(1000, 2000)]), S)
-    assert not steward.had and not steward.learned and not steward.fronts["a"].want
+    steward = LeaseHolder(5, TERMS, 0)
+    steward.on_request("a", need(echo=S, rows=[[at, 1, 0, 9, 9, [[1, 1, 1]]] for at in range(1000, 2000)]), S)
+    assert not steward.allocator.slot_time and not steward.limits and not steward.fronts["a"].demand
 
 
 def test_places_are_learned_from_what_comes_late_and_grow_with_a_cold_source():
-    one = Learned(0)
-    one.told(10, 4, S)
-    assert one.part == 0.8
+    one = AdaptiveLimit(0)
+    one.fills_ended(10, 4, S)
+    assert one.ratio == 0.8
     for n in range(2, 40):
-        one.told(10, 9, n * S)
-    assert one.part == slots.LEAST
+        one.fills_ended(10, 9, n * S)
+    assert one.ratio == slots.LIMIT_RATIO_MIN
     for n in range(40, 80):
-        one.told(10, 0, n * S)
-    assert one.part == 1.0
+        one.fills_ended(10, 0, n * S)
+    assert one.ratio == 1.0
     assert (
-        slots.cold(100 * S, 10 * S, 0.2, 105 * S) == pytest.approx(0.6)
-        and slots.cold(0, 10 * S, 0.2, 1) == 1.0
+        slots.slow_start_ratio(100 * S, 10 * S, 0.2, 105 * S) == pytest.approx(0.6)
+        and slots.slow_start_ratio(0, 10 * S, 0.2, 1) == 1.0
     )
 
 
 def test_words_on_shares_come_as_they_went_and_what_can_not_be_is_refused():
-    said = Lent(1, 2, 3, 4, [[21, 1, [[2, 5]]]])
-    assert unpacked(packed(said), TERMS) == Lent(1, 2, 3, 4, [(21, 1, [(2, 5)])])
+    said = LeaseGrant(1, 2, 3, 4, [[21, 1, [[2, 5]]]])
+    assert decode(encode(said), TERMS) == LeaseGrant(1, 2, 3, 4, [(21, 1, [(2, 5)])])
     asked_for = need(rows=[[21, 1, 2, 3, 0, [[1, 1, 4]]]])
-    assert unpacked(packed(asked_for), TERMS).rows == [(21, 1, 2, 3, 0, [(1, 1, 4)])]
+    assert decode(encode(asked_for), TERMS).sources == [(21, 1, 2, 3, 0, [(1, 1, 4)])]
     for bad in (
-        Lent(1, 2, 3, 4, [[21, 2, [[2, 5]]]]),
-        Lent(1, 2, 3, 4, [[21, 0, [[9, 1]]]]),
-        Lent(1, 2, 3, 4, [[21, -1, []]]),
+        LeaseGrant(1, 2, 3, 4, [[21, 2, [[2, 5]]]]),
+        LeaseGrant(1, 2, 3, 4, [[21, 0, [[9, 1]]]]),
+        LeaseGrant(1, 2, 3, 4, [[21, -1, []]]),
         need(rows=[[21, -1, 0, 0, 0, []]]),
     ):
         with pytest.raises(FrameError):
-            unpacked(packed(bad), TERMS)
-    for data in (b"", b"\xc1", packed(said)[:-1]):
+            decode(encode(bad), TERMS)
+    for data in (b"", b"\xc1", encode(said)[:-1]):
         with pytest.raises(FrameError):
-            unpacked(data, TERMS)
+            decode(data, TERMS)
 
 
 @pytest.mark.parametrize("size, loss", [(3, 0.0), (4, 0.2), (6, 0.1)])
@@ -298,37 +328,39 @@
 
 
 def _floor_at_once(monkeypatch):
-    def room(self, source, now, room=Borrower.room):
-        return room(self, source, now) if now < self.until else ({}, self.terms.floor(self.name, source))
+    def room(self, source, now, room=Borrower.available_slots):
+        if now < self.expires:
+            return room(self, source, now)
+        return AvailableSlots({}, self.settings.floor(self.name, source))
 
-    monkeypatch.setattr(Borrower, "room", room)
+    monkeypatch.setattr(Borrower, "available_slots", room)
 
 
 def _former_forgotten(monkeypatch):
-    monkeypatch.setattr(Steward, "_surely", staticmethod(lambda front, source, floor, now: floor))
+    monkeypatch.setattr(LeaseHolder, "_lendable", staticmethod(lambda front, source, floor, now: floor))
 
 
 def _never_gives_up(monkeypatch):
-    monkeypatch.setattr(Queue, "next_due", lambda self: None)
-    monkeypatch.setattr(Queue, "due", lambda self, now: [])
+    monkeypatch.setattr(FairQueue, "next_deadline", lambda self: None)
+    monkeypatch.setattr(FairQueue, "on_timer", lambda self, now: [])
 
 
 def _all_to_one(monkeypatch):
     monkeypatch.setattr(
-        Steward,
-        "_shared",
+        SlotAllocator,
+        "divide",
         lambda self, source, capacity, wants, was: {name: ({0: capacity}, 0) for name in wants},
     )
 
 
 def _half_lent(monkeypatch):
     monkeypatch.setattr(
-        Steward, "capacity", lambda self, source, now, c=Steward.capacity: c(self, source, now) // 2
+        LeaseHolder, "capacity", lambda self, source, now, c=LeaseHolder.capacity: c(self, source, now) // 2
     )
 
 
 def _late(monkeypatch):
-    monkeypatch.setattr(Source, "mean", lambda self: 1)
+    monkeypatch.setattr(SourceQueue, "mean_fill_time", lambda self: 1)
 
 
 @pytest.mark.parametrize(
@@ -600,9 +632,12 @@
 
 
 def settled(names, now=10 * S):
-    made = {name: Shares(name, 1, TERMS, now - 2 * later(TERMS.waive)) for name in names}
+    made = {
+        name: QuotaCoordinator(name, 1, TERMS, now - 2 * promise_duration(TERMS.floor_waiver))
+        for name in names
+    }
     for one in made.values():
-        one.viewed([(n, 1) for n in names], True, True, now)
+        one.on_view_changed([(n, 1) for n in names], True, True, now)
     return made
 
 
@@ -612,36 +647,38 @@
     while todo:
         name, action = todo.pop(0)
         if isinstance(action, Send) and action.to in made:
-            todo += [(action.to, a) for a in made[action.to].heard(name, action.message, now)]
-        elif isinstance(action, Moved):
-            moved.append((name, action.steward))
+            todo += [(action.to, a) for a in made[action.to].on_message(name, action.message, now)]
+        elif isinstance(action, LeaseHolderChanged):
+            moved.append((name, action.name))
     return moved
 
 
 def test_one_that_returns_joins_the_steward_that_there_is_and_of_two_the_smaller_gives_way():
     made, now = settled(("a", "b", "c")), 10 * S
-    first = made["a"].borrower.steward[0]
+    first = made["a"].borrower.lease_holder.name
     for _ in range(4):  # all go by the first by hash
         now += 300 * MS
-        carried(made, [(n, x) for n, one in made.items() for x in one.due(now)], now)
-    assert made[first].steward.size(now) == 3
+        carried(made, [(n, x) for n, one in made.items() for x in one.on_timer(now)], now)
+    assert made[first].lease_holder.follower_count(now) == 3
     # Cut off, the others took another; after that the first goes by itself alone, and they by that.
     others = [name for name in made if name != first]
     for name in others:
-        made[name].viewed([(n, 1) for n in others], True, True, now)
-    second = made[others[0]].borrower.steward[0]
-    made[first].viewed([(first, 1)], True, True, now)
+        made[name].on_view_changed([(n, 1) for n in others], True, True, now)
+    second = made[others[0]].borrower.lease_holder.name
+    made[first].on_view_changed([(first, 1)], True, True, now)
     for _ in range(4):
         now += 300 * MS
-        carried({n: made[n] for n in others}, [(n, x) for n in others for x in made[n].due(now)], now)
-        carried({first: made[first]}, [(first, x) for x in made[first].due(now)], now)
+        carried({n: made[n] for n in others}, [(n, x) for n in others for x in made[n].on_timer(now)], now)
+        carried({first: made[first]}, [(first, x) for x in made[first].on_timer(now)], now)
     for one in made.values():
-        one.viewed([(n, 1) for n in made], True, True, now)
+        one.on_view_changed([(n, 1) for n in made], True, True, now)
     moved = []
     for _ in range(5):
         now += 300 * MS
-        moved += carried(made, [(n, x) for n, one in made.items() for x in one.due(now)], now)
-    assert moved == [(first, second)] and {one.borrower.steward[0] for one in made.values()} == {second}
+        moved += carried(made, [(n, x) for n, one in made.items() for x in one.on_timer(now)], now)
+    assert moved == [(first, second)] and {one.borrower.lease_holder.name for one in made.values()} == {
+        second
+    }
 
 
 def test_a_front_whose_fleet_is_off_fills_by_its_floor(tmp_path):
@@ -674,7 +711,9 @@
     front = shared.fronts["n0"]
     with socket.create_connection(("127.0.0.1", front.fleet_port), 3) as sock:
         sock.sendall(codec.greeting(codec.Greeting(codec.VERSION, "rig", "front", "n9", "127.0.0.1:1", 5)))
-        sock.sendall(codec.frame(codec.ComponentMessage("shares", packed(Lent(1, 1, 1, 1, [[0x13, 7, []]])))))
+        sock.sendall(
+            codec.frame(codec.ComponentMessage("shares", encode(LeaseGrant(1, 1, 1, 1, [[0x13, 7, []]]))))
+        )
         sock.settimeout(5)
         while sock.recv(4096):
             pass  # its greeting, then the end
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -32,8 +32,10 @@
 from sprucegate.fleet.consensus.storage import Ledger
 from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.links import codec
+from sprucegate.fleet.quotas import codec as quota_codec
 from sprucegate.fleet.quotas import component as shares
-from sprucegate.fleet.quotas import settings
+from sprucegate.fleet.quotas import messages as quota_messages
+from sprucegate.fleet.quotas.settings import QuotaSettings
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import facts, replica
 from sprucegate.fleet.replica_storage import Keeping, packed
@@ -85,10 +87,10 @@
 
 # Words on shares, as shares/part numbers them. They travel inside a word for a part of the fleet.
 SHARES_KINDS = {
-    "1-need": settings.Need,
-    "2-lent": settings.Lent,
-    "3-asks": settings.Asks,
-    "4-goes": settings.Goes,
+    "1-need": quota_messages.QuotaRequest,
+    "2-lent": quota_messages.LeaseGrant,
+    "3-asks": quota_messages.LeaseHolderQuery,
+    "4-goes": quota_messages.LeaseHolderNotice,
 }
 
 # Who begins a connection, and what the command line asks of a front: records without a kind.
@@ -131,10 +133,10 @@
     log_follower.Proposed: "number index word leader",
     durability_check.Begins: "start being known",
     durability_check.Begun: "start being ok green known",
-    settings.Need: "life steward turn number echo grant old held rows",
-    settings.Lent: "turn number stamp grant rows",
-    settings.Asks: "life size",
-    settings.Goes: "name life size",
+    quota_messages.QuotaRequest: "incarnation lease_holder epoch sequence echo grant floors_lent lease_counted sources",
+    quota_messages.LeaseGrant: "epoch sequence stamp grant sources",
+    quota_messages.LeaseHolderQuery: "incarnation followers",
+    quota_messages.LeaseHolderNotice: "name incarnation followers",
     facts.Fact: "key value dot",
     events.BeliefGossip: "object part cache started remaining age",
     events.EjectionGossip: "cache started as_source remaining slowness age",
@@ -177,7 +179,7 @@
     return {
         "frames": list(codec.KINDS[1:]),
         "agreed": list(consensus_codec.KINDS[1:]),
-        "shares": list(shares.KINDS[1:]),
+        "shares": list(quota_codec.KINDS[1:]),
     }
 
 
@@ -232,15 +234,15 @@
 def encoded_shares(label, fields):
     """A word on shares as one frame between fronts."""
     return codec.frame(
-        codec.ComponentMessage(shares.QuotaComponent.name, shares.packed(SHARES_KINDS[label](*fields)))
+        codec.ComponentMessage(shares.QuotaComponent.name, quota_codec.encode(SHARES_KINDS[label](*fields)))
     )
 
 
 def decoded_shares(data, tenants, places):
     """(part of the fleet, label, fields, the frame encoded anew); `tenants` and `places` are the operator's."""
     word = codec.message(*payloads_of(data))
-    made = shares.unpacked(word.data, settings.Terms(tenants, (), places, 0))
-    frame = codec.frame(codec.ComponentMessage(word.part, shares.packed(made)))
+    made = quota_codec.decode(word.data, QuotaSettings(tenants, (), places, 0))
+    frame = codec.frame(codec.ComponentMessage(word.part, quota_codec.encode(made)))
     return word.part, _label(SHARES_KINDS, made), plain(made), frame
 
 
