--- a/benchmarks/serverfiles.py
+++ b/benchmarks/serverfiles.py
@@ -26,8 +26,8 @@
 from sprucegate.assembly import run
 from sprucegate.cli.operator_file import parse
 from sprucegate.discovery import moves
-from sprucegate.discovery.listfile import render
-from sprucegate.discovery.view import Server
+from sprucegate.discovery.list_format import render
+from sprucegate.discovery.merged_view import Server
 from sprucegate.front import configuration
 from sprucegate.routing.events import Endpoint, EndpointState
 from sprucegate.storage.snapshots import SnapshotStore
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -48,8 +48,8 @@
         from sprucegate.fleet.service import FleetService
 
         if driver.membership is None:
-            from sprucegate.discovery.merged import Merged
-            from sprucegate.discovery.view import View
+            from sprucegate.discovery.merged_endpoints import Merged
+            from sprucegate.discovery.merged_view import View
 
             driver.membership = Merged(driver, View(("bus",), 0, driver.clock()))
         driver.fleet = FleetService(
--- a/sprucegate/cli/servers.py
+++ b/sprucegate/cli/servers.py
@@ -11,7 +11,7 @@
 from sprucegate import clock
 from sprucegate.cli import operator_file
 from sprucegate.config import source_locations
-from sprucegate.discovery import listfile, moves, reading
+from sprucegate.discovery import list_format, list_reader, moves
 from sprucegate.routing.events import EndpointState
 from sprucegate.storage.disk import Disk, replace_file
 from sprucegate.storage.snapshots import SnapshotStore
@@ -66,8 +66,8 @@
 
 def _list(path, names, as_json):
     try:
-        return listfile.parse(reading.read(path).texts, *names)
-    except reading.FileIncompleteError as fault:
+        return list_format.parse(list_reader.read(path).texts, *names)
+    except list_reader.FileIncompleteError as fault:
         _fail(str(fault), as_json)
     except source_locations.OperatorFileError as fault:
         _fail(str(fault), as_json, file=fault.file, line=fault.line, key=fault.key)
--- a/sprucegate/discovery/listfile.py
+++ b/sprucegate/discovery/list_format.py
@@ -17,7 +17,7 @@
 
 from sprucegate.config import source_locations
 from sprucegate.config.source_locations import OperatorFileError
-from sprucegate.discovery.view import Server
+from sprucegate.discovery.merged_view import Server
 from sprucegate.routing.events import Endpoint, EndpointState
 from sprucegate.upstream.hosts import endpoint_id
 
--- a/sprucegate/discovery/reading.py
+++ b/sprucegate/discovery/list_reader.py
@@ -13,7 +13,7 @@
 import ckdl
 
 from sprucegate.config.source_locations import OperatorFileError
-from sprucegate.discovery.listfile import SIZE_MOST
+from sprucegate.discovery.list_format import SIZE_MOST
 from sprucegate.errors import ConfigurationError
 
 SETTLE = 0.03  # seconds between two reads of a file without a digest
--- a/sprucegate/discovery/merged.py
+++ b/sprucegate/discovery/merged_endpoints.py
@@ -1,6 +1,6 @@
 """The merged view between what tells of servers and the driver, where no file is watched."""
 
-from sprucegate.discovery.view import Server
+from sprucegate.discovery.merged_view import Server
 from sprucegate.upstream.hosts import EndpointList
 
 
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -11,10 +11,10 @@
 
 from sprucegate import clock
 from sprucegate.config.source_locations import OperatorFileError
-from sprucegate.discovery import reading
-from sprucegate.discovery.gate import Gate
-from sprucegate.discovery.merged import Merged, hosts_of
-from sprucegate.discovery.view import View
+from sprucegate.discovery import list_reader
+from sprucegate.discovery.merged_endpoints import Merged, hosts_of
+from sprucegate.discovery.merged_view import View
+from sprucegate.discovery.safety_gate import Gate
 from sprucegate.discovery.worker import flat, server_of
 from sprucegate.storage.disk import Disk
 from sprucegate.storage.snapshots import SnapshotStore
@@ -295,7 +295,7 @@
         while True:
             events, before = self.events, self.seen
             await asyncio.sleep(self.node.poll / S)
-            self.seen = reading.signature(self.node.file)
+            self.seen = list_reader.signature(self.node.file)
             if self.seen != before:
                 if events == self.events and before is not None and not self.polled:
                     self.polled = True
--- a/sprucegate/discovery/worker.py
+++ b/sprucegate/discovery/worker.py
@@ -8,8 +8,8 @@
 import orjson
 
 from sprucegate.config import source_locations
-from sprucegate.discovery import listfile, reading
-from sprucegate.discovery.view import Server
+from sprucegate.discovery import list_format, list_reader
+from sprucegate.discovery.merged_view import Server
 from sprucegate.routing.events import Endpoint, EndpointState
 
 PIECE = 200
@@ -41,11 +41,11 @@
 def answers(asked):
     """What is said to one request, as objects: the last one has no `more`."""
     try:
-        read = reading.read(asked["path"])
+        read = list_reader.read(asked["path"])
         if read.digest == asked["digest"]:
             return [{"same": True}]
-        servers = listfile.parse(read.texts, asked["locations"], asked["kinds"])
-    except reading.FileIncompleteError as fault:
+        servers = list_format.parse(read.texts, asked["locations"], asked["kinds"])
+    except list_reader.FileIncompleteError as fault:
         return [{"unsettled": str(fault)}]
     except source_locations.OperatorFileError as fault:
         return [{"faulty": [fault.file, fault.line, fault.key, fault.text]}]
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from sprucegate.config.source_locations import OperatorFileError
-from sprucegate.discovery import listfile, reading
-from sprucegate.discovery.gate import Gate
-from sprucegate.discovery.listfile import parse, render
-from sprucegate.discovery.reading import FileIncompleteError, read
-from sprucegate.discovery.view import Server, Standing, View
+from sprucegate.discovery import list_format, list_reader
+from sprucegate.discovery.list_format import parse, render
+from sprucegate.discovery.list_reader import FileIncompleteError, read
+from sprucegate.discovery.merged_view import Server, Standing, View
+from sprucegate.discovery.safety_gate import Gate
 from sprucegate.routing.events import Endpoint, EndpointState
 from sprucegate.upstream.hosts import endpoint_id
 
@@ -254,7 +254,7 @@
 
 
 def test_more_entries_than_the_bound_are_refused(monkeypatch):
-    monkeypatch.setattr(listfile, "ENTRIES_MOST", 2)
+    monkeypatch.setattr(list_format, "ENTRIES_MOST", 2)
     with pytest.raises(OperatorFileError, match="more than 2"):
         parse([("f", GOOD)], LOCATIONS, KINDS)
 
@@ -270,7 +270,7 @@
     (tmp_path / "list.kdl.sha256").write_text(first.digest + "  list.kdl\n")
     assert read(str(path), settle=60) == first  # no waiting where the digest says it
     (tmp_path / "list.kdl.sha256").unlink()
-    monkeypatch.setattr(reading.time, "sleep", lambda _: path.write_text(GOOD + "\n"))
+    monkeypatch.setattr(list_reader.time, "sleep", lambda _: path.write_text(GOOD + "\n"))
     with pytest.raises(FileIncompleteError):
         read(str(path))
 
@@ -282,11 +282,11 @@
     path.write_bytes(b"\xff\n")
     with pytest.raises(OperatorFileError, match="UTF-8"):
         read(str(path))
-    monkeypatch.setattr(reading, "SIZE_MOST", 1)
+    monkeypatch.setattr(list_reader, "SIZE_MOST", 1)
     with pytest.raises(OperatorFileError, match="larger"):
         read(str(path))
     monkeypatch.setattr(
-        reading, "open", lambda *_: (_ for _ in ()).throw(PermissionError(13, "denied")), raising=False
+        list_reader, "open", lambda *_: (_ for _ in ()).throw(PermissionError(13, "denied")), raising=False
     )
     with pytest.raises(OperatorFileError, match="denied"):
         read(str(path))
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -25,8 +25,8 @@
 import msgspec
 
 from sprucegate import clock
+from sprucegate.discovery import merged_view as membership_view
 from sprucegate.discovery import service as membership
-from sprucegate.discovery import view as membership_view
 from sprucegate.fleet.consensus import codec as consensus_codec
 from sprucegate.fleet.consensus import durability_check, log_follower, raft_node
 from sprucegate.fleet.consensus.storage import Ledger
