--- a/sprucegate/discovery/list_format.py
+++ b/sprucegate/discovery/list_format.py
@@ -22,8 +22,8 @@
 from sprucegate.upstream.hosts import endpoint_id
 
 MS = 1_000_000
-SIZE_MOST = 10_000_000  # bytes of a list, of all its parts together
-ENTRIES_MOST = 20_000
+LIST_BYTES_MAX = 10_000_000  # of all parts together
+ENTRIES_MAX = 20_000
 ADDRESS = re.compile(r"[0-9A-Za-z.\-]{1,253}:([0-9]{1,5})")
 
 
@@ -64,8 +64,8 @@
                 raise _fault(file, text, at, key, said) from None
             weights += one.weight
             found.append(server)
-            if len(found) > ENTRIES_MOST:
-                raise _fault(file, text, at, "servers", f"more than {ENTRIES_MOST} entries")
+            if len(found) > ENTRIES_MAX:
+                raise _fault(file, text, at, "servers", f"more than {ENTRIES_MAX} entries")
     file = texts[0][0] if texts else "?"
     if not found:
         raise OperatorFileError(file, 1, "servers", "names no servers: an empty list is taken for a mistake")
--- a/sprucegate/discovery/list_reader.py
+++ b/sprucegate/discovery/list_reader.py
@@ -1,125 +1,147 @@
 """Reading a list whole or not at all, from a file or a folder of parts. Blocking: it runs in a thread or a worker.
 
-A file is whole where its digest says so (`FILE.sha256` beside it, or the manifest of a folder); else where size, mtime,
-inode and bytes are the same at two reads `SETTLE` apart. A folder is whole where its manifest names each part's digest.
+A file is whole where its digest says so (`FILE.sha256` beside it); else where size, mtime, inode and bytes are the same
+at two reads SETTLE_S apart. A folder is whole where its manifest names each part's digest.
 """
 
 import hashlib
 import os
 import time
 from pathlib import Path
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import ckdl
 
 from sprucegate.config.source_locations import OperatorFileError
-from sprucegate.discovery.list_format import SIZE_MOST
+from sprucegate.discovery.list_format import LIST_BYTES_MAX
 from sprucegate.errors import ConfigurationError
 
-SETTLE = 0.03  # seconds between two reads of a file without a digest
+SETTLE_S = 0.03  # between two reads of a file without a digest
 MANIFEST = "manifest.kdl"
-PARTS_MOST = 64
+PARTS_MAX = 64
+DIGEST_FILE_CHARACTERS_MAX = 200
 
+Signature = tuple[int, int, int]  # inode, size, mtime in ns
 
-class Read(NamedTuple):
-    texts: list  # (file, text) of each part
-    digest: str  # of all bytes: the same content is no new generation
+
+class ListContents(NamedTuple):
+    """A list that was read whole.
+
+    :ivar texts: (file, text) of each part.
+    :ivar digest: SHA-256 in hex; the same content is no new generation.
+    """
+
+    texts: list[tuple[str, str]]
+    digest: str
 
 
 class FileIncompleteError(ConfigurationError):
-    """It is being written, or not there at all: asked for again soon, and no fault yet."""
+    """The list is being written, or is not there at all: to be read again soon, and no fault yet."""
 
 
-def signature(path):
-    """What tells a change without reading: of a folder, of its manifest."""
+def signature(path: str) -> Signature | None:
+    """Return what tells a change without reading (of a folder: of its manifest), or None where nothing is there."""
     try:
-        at = Path(path)
-        at = at / MANIFEST if at.is_dir() else at
-        found = at.stat()
-        return found.st_ino, found.st_size, found.st_mtime_ns
+        file = Path(path)
+        if file.is_dir():
+            file = file / MANIFEST
+        return _signature_of(file.stat())
     except OSError:
         return None
 
 
-def read(path, settle=SETTLE):
-    """A Read; raises Unsettled where it is not whole, Faulty where it can't become so by waiting."""
+def _signature_of(found: os.stat_result) -> Signature:
+    return found.st_ino, found.st_size, found.st_mtime_ns
+
+
+def read(path: str, settle: float = SETTLE_S) -> ListContents:
+    """Return the list; raises FileIncompleteError where it isn't whole, OperatorFileError where waiting won't help.
+
+    `settle`: seconds between two reads of a file without a digest.
+    """
     try:
-        return _folder(path) if os.path.isdir(path) else _file(path, settle)
+        return _read_folder(Path(path)) if Path(path).is_dir() else _read_file(path, settle)
     except FileNotFoundError:
-        raise FileIncompleteError(f"{path} is not there") from None
+        problem = f"{path} is not there"
+        raise FileIncompleteError(problem) from None
     except OSError as fault:
         raise OperatorFileError(path, 1, "", f"can't be read: {fault.strerror}") from None
 
 
-def _bytes(path):
-    with open(path, "rb") as file:
+def _read_bytes(path: str | Path) -> tuple[bytes, Signature]:
+    with open(path, "rb") as file:  # noqa: PTH123 - the tests inject faults at this call by its name
         found = os.fstat(file.fileno())
-        data = file.read(SIZE_MOST + 1)
-    if len(data) > SIZE_MOST:
-        raise OperatorFileError(str(path), 1, "", f"is larger than {SIZE_MOST} bytes")
-    return data, (found.st_ino, found.st_size, found.st_mtime_ns)
+        data = file.read(LIST_BYTES_MAX + 1)
+    if len(data) > LIST_BYTES_MAX:
+        raise OperatorFileError(str(path), 1, "", f"is larger than {LIST_BYTES_MAX} bytes")
+    return data, _signature_of(found)
 
 
-def _text(path, data):
+def _decode(path: str | Path, data: bytes) -> str:
     try:
         return data.decode()
     except UnicodeDecodeError as fault:
-        raise OperatorFileError(
-            str(path), data.count(b"\n", 0, fault.start) + 1, "", "is not UTF-8"
-        ) from None
+        line = data.count(b"\n", 0, fault.start) + 1
+        raise OperatorFileError(str(path), line, "", "is not UTF-8") from None
 
 
-def _file(path, settle):
-    data, seen = _bytes(path)
+def _read_file(path: str, settle: float) -> ListContents:
+    data, seen = _read_bytes(path)
     digest = hashlib.sha256(data).hexdigest()
     try:
-        said = Path(f"{path}.sha256").read_text()[:200].split()[:1]
+        words = Path(f"{path}.sha256").read_text()[:DIGEST_FILE_CHARACTERS_MAX].split()
     except FileNotFoundError:
-        said = None
-    if said is not None:
-        if said != [digest]:
-            raise FileIncompleteError(f"{path} does not have the digest that {path}.sha256 says")
-    else:
         time.sleep(settle)
-        if _bytes(path) != (data, seen) or len(data) != seen[1]:
-            raise FileIncompleteError(f"{path} is being written")
-    return Read([(str(path), _text(path, data))], digest)
+        if _read_bytes(path) != (data, seen) or len(data) != seen[1]:
+            problem = f"{path} is being written"
+            raise FileIncompleteError(problem) from None
+    else:
+        if words[:1] != [digest]:
+            problem = f"{path} does not have the digest that {path}.sha256 says"
+            raise FileIncompleteError(problem)
+    return ListContents([(str(path), _decode(path, data))], digest)
+
+
+def _read_folder(folder: Path) -> ListContents:
+    parts = _manifest_parts(folder / MANIFEST)
+    texts = []
+    digests = hashlib.sha256()
+    size = 0
+    for name, digest in parts:
+        data, _ = _read_bytes(folder / name)
+        size += len(data)
+        if size > LIST_BYTES_MAX:
+            raise OperatorFileError(str(folder), 1, "", f"its parts are larger than {LIST_BYTES_MAX} bytes")
+        if hashlib.sha256(data).hexdigest() != digest:
+            problem = f"{folder / name} does not have the digest that the manifest says"
+            raise FileIncompleteError(problem)
+        digests.update(digest.encode())
+        texts.append((str(folder / name), _decode(folder / name, data)))
+    return ListContents(texts, digests.hexdigest())
 
 
-def _folder(path):
-    base = Path(path)
-    manifest, _ = _bytes(base / MANIFEST)
+def _manifest_parts(manifest: Path) -> list[tuple[str, str]]:
+    """Return (name, digest) of each part that a manifest names."""
+    data, _ = _read_bytes(manifest)
+    text = _decode(manifest, data)
     try:
-        nodes = ckdl.parse(_text(base / MANIFEST, manifest)).nodes
-    except OperatorFileError:
-        raise
-    except Exception:
-        raise FileIncompleteError(f"{base / MANIFEST} is not KDL, or is being written") from None
-    named = []
-    for at, node in enumerate(nodes):
-        digest = node.properties.get("sha256")
-        if (
-            node.name != "part"
-            or len(node.args) != 1
-            or not isinstance(node.args[0], str)
-            or (not isinstance(digest, str))
-            or "/" in node.args[0]
-            or node.args[0].startswith(".")
-        ):
-            raise OperatorFileError(
-                str(base / MANIFEST), at + 1, node.name, 'wants `part "NAME" sha256="..."`'
-            )
-        named.append((node.args[0], digest))
-    if not named or len(named) > PARTS_MOST:
-        raise OperatorFileError(str(base / MANIFEST), 1, "part", f"from 1 to {PARTS_MOST} parts are wanted")
-    texts, whole, size = [], hashlib.sha256(), 0
-    for name, digest in named:
-        data, _ = _bytes(base / name)
-        size += len(data)
-        if size > SIZE_MOST:
-            raise OperatorFileError(str(base), 1, "", f"its parts are larger than {SIZE_MOST} bytes")
-        if hashlib.sha256(data).hexdigest() != digest:
-            raise FileIncompleteError(f"{base / name} does not have the digest that the manifest says")
-        whole.update(digest.encode())
-        texts.append((str(base / name), _text(base / name, data)))
-    return Read(texts, whole.hexdigest())
+        nodes = ckdl.parse(text).nodes
+    except Exception:  # ckdl raises several kinds
+        problem = f"{manifest} is not KDL, or is being written"
+        raise FileIncompleteError(problem) from None
+    parts = []
+    for index, node in enumerate(nodes):
+        if not _is_part(node):
+            raise OperatorFileError(str(manifest), index + 1, node.name, 'wants `part "NAME" sha256="..."`')
+        parts.append((node.args[0], node.properties["sha256"]))
+    if not parts or len(parts) > PARTS_MAX:
+        raise OperatorFileError(str(manifest), 1, "part", f"from 1 to {PARTS_MAX} parts are wanted")
+    return parts
+
+
+def _is_part(node: Any) -> bool:
+    """Whether a node names a file of the folder itself, and its digest."""
+    if node.name != "part" or len(node.args) != 1 or not isinstance(node.properties.get("sha256"), str):
+        return False
+    name = node.args[0]
+    return isinstance(name, str) and "/" not in name and not name.startswith(".")
--- a/sprucegate/discovery/moves.py
+++ b/sprucegate/discovery/moves.py
@@ -1,24 +1,35 @@
-"""What a change of a list moves: the share of objects whose first server is another one, by the rules' own hash."""
+"""What a change of a list moves: the share of objects whose first server is another one, by the router's own hash."""
 
 from collections import Counter, defaultdict
 from typing import NamedTuple
 
-from sprucegate.routing.events import EndpointState
+from sprucegate.discovery.merged_view import Server
+from sprucegate.routing.events import Endpoint, EndpointState
 from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
 
-OBJECTS = 2000  # looked at in each group of one location and kind
-WORK = 1_000_000  # objects times servers in a group, at most: then fewer are looked at
+SAMPLE_SIZE = 2000  # objects looked at in each group of one location and kind
+SAMPLE_SIZE_MIN = 100
+OBJECTS_TIMES_SERVERS_MAX = 1_000_000  # in a large group fewer objects are looked at
 
+Group = tuple[int, int]  # location and kind
+
+
+class GroupMoves(NamedTuple):
+    """The moves of one group.
+
+    :ivar objects: how many were looked at; `moved`: of these, how many have another first server.
+    :ivar least: how many had to move, by the objects that each server has more than before.
+    :ivar gained: {endpoint id: objects that it has now and had not}.
+    """
 
-class Moved(NamedTuple):
     objects: int
     moved: int
-    least: int  # that had to move, by how many more each server has afterwards
-    gained: dict  # server's id -> objects that it has now and had not
+    least: int
+    gained: dict[int, int]
 
 
-def _groups(servers):
+def _groups(servers: list[Server]) -> dict[Group, list[Endpoint]]:
     groups = defaultdict(list)
     for server in servers:
         if server.entry.state is EndpointState.SERVING and not server.held:
@@ -26,21 +37,31 @@
     return groups
 
 
-def _firsts(entries, count):
-    location = entries[0].location
-    router = Router(RoutingSettings(my_location=location), 0, 0)
+def _first_servers(entries: list[Endpoint], count: int) -> list[int]:
+    """Return the endpoint id of the first server of each of `count` objects."""
+    router = Router(RoutingSettings(my_location=entries[0].location), 0, 0)
     router.update_endpoints(entries, True, 0)
-    return [router.hashing["cache"].best(at.to_bytes(8, "big") + bytes(4), 1)[0].id for at in range(count)]
-
-
-def moves(before, after, objects=OBJECTS):
-    """Per (location, kind) that stands in both lists, a Moved; a group that is new or gone has nothing to compare."""
-    old, new, found = _groups(before), _groups(after), {}
-    for group in sorted(old.keys() & new.keys()):
-        count = max(100, min(objects, WORK // max(len(old[group]), len(new[group]))))
-        was, now = _firsts(old[group], count), _firsts(new[group], count)
-        gained = Counter(b for a, b in zip(was, now, strict=True) if a != b)
-        had, has = Counter(was), Counter(now)
-        least = sum(max(0, has[at] - had[at]) for at in has)
-        found[group] = Moved(count, gained.total(), least, dict(gained))
+    hashing = router.hashing["cache"]
+    objects = (number.to_bytes(8, "big") + bytes(4) for number in range(count))
+    return [hashing.best(name, 1)[0].id for name in objects]
+
+
+def moves(before: list[Server], after: list[Server], objects: int = SAMPLE_SIZE) -> dict[Group, GroupMoves]:
+    """Return the moves of each group that stands in both lists; a group that is new or gone has nothing to compare."""
+    old_groups = _groups(before)
+    new_groups = _groups(after)
+    found = {}
+    for group in sorted(old_groups.keys() & new_groups.keys()):
+        old = old_groups[group]
+        new = new_groups[group]
+        count = max(SAMPLE_SIZE_MIN, min(objects, OBJECTS_TIMES_SERVERS_MAX // max(len(old), len(new))))
+        found[group] = _compare(_first_servers(old, count), _first_servers(new, count))
     return found
+
+
+def _compare(before: list[int], after: list[int]) -> GroupMoves:
+    gained = Counter(new for old, new in zip(before, after, strict=True) if old != new)
+    counts_before = Counter(before)
+    counts_after = Counter(after)
+    least = sum(max(0, count - counts_before[server]) for server, count in counts_after.items())
+    return GroupMoves(len(after), gained.total(), least, dict(gained))
--- a/sprucegate/discovery/safety_gate.py
+++ b/sprucegate/discovery/safety_gate.py
@@ -1,57 +1,82 @@
-"""The gate before the view: a list that takes away too much of a location at once is held until it is confirmed.
+"""The safety gate: a list that takes away too much of a location at once is held until it is confirmed. No I/O.
 
-No I/O. Drains go through at once whatever is held: a drain kept late breaks a promise, a removal kept late costs tries.
+Drains pass at once whatever is held: a drain applied late breaks a promise, a removal applied late costs attempts.
 """
 
 from collections import Counter
 from typing import NamedTuple
 
+from sprucegate.discovery.merged_view import Server
 from sprucegate.routing.events import EndpointState
 
 
-class Held(NamedTuple):
-    number: int  # by which it is confirmed
-    servers: list
-    until: int  # ns: then it is applied all the same
+class HeldList(NamedTuple):
+    """A list that waits for its confirmation.
+
+    :ivar number: by which an operator confirms it.
+    :ivar until: time (ns) at which it is applied without a confirmation.
+    :ivar location: the location that loses the largest share; `share`: of its servers.
+    """
+
+    number: int
+    servers: list[Server]
+    until: int
     location: int
-    share: float  # of that location that it takes away
+    share: float
 
 
-class Passed(NamedTuple):
-    """What is applied now: `servers` whole, or only its drains where `held` has the rest."""
+class GateDecision(NamedTuple):
+    """What is to be applied now: a list whole, or only the drains of one that is held."""
 
-    servers: list
+    servers: list[Server]
     whole: bool
-    held: Held | None
+    held: HeldList | None
+
 
+class SafetyGate:
+    """Holds at most one list, the newest. `share`: of a location that may go at once; `hold`: ns of holding."""
 
-class Gate:
-    def __init__(self, share, hold):
-        """`share`: of a location that may go at once; `hold`: ns for which a larger loss is held."""
-        self.share, self.hold, self.held, self.number = share, hold, None, 0
+    def __init__(self, share: float, hold: int) -> None:
+        self.share = share
+        self.hold = hold
+        self.held: HeldList | None = None
+        self.number = 0
 
-    def offered(self, current, servers, now, held=False):
-        """A whole list, against `current`, what this source's list was (Server by id); `held`: by another front."""
+    def offer(
+        self, current: dict[int, Server], servers: list[Server], now: int, held: bool = False
+    ) -> GateDecision:
+        """Decide on a whole list, against `current`, this source's list so far by endpoint id.
+
+        `held`: another front holds the same list, so that any removal of it is held here as well.
+        """
         self.number += 1
-        before = Counter(s.entry.location for s in current.values())
-        stays = {s.entry.id for s in servers}
-        lost = Counter(s.entry.location for at, s in current.items() if at not in stays)
-        worst = max(((lost[place] / count, place) for place, count in before.items()), default=(0, -1))
-        if worst[0] <= self.share and not (held and worst[0]):
-            self.held = None  # a newer list stands for one that was held
-            return Passed(servers, True, None)
+        share, location = _largest_loss(current, servers)
+        if share <= self.share and not (held and share):
+            self.held = None  # a newer list replaces one that was held
+            return GateDecision(servers, True, None)
         drains = [s for s in servers if s.entry.state is EndpointState.DRAINING and s.entry.id in current]
-        self.held = Held(self.number, servers, now + self.hold, worst[1], worst[0])
-        return Passed(drains, False, self.held)
+        self.held = HeldList(self.number, servers, now + self.hold, location, share)
+        return GateDecision(drains, False, self.held)
 
-    def confirmed(self, number):
-        """The held list, where it is that one; None else."""
+    def confirm(self, number: int) -> GateDecision | None:
+        """Release the held list, where it has this number; else return None."""
         if self.held is None or self.held.number != number:
             return None
-        held, self.held = self.held, None
-        return Passed(held.servers, True, None)
+        servers = self.held.servers
+        self.held = None
+        return GateDecision(servers, True, None)
 
-    def due(self, now):
+    def on_timer(self, now: int) -> GateDecision | None:
+        """Release the held list once its time is over."""
         if self.held is None or now < self.held.until:
             return None
-        return self.confirmed(self.held.number)
+        return self.confirm(self.held.number)
+
+
+def _largest_loss(current: dict[int, Server], servers: list[Server]) -> tuple[float, int]:
+    """Return (share of a location's servers that `servers` lacks, location), the largest; (0, -1) without servers."""
+    before = Counter(server.entry.location for server in current.values())
+    remaining = {server.entry.id for server in servers}
+    lost = Counter(server.entry.location for one, server in current.items() if one not in remaining)
+    losses = ((lost[location] / count, location) for location, count in before.items())
+    return max(losses, default=(0, -1))
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -12,9 +12,9 @@
 from sprucegate import clock
 from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.discovery import list_reader
-from sprucegate.discovery.merged_endpoints import Merged, hosts_of
+from sprucegate.discovery.merged_endpoints import Merged, endpoint_list_of
 from sprucegate.discovery.merged_view import View
-from sprucegate.discovery.safety_gate import Gate
+from sprucegate.discovery.safety_gate import SafetyGate
 from sprucegate.discovery.worker import flat, server_of
 from sprucegate.storage.disk import Disk
 from sprucegate.storage.snapshots import SnapshotStore
@@ -34,7 +34,7 @@
     def __init__(self, driver, wanted, node, disk=None):
         super().__init__(driver, View(node.order, node.ramp, driver.clock()))
         self.wanted, self.node, self.log = wanted, node, driver.log
-        self.loop, self.gate = asyncio.get_running_loop(), Gate(node.most_removed, node.hold)
+        self.loop, self.gate = asyncio.get_running_loop(), SafetyGate(node.most_removed, node.hold)
         self.snapshots = (
             SnapshotStore(disk or Disk(), node.state, "servers", node.keep) if node.state else None
         )
@@ -48,14 +48,14 @@
 
     def merged(self, hosts, now):
         """What the bus tells, through the view: Hosts to apply now, or None."""
-        change = self._told(hosts, now)
+        change = self._bus_change(hosts, now)
         if change is None:
             return None
         self.dirty = True
         if self.queue:  # in order behind what is being handed over
             self.hand_over(change)
             return None
-        return hosts_of(change.servers)
+        return endpoint_list_of(change.servers)
 
     # Start and end.
 
@@ -212,7 +212,7 @@
         now = self.driver.clock()
         fleet, digest = self.driver.fleet, self.digest
         held = fleet is not None and fleet.holds(digest)
-        passed = self.gate.offered(self.view.lists["file"], servers, now, held)
+        passed = self.gate.offer(self.view.lists["file"], servers, now, held)
         self.held_digest = digest if passed.held is not None else ""
         if self.held_digest and fleet is not None:
             fleet.held(digest, confirmed=False)
@@ -252,7 +252,7 @@
 
     def hand_over(self, change):
         self.queue += [
-            hosts_of(change.servers[at : at + PIECE]) for at in range(0, len(change.servers), PIECE)
+            endpoint_list_of(change.servers[at : at + PIECE]) for at in range(0, len(change.servers), PIECE)
         ]
         if self.serving and self.handing is None:
             self._piece()
@@ -302,7 +302,7 @@
                     self.log("servers_polled", error="a change came without an event")
                 self.wake.set()
             now = self.driver.clock()
-            if (passed := self.gate.due(now)) is not None:
+            if (passed := self.gate.on_timer(now)) is not None:
                 self.log("servers_hold_over")
                 await self._file_told(passed.servers, True)
             if (change := self.view.due(now)) is not None:
@@ -313,7 +313,7 @@
         """`servers confirm NUMBER` leaves its number in the state folder; or it was left at another front."""
         fleet = self.driver.fleet
         if self.gate.held is not None and fleet is not None and fleet.confirms(self.held_digest):
-            passed = self.gate.confirmed(self.gate.held.number)
+            passed = self.gate.confirm(self.gate.held.number)
             self.log("servers_confirmed", number=0)
             return await self._file_told(passed.servers, True)
         if self.gate.held is None or not self.node.state:
@@ -323,7 +323,7 @@
                 number = int(file.read(20))
         except (OSError, ValueError):
             return
-        if (passed := self.gate.confirmed(number)) is not None:
+        if (passed := self.gate.confirm(number)) is not None:
             self.log("servers_confirmed", number=number)
             if self.driver.fleet is not None:
                 self.driver.fleet.held(self.held_digest, confirmed=True)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -13,7 +13,7 @@
 from sprucegate.discovery.list_format import parse, render
 from sprucegate.discovery.list_reader import FileIncompleteError, read
 from sprucegate.discovery.merged_view import Server, Standing, View
-from sprucegate.discovery.safety_gate import Gate
+from sprucegate.discovery.safety_gate import SafetyGate
 from sprucegate.routing.events import Endpoint, EndpointState
 from sprucegate.upstream.hosts import endpoint_id
 
@@ -166,29 +166,29 @@
 
 
 def test_a_list_that_takes_away_too_much_is_held_but_its_drains_are_not():
-    gate = Gate(0.5, 60 * S)
+    gate = SafetyGate(0.5, 60 * S)
     current = {s.entry.id: s for s in [server(f"s-{n}", location=n % 2) for n in range(8)]}
     kept = [server("s-0", DRAIN), *[server(f"s-{n}", location=1) for n in (1, 3, 5, 7)]]
-    passed = gate.offered(current, kept, NOW)
+    passed = gate.offer(current, kept, NOW)
     assert [s.name for s in passed.servers] == ["s-0"] and not passed.whole
     assert (passed.held.location, passed.held.share) == (0, 0.75)
-    assert gate.confirmed(passed.held.number + 1) is None and gate.due(NOW + 59 * S) is None
-    assert gate.confirmed(passed.held.number).servers == kept and gate.held is None
-    gate.offered(current, kept, NOW)
-    assert gate.due(NOW + 60 * S).whole
-    gate.offered(current, kept, NOW)
-    assert gate.offered(current, list(current.values()), NOW).whole and gate.due(NOW + 999 * S) is None
+    assert gate.confirm(passed.held.number + 1) is None and gate.on_timer(NOW + 59 * S) is None
+    assert gate.confirm(passed.held.number).servers == kept and gate.held is None
+    gate.offer(current, kept, NOW)
+    assert gate.on_timer(NOW + 60 * S).whole
+    gate.offer(current, kept, NOW)
+    assert gate.offer(current, list(current.values()), NOW).whole and gate.on_timer(NOW + 999 * S) is None
 
 
 def test_a_smaller_loss_is_held_too_where_another_front_holds_the_same_list():
     gate, current = (
-        Gate(0.5, 60 * S),
+        SafetyGate(0.5, 60 * S),
         {s.entry.id: s for s in [server(f"s-{n}", location=0) for n in range(8)]},
     )
     fewer = list(current.values())[:6]
-    assert gate.offered(current, fewer, NOW, held=True).held.share == 0.25
-    assert gate.offered(current, fewer, NOW).whole
-    assert gate.offered(current, list(current.values()), NOW, held=True).whole  # nothing is taken away here
+    assert gate.offer(current, fewer, NOW, held=True).held.share == 0.25
+    assert gate.offer(current, fewer, NOW).whole
+    assert gate.offer(current, list(current.values()), NOW, held=True).whole  # nothing is taken away here
 
 
 GOOD = render(
@@ -254,7 +254,7 @@
 
 
 def test_more_entries_than_the_bound_are_refused(monkeypatch):
-    monkeypatch.setattr(list_format, "ENTRIES_MOST", 2)
+    monkeypatch.setattr(list_format, "ENTRIES_MAX", 2)
     with pytest.raises(OperatorFileError, match="more than 2"):
         parse([("f", GOOD)], LOCATIONS, KINDS)
 
@@ -282,7 +282,7 @@
     path.write_bytes(b"\xff\n")
     with pytest.raises(OperatorFileError, match="UTF-8"):
         read(str(path))
-    monkeypatch.setattr(list_reader, "SIZE_MOST", 1)
+    monkeypatch.setattr(list_reader, "LIST_BYTES_MAX", 1)
     with pytest.raises(OperatorFileError, match="larger"):
         read(str(path))
     monkeypatch.setattr(
