--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -13,7 +13,7 @@
 from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.discovery import list_reader
 from sprucegate.discovery.merged_endpoints import Merged, endpoint_list_of
-from sprucegate.discovery.merged_view import View
+from sprucegate.discovery.merged_view import STANDING_WORDS, View
 from sprucegate.discovery.safety_gate import SafetyGate
 from sprucegate.discovery.worker import flat, server_of
 from sprucegate.storage.disk import Disk
@@ -366,7 +366,7 @@
                         [
                             row.server.name,
                             row.server.address,
-                            row.standing.name.lower(),
+                            STANDING_WORDS[row.standing],
                             row.why,
                             clock.unix_of(row.since),
                             row.server.entry.weight,
