--- a/sprucegate/fleet/consensus/codec.py
+++ b/sprucegate/fleet/consensus/codec.py
@@ -1,78 +1,101 @@
-"""Words of the agreed log to and from bytes: their kinds are numbered here, and they go inside a Routed."""
+"""Messages of the replicated log to and from bytes. They go inside a ConsensusFrame, which carries the kind's number.
+
+A kind's number and the order of a message's fields are fixed: a number is never given to another message.
+"""
+
+from typing import NamedTuple
 
 import msgspec
 
 from sprucegate.errors import ProtocolError
-from sprucegate.fleet.consensus import durability_check, log_entry, log_follower, messages
+from sprucegate.fleet.consensus import durability_check, follow_messages, messages
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
 from sprucegate.fleet.consensus.storage import entry_of
 from sprucegate.fleet.rollout import commands
 
 _Row = tuple[int, int, str, object]
 _Starts = dict[str, tuple[int, int]]
-KINDS = (
-    None,
-    messages.RequestVote,
-    messages.RequestVoteResponse,
-    messages.AppendEntries,
-    messages.AppendEntriesResponse,
-    messages.InstallSnapshot,
-    messages.TimeoutNow,
-    log_follower.Follow,
-    log_follower.Entries,
-    log_follower.State,
-    log_follower.Propose,
-    log_follower.Proposed,
-    durability_check.StartAnnouncement,
-    durability_check.StartConfirmation,
-)
-NUMBERS = {kind: number for number, kind in enumerate(KINDS) if kind}
-SHAPES = {
-    messages.RequestVote: tuple[int, int, int, bool, bool],
-    messages.RequestVoteResponse: tuple[int, bool, bool],
-    messages.AppendEntries: tuple[int, int, int, list[_Row], int, int],
-    messages.AppendEntriesResponse: tuple[int, bool, int, int],
-    messages.InstallSnapshot: tuple[int, int, int, tuple[list[str], list[str]], bytes, int],
-    messages.TimeoutNow: tuple[int],
-    log_follower.Follow: tuple[int, int, int, list],
-    log_follower.Entries: tuple[int, int, list[tuple[int, object]], int, bool, str],
-    log_follower.State: tuple[int, int, object, bool, str],
-    log_follower.Propose: tuple[int, list],
-    log_follower.Proposed: tuple[int, int, str, str],
-    durability_check.StartAnnouncement: tuple[int, int, _Starts],
-    durability_check.StartConfirmation: tuple[int, int, bool, bool, _Starts],
+
+
+class MessageKind(NamedTuple):
+    """A message's class, and the types of its fields on the wire."""
+
+    message: type
+    fields: object
+
+
+KIND_BY_NUMBER = {
+    1: MessageKind(messages.RequestVote, tuple[int, int, int, bool, bool]),
+    2: MessageKind(messages.RequestVoteResponse, tuple[int, bool, bool]),
+    3: MessageKind(messages.AppendEntries, tuple[int, int, int, list[_Row], int, int]),
+    4: MessageKind(messages.AppendEntriesResponse, tuple[int, bool, int, int]),
+    5: MessageKind(messages.InstallSnapshot, tuple[int, int, int, tuple[list[str], list[str]], bytes, int]),
+    6: MessageKind(messages.TimeoutNow, tuple[int]),
+    7: MessageKind(follow_messages.FollowRequest, tuple[int, int, int, list]),
+    8: MessageKind(
+        follow_messages.EntriesResponse, tuple[int, int, list[tuple[int, object]], int, bool, str]
+    ),
+    9: MessageKind(follow_messages.StateResponse, tuple[int, int, object, bool, str]),
+    10: MessageKind(follow_messages.ProposeRequest, tuple[int, list]),
+    11: MessageKind(follow_messages.ProposeResponse, tuple[int, int, str, str]),
+    12: MessageKind(durability_check.StartAnnouncement, tuple[int, int, _Starts]),
+    13: MessageKind(durability_check.StartConfirmation, tuple[int, int, bool, bool, _Starts]),
 }
+_NUMBER_BY_CLASS = {kind.message: number for number, kind in KIND_BY_NUMBER.items()}
 _encode = msgspec.msgpack.Encoder().encode
-_decoders = {kind: msgspec.msgpack.Decoder(shape).decode for kind, shape in SHAPES.items()}
+_decoders = {number: msgspec.msgpack.Decoder(kind.fields).decode for number, kind in KIND_BY_NUMBER.items()}
 
 
 class ConsensusMessageError(ProtocolError):
-    """No word of ours; the text says why."""
+    """The bytes are no message of the log; the text says why."""
 
 
-def packed(message):
-    """(number, bytes)."""
-    return NUMBERS[type(message)], _encode(tuple(message))
+def encode(message):
+    """Return (the kind's number, the message as bytes)."""
+    return _NUMBER_BY_CLASS[type(message)], _encode(tuple(message))
 
 
-def unpacked(number, data):
-    if not 0 < number < len(KINDS):
-        raise ConsensusMessageError(f"a word of kind {number}, which is not known here")
-    kind = KINDS[number]
+def decode(number, data):
+    """Return the message. Raises ConsensusMessageError where it is unknown, unreadable or can't be applied."""
+    if number not in KIND_BY_NUMBER:
+        text = f"a word of kind {number}, which is not known here"
+        raise ConsensusMessageError(text)
+    kind = KIND_BY_NUMBER[number].message
     try:
-        made = kind(*_decoders[kind](data))
+        message = kind(*_decoders[number](data))
     except msgspec.MsgspecError as fault:
-        raise ConsensusMessageError(f"a word that can't be read: {fault}") from None
-    if kind is messages.AppendEntries:
-        rows = [entry_of(row) for row in made.entries]
-        if [row.index for row in rows] != list(
-            range(made.prev_log_index + 1, made.prev_log_index + 1 + len(rows))
-        ):
-            raise ConsensusMessageError("entries with a hole")
-        return made._replace(entries=rows)
-    if kind is messages.InstallSnapshot:
-        return made._replace(configuration=log_entry.ClusterConfiguration(*map(tuple, made.configuration)))
-    if kind is log_follower.Propose and (fault := commands.fault(made.command)):
+        text = f"a word that can't be read: {fault}"
+        raise ConsensusMessageError(text) from None
+    check = _CHECKS.get(kind)
+    return message if check is None else check(message)
+
+
+def _checked_append_entries(message):
+    entries = [entry_of(row) for row in message.entries]
+    first = message.prev_log_index + 1
+    if [entry.index for entry in entries] != list(range(first, first + len(entries))):
+        text = "entries with a hole"
+        raise ConsensusMessageError(text)
+    return message._replace(entries=entries)
+
+
+def _checked_install_snapshot(message):
+    return message._replace(configuration=ClusterConfiguration(*map(tuple, message.configuration)))
+
+
+def _checked_propose_request(message):
+    if fault := commands.fault(message.command):
         raise ConsensusMessageError(fault)
-    if kind is log_follower.Follow:
-        return made._replace(report=commands.report(made.report))
-    return made
+    return message
+
+
+def _checked_follow_request(message):
+    return message._replace(report=commands.report(message.report))
+
+
+_CHECKS = {
+    messages.AppendEntries: _checked_append_entries,
+    messages.InstallSnapshot: _checked_install_snapshot,
+    follow_messages.ProposeRequest: _checked_propose_request,
+    follow_messages.FollowRequest: _checked_follow_request,
+}
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -15,7 +15,7 @@
 
 from sprucegate import clock
 from sprucegate.fleet.components import FleetComponent
-from sprucegate.fleet.consensus import codec, durability_check, log_follower
+from sprucegate.fleet.consensus import codec, durability_check
 from sprucegate.fleet.consensus.actions import (
     ApplyEntries,
     LeadershipChanged,
@@ -33,20 +33,25 @@
     VotingAllowed,
     base_name,
 )
+from sprucegate.fleet.consensus.follow_messages import (
+    EntriesResponse,
+    FollowRequest,
+    ProposeRequest,
+    ProposeResponse,
+    StateResponse,
+)
 from sprucegate.fleet.consensus.log_entry import ClusterConfiguration
 from sprucegate.fleet.consensus.log_follower import (
-    Applied,
-    Follow,
-    Follower,
-    Propose,
-    Replaced,
-    Serving,
-    Word,
+    ApplyCommands,
+    LogFollower,
+    ProposalCompleted,
+    ReplaceState,
 )
+from sprucegate.fleet.consensus.log_server import LogServer
 from sprucegate.fleet.consensus.member_replacement import next_membership
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.consensus.raft_state import Role
-from sprucegate.fleet.consensus.storage import ConsensusStorageError, Ledger
+from sprucegate.fleet.consensus.storage import ConsensusStorageError, RaftStorage
 from sprucegate.fleet.links.codec import ConsensusFrame
 from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
 from sprucegate.fleet.membership_view.careful import OwnAction
@@ -82,7 +87,11 @@
     def __init__(self, name, node, seed, log, send, disk=None, trusted=False, alone=False):
         self.base, self.node, self.seed, self.log, self.send = name, node, seed, log, send
         self.loop, self.pool = asyncio.get_running_loop(), ThreadPoolExecutor(1, "keeper-disk")
-        self.ledger, self.trusted, self.alone = Ledger(disk or Disk(), node.state), trusted or alone, alone
+        self.ledger, self.trusted, self.alone = (
+            RaftStorage(disk or Disk(), node.state),
+            trusted or alone,
+            alone,
+        )
         self.keeper = self.serving = self.leading = self.fitness = None
         self.writes, self.writing, self.newcomers, self.duties_at, self.stopped = (
             deque(),
@@ -123,8 +132,8 @@
             self.log("keeper_off", error="the state is of another format")
             self.keeper = None
             return
-        self.keeper.load(kept.term, kept.vote, kept.snapshot, kept.entries)
-        self.serving = Serving(self.keeper, machine)
+        self.keeper.load(kept.term, kept.voted_for, kept.snapshot, kept.entries)
+        self.serving = LogServer(self.keeper, machine)
         self.log("keeper_begins", keeper=name, start=start, term=kept.term, last=self.keeper.log.last_index())
         if self.fitness.may_vote:
             self.log("keeper_fit", keeper=name, by="an operator" if self.trusted else "itself alone")
@@ -134,8 +143,8 @@
             self.do(self.keeper.force_single_voter())
 
     def _opened(self):
-        name, start = self.ledger.begin(self.base)
-        return name, start, self.ledger.known(), self.ledger.open(clock.unix())
+        name, start = self.ledger.count_start(self.base)
+        return name, start, self.ledger.read_known_starts(), self.ledger.load(clock.unix())
 
     def due(self, now):
         if self.keeper is None:
@@ -147,7 +156,7 @@
             self.do(self.keeper.on_timer(now))
         if self.leading is not None and now - self.duties_at >= DUTIES * S:
             self.duties_at = now
-            for command in self.leading.due(self.serving.heard_from, now):
+            for command in self.leading.due(self.serving.contacts, now):
                 self.do(self.keeper.propose(command, now)[1])
             if (step := next_membership(self.keeper, self.newcomers, self.node.addresses, now)) is not None:
                 index, actions = self.keeper.change_membership(*step, now)
@@ -167,8 +176,8 @@
             return self.do(self.fitness.on_message(sender, message, now))
         if not self.fitness.may_vote or to != self.keeper.name:
             return  # what its former self was told is not its own
-        if isinstance(message, Follow | Propose):
-            return self.do(self.serving.heard(sender, message, now))
+        if isinstance(message, FollowRequest | ProposeRequest):
+            return self.do(self.serving.on_message(sender, message, now))
         self.do(self.keeper.on_message(sender, message, now))
 
     def do(self, actions):
@@ -184,7 +193,7 @@
                     self.writes.append(action)
                     self._next_write()
                 case ApplyEntries():
-                    sends, granted = self.serving.applied(action.entries, now)
+                    sends, granted = self.serving.on_committed(action.entries)
                     for permit in granted:
                         if self.leading is not None:
                             self.log(
@@ -199,7 +208,7 @@
                         state = msgspec.msgpack.encode(self.serving.machine.told())
                         todo.extend(self.keeper.compact_log(self.keeper.last_applied, state))
                 case RestoreSnapshot():
-                    self.serving.installed(action.index, msgspec.msgpack.decode(action.state))
+                    self.serving.on_snapshot_restored(action.index, msgspec.msgpack.decode(action.state))
                 case LeadershipChanged():
                     self.log(
                         "keeper_leads" if action.is_leader else "keeper_leads_no_more",
@@ -210,7 +219,7 @@
                         Leading(self.serving.machine, now, self.node.gate) if action.is_leader else None
                     )
                     if not action.is_leader:
-                        todo.extend(self.serving.lost())
+                        todo.extend(self.serving.on_leadership_lost())
                 case VotingAllowed():
                     self.log("keeper_fit", keeper=self.keeper.name, by=action.confirmed_by)
                     self.fitness.deadline = now
@@ -235,7 +244,7 @@
 
     async def _written(self, action, keeper):
         if isinstance(action, PersistStarts):
-            fault = await self._disk(self.ledger.knows, action.known_starts)
+            fault = await self._disk(self.ledger.write_known_starts, action.known_starts)
         else:
             fault = await self._disk(self.ledger.write, action, clock.unix())
         self.writing = None
@@ -258,7 +267,7 @@
     async def _anew(self, name):
         while not self.stopped:
             try:
-                await self._disk(self.ledger.anew, name)
+                await self._disk(self.ledger.begin_new_identity, name)
                 break
             except OSError as fault:
                 self.log("keeper_off", error=f"{type(fault).__name__}: {fault}")
@@ -375,7 +384,7 @@
         self.machine = Rollout()
         chance = RandomSource(f"{name}/follows", seed ^ life)
         self.follower = (
-            Follower(list(node.addresses), life, chance, time.monotonic_ns(), front_lease())
+            LogFollower(list(node.addresses), life, chance, time.monotonic_ns(), front_lease())
             if face is not None
             else None
         )
@@ -394,7 +403,7 @@
         """This front is another life, or another name beside its twin: it follows and speaks as that from here on."""
         if self.voting is None:
             self.name, self.face.name = name, name
-        self.life = self.follower.life = life
+        self.life = self.follower.incarnation = life
         self.words = Words(self.name, life)
 
     def leaves(self):
@@ -425,7 +434,7 @@
     # To and fro.
 
     def _send(self, sender, to, message):
-        number, data = codec.packed(message)
+        number, data = codec.encode(message)
         process = base_name(to)
         if process == self.name:
             self.loop.call_soon(self.heard, ConsensusFrame(sender, to, number, data))
@@ -436,32 +445,36 @@
 
     def heard(self, routed):
         try:
-            message = codec.unpacked(routed.number, routed.data)
+            message = codec.decode(routed.number, routed.data)
         except codec.ConsensusMessageError as fault:
             return self.log("agreed_refused", peer=routed.sender, error=str(fault))
-        if isinstance(message, log_follower.Entries | log_follower.State | log_follower.Proposed):
+        if isinstance(message, EntriesResponse | StateResponse | ProposeResponse):
             if self.follower is not None:
-                self._do(self.follower.heard(base_name(routed.sender), message, time.monotonic_ns()))
+                self._do(self.follower.on_message(base_name(routed.sender), message, time.monotonic_ns()))
         elif self.voting is not None:
             self.voting.heard(routed.sender, self._addressed(routed.to, message), message)
 
     def _addressed(self, to, message):
         """A front knows keepers by the file's names; whom it means is whoever votes there now."""
         own = self.voting.keeper.name if self.voting.keeper is not None else ""
-        return own if isinstance(message, Follow | Propose) and base_name(to) == base_name(own) else to
+        return (
+            own
+            if isinstance(message, FollowRequest | ProposeRequest) and base_name(to) == base_name(own)
+            else to
+        )
 
     # A front's side.
 
     def _follows(self, now):
-        fenced = self.follower.fenced(now)
+        fenced = self.follower.is_fenced(now)
         self.face.follows(self.machine, fenced, now)
         if fenced != self.fenced:
             self.fenced = fenced
-            self.log("keepers_lost" if fenced else "keepers_found", index=self.follower.index)
+            self.log("keepers_lost" if fenced else "keepers_found", index=self.follower.applied_index)
         if now >= self.report_at:
             self.report_at = now + REPORT_EVERY
             self.follower.report = self.face.report()
-        self._do(self.follower.due(now))
+        self._do(self.follower.on_timer(now))
         if now - self.words_at >= DUTIES * S and not self.stale:
             self.words_at = now
             wanted = self.words.due(self.machine, self.face.drained, self.face.warm, now)
@@ -486,7 +499,7 @@
             match action:
                 case SendMessage():
                     self._send(self.name, action.to, action.message)
-                case Applied():
+                case ApplyCommands():
                     for index, command in action.entries:
                         word, _ = self.machine.apply(index, command)
                         if word.endswith("is not known here") and not self.stale:
@@ -494,14 +507,14 @@
                             self.stale = True
                             self.log("agreed_newer", error=word)
                     self.face.holds(self.machine)
-                case Replaced():
+                case ReplaceState():
                     machine = Rollout()
                     self.stale = not machine.loaded(action.state)
                     self.machine = machine if not self.stale else self.machine
                     self.face.holds(self.machine)
-                case Word():
+                case ProposalCompleted():
                     if (waiter := self.waiting.pop(action.token, None)) is not None and not waiter.done():
-                        waiter.set_result((action.word, action.index))
+                        waiter.set_result((action.result, action.index))
 
     # Operators.
 
@@ -538,7 +551,9 @@
             "voting": self.voting.shown() if self.voting else None,
             "leader": self.follower.leader if self.follower else "",
             "fenced": self.fenced,
-            "heard_ms": (now - self.follower.until + front_lease()) // 1_000_000 if self.follower else None,
+            "heard_ms": (now - self.follower.lease_expiry + front_lease()) // 1_000_000
+            if self.follower
+            else None,
             "fronts": sorted(permits.fronts),
             "out": out,
             "boxes": len(permits.boxes),
--- a/sprucegate/fleet/consensus/storage.py
+++ b/sprucegate/fleet/consensus/storage.py
@@ -1,158 +1,232 @@
-"""What of a keeper lasts: who it is, its starts, its term, vote and log, the starts of others. Blocking: in a thread.
+"""What a voter keeps on disk: its identity, its starts, its term, vote and log, the starts of others. Blocking.
 
     self                        [name, start]: who it is and how often it began
-    known                       {keeper: [start, being]}: the latest start that others told this one of
+    known                       {voter: [start, incarnation]}: the latest start that others told this one of
     agreed-NNNN.snap            state/snapshots: index, term, members and the machine's state
     agreed-NNNN.log             state/log: what came since
 
 A log begins with all that follows its snapshot, and is there before it: a crash between the two loses neither.
 """
 
-import os
 import re
+from collections.abc import Callable
+from pathlib import PurePath
+from typing import NamedTuple, TypeVar
 
 import msgspec
 
 from sprucegate.errors import StorageError
-from sprucegate.fleet.consensus.log_entry import CONFIG, ClusterConfiguration, LogEntry
-from sprucegate.storage.disk import replace_file
+from sprucegate.fleet.consensus.actions import PersistState
+from sprucegate.fleet.consensus.durability_check import Starts
+from sprucegate.fleet.consensus.log_entry import CONFIG, ClusterConfiguration, LogEntry, Snapshot
+from sprucegate.storage.disk import Disk, replace_file
 from sprucegate.storage.log import AppendLog
 from sprucegate.storage.snapshots import SnapshotStore
 
+_Row = tuple[int, int, str, object]
+_Value = TypeVar("_Value")
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(tuple[int, str, int, list[tuple[int, int, str, object]]]).decode
-_whole = msgspec.msgpack.Decoder(tuple[int, int, tuple[list[str], list[str]], object]).decode
-_self = msgspec.msgpack.Decoder(tuple[str, int]).decode
-_known = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
-SMALL_MOST = 1 << 20
-LOG_MOST = 64 << 20
+_decode_record = msgspec.msgpack.Decoder(tuple[int, str, int, list[_Row]]).decode
+_decode_snapshot = msgspec.msgpack.Decoder(tuple[int, int, tuple[list[str], list[str]], object]).decode
+_decode_identity = msgspec.msgpack.Decoder(tuple[str, int]).decode
+_decode_known_starts = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
+SMALL_FILE_MAX_BYTES = 1 << 20
+LOG_MAX_BYTES = 64 << 20
+IDENTITY_FILE = "self"
+KNOWN_STARTS_FILE = "known"
+GENERATION_ANY = 1 << 62  # above every generation of a snapshot
 
 
 class ConsensusStorageError(StorageError):
     """The folder can't be used; the text says why."""
 
 
-class Kept:
-    def __init__(self):
-        self.term, self.vote, self.snapshot, self.entries, self.refused = 0, "", None, [], []
+class StoredState(NamedTuple):
+    """What a start finds in the folder.
 
+    :ivar term: the current term
+    :ivar voted_for: whom this voter voted for in that term, or ""
+    :ivar snapshot: the newest whole snapshot, or None
+    :ivar entries: the entries after it
+    :ivar refused: why files, or the end of one, were not taken
+    """
 
-def entry_of(row):
+    term: int
+    voted_for: str
+    snapshot: Snapshot | None
+    entries: list[LogEntry]
+    refused: list[str]
+
+
+def entry_of(row: _Row) -> LogEntry:
+    """Return the entry that a row on disk or wire stands for."""
     index, term, kind, data = row
-    return LogEntry(index, term, kind, ClusterConfiguration(*map(tuple, data)) if kind == CONFIG else data)
-
-
-class Ledger:
-    def __init__(self, disk, folder):
-        self.disk, self.folder, self.log, self.generation, self.name, self.start = (
-            disk,
-            folder,
-            None,
-            0,
-            "",
-            0,
-        )
+    if kind == CONFIG:
+        return LogEntry(index, term, kind, ClusterConfiguration(*map(tuple, data)))
+    return LogEntry(index, term, kind, data)
+
+
+class RaftStorage:
+    """One voter's folder.
+
+    :ivar name: who the voter is, by the folder
+    :ivar start_count: how often it began
+    :ivar generation: number of the log that is written
+    """
+
+    def __init__(self, disk: Disk, folder: str) -> None:
+        self.disk = disk
+        self.folder = folder
+        self.log: AppendLog | None = None
+        self.generation = 0
+        self.name = ""
+        self.start_count = 0
         self.snapshots = SnapshotStore(disk, folder, "agreed", keep=2)
-        self.named = re.compile(r"agreed-([0-9]{16})\.log")
+        self.log_name = re.compile(r"agreed-([0-9]{16})\.log")
 
-    def begin(self, name):
-        """Who this keeper is, and its count of starts, synced before it says a word. Raises OSError or Unreadable."""
+    def count_start(self, name: str) -> tuple[str, int]:
+        """Return the voter's identity and its count of starts, synced; `name` is for a new folder.
+
+        Raises OSError or ConsensusStorageError.
+        """
         self.disk.make_folder(self.folder)
-        self.name, self.start = self._small("self", _self, (name, 0))
-        self.start += 1
-        replace_file(self.disk, self.folder, "self", _encode((self.name, self.start)))
-        return self.name, self.start
+        self.name, self.start_count = self._read_small(IDENTITY_FILE, _decode_identity, (name, 0))
+        self.start_count += 1
+        replace_file(self.disk, self.folder, IDENTITY_FILE, _encode((self.name, self.start_count)))
+        return self.name, self.start_count
 
-    def anew(self, name):
-        """Another member from here on: what the folder holds is put aside, never to be voted by again."""
+    def begin_new_identity(self, name: str) -> None:
+        """Set aside all that the folder holds, and be another member from here on. Raises OSError."""
         self.close()
-        aside = f"put-back-{self.start:08d}-"
-        for at in self.disk.names(self.folder):
-            if at in ("self", "known") or self.named.fullmatch(at) or self.snapshots.named.fullmatch(at):
-                self.disk.rename(os.path.join(self.folder, at), os.path.join(self.folder, aside + at))
-        self.log, self.generation = None, 0
-        self.name, self.start = name, 1
-        replace_file(self.disk, self.folder, "self", _encode((name, 1)))
+        prefix = f"put-back-{self.start_count:08d}-"
+        for found in self.disk.names(self.folder):
+            if self._is_own(found):
+                self.disk.rename(self._path(found), self._path(prefix + found))
+        self.log = None
+        self.generation = 0
+        self.name = name
+        self.start_count = 1
+        replace_file(self.disk, self.folder, IDENTITY_FILE, _encode((name, 1)))
         self.disk.sync_folder(self.folder)
 
-    def known(self):
-        return self._small("known", _known, {})
+    def read_known_starts(self) -> Starts:
+        """Return the starts of others. Raises OSError or ConsensusStorageError."""
+        return self._read_small(KNOWN_STARTS_FILE, _decode_known_starts, {})
 
-    def knows(self, known):
-        """None once it is synced, or the fault as text."""
+    def write_known_starts(self, known_starts: Starts) -> str | None:
+        """Return None once they are synced, or the fault as text."""
         try:
-            replace_file(self.disk, self.folder, "known", _encode(known))
+            replace_file(self.disk, self.folder, KNOWN_STARTS_FILE, _encode(known_starts))
         except OSError as fault:
             return f"{type(fault).__name__}: {fault}"
         return None
 
-    def _small(self, name, decode, otherwise):
-        try:
-            data = self.disk.read(os.path.join(self.folder, name), SMALL_MOST)
-        except FileNotFoundError:
-            return otherwise
-        try:
-            return decode(data)
-        except msgspec.MsgspecError as fault:
-            raise ConsensusStorageError(f"{self.folder}/{name}: {fault}") from None
+    def load(self, now: float) -> StoredState:
+        """Return the newest whole snapshot and what was written since; `now` is unix time.
 
-    def open(self, now):
-        """Kept: the newest whole snapshot and what was written since. Raises OSError or Unreadable."""
-        kept, names = Kept(), self.disk.names(self.folder)
-        taken, refused = self.snapshots.newest(now, 1 << 62)
-        kept.refused = [f"{one.name} {one.why}" for one in refused]
+        Raises OSError or ConsensusStorageError, also where an entry is missing: the voter would go by a log with a gap
+        as if it were whole.
+        """
+        names = self.disk.names(self.folder)
+        taken, refused_snapshots = self.snapshots.newest(now, GENERATION_ANY)
+        refused = [f"{one.name} {one.why}" for one in refused_snapshots]
+        snapshot = None
         if taken is not None:
-            index, term, config, state = _whole(taken.payload)
-            kept.snapshot = index, term, ClusterConfiguration(*map(tuple, config)), state
-        logs = sorted(int(match[1]) for name in names if (match := self.named.fullmatch(name)))
-        for number in [n for n in logs if taken is None or n >= taken.generation]:
-            log = AppendLog(self.disk, self._path(number), LOG_MOST)
-            scanned = log.recover()
-            log.close()
-            if scanned.fault:
-                kept.refused.append(f"agreed-{number:016d}.log ends with {scanned.fault}")
-            for term, vote, cut, rows in map(_record, scanned.records):
-                kept.term, kept.vote = term, vote
-                if cut:
-                    kept.entries = [e for e in kept.entries if e.index < cut]
-                kept.entries += map(entry_of, rows)
-        base = kept.snapshot[0] if kept.snapshot else 0
-        kept.entries = [e for e in kept.entries if e.index > base]
-        if [e.index for e in kept.entries] != list(range(base + 1, base + 1 + len(kept.entries))):
-            # A log with a hole would be voted by as if it were whole.
-            raise ConsensusStorageError(f"{self.folder}: entries are missing after {base}")
+            index, term, members, state = _decode_snapshot(taken.payload)
+            snapshot = Snapshot(index, term, ClusterConfiguration(*map(tuple, members)), state)
+        logs = sorted(int(match[1]) for name in names if (match := self.log_name.fullmatch(name)))
+        records = [
+            record
+            for number in logs
+            if taken is None or number >= taken.generation
+            for record in self._recovered(number, refused)
+        ]
+        base = snapshot.index if snapshot else 0
+        stored = self._replayed(records, snapshot, refused)
+        if [entry.index for entry in stored.entries] != list(range(base + 1, base + 1 + len(stored.entries))):
+            text = f"{self.folder}: entries are missing after {base}"
+            raise ConsensusStorageError(text)
         self.generation = max([*logs, taken.generation if taken is not None else 0], default=0)
-        self._next_log()
-        return kept
+        self._begin_next_log()
+        return stored
 
-    def write(self, one, now):
-        """None once that Write is synced, or the fault as text."""
+    def write(self, state: PersistState, now: float) -> str | None:
+        """Return None once it is synced, or the fault as text; `now` is unix time."""
         try:
-            if one.snapshot is None:
-                return self.log.append(self._packed(one))
-            self._next_log()
-            if fault := self.log.append(self._packed(one)):
+            if state.snapshot is None:
+                return self._append(state)
+            self._begin_next_log()
+            if fault := self._append(state):
                 return fault
         except OSError as fault:
             return f"{type(fault).__name__}: {fault}"
-        if fault := self.snapshots.save(self.generation, now, _encode(one.snapshot)):
-            return fault
-        self.snapshots.logs_before(self.named)
+        if fault := self.snapshots.save(self.generation, now, _encode(state.snapshot)):
+            return str(fault)
+        self.snapshots.logs_before(self.log_name)
         return None
 
-    def close(self):
+    def close(self) -> None:
+        """Close the log that is written."""
         if self.log is not None:
             self.log.close()
 
+    def _recovered(self, number: int, refused: list[str]) -> list[tuple[int, str, int, list[_Row]]]:
+        """Return a log's whole records, and note where it ends with a fault."""
+        log = AppendLog(self.disk, self._log_path(number), LOG_MAX_BYTES)
+        scanned = log.recover()
+        log.close()
+        if scanned.fault:
+            refused.append(f"agreed-{number:016d}.log ends with {scanned.fault}")
+        return [_decode_record(record) for record in scanned.records]
+
     @staticmethod
-    def _packed(one):
-        return _encode((one.term, one.voted_for, one.truncate_from, one.entries))
+    def _replayed(
+        records: list[tuple[int, str, int, list[_Row]]], snapshot: Snapshot | None, refused: list[str]
+    ) -> StoredState:
+        term = 0
+        voted_for = ""
+        entries: list[LogEntry] = []
+        for record_term, record_vote, truncate_from, rows in records:
+            term = record_term
+            voted_for = record_vote
+            if truncate_from:
+                entries = [entry for entry in entries if entry.index < truncate_from]
+            entries += map(entry_of, rows)
+        base = snapshot.index if snapshot else 0
+        entries = [entry for entry in entries if entry.index > base]
+        return StoredState(term, voted_for, snapshot, entries, refused)
+
+    def _append(self, state: PersistState) -> str | None:
+        record = _encode((state.term, state.voted_for, state.truncate_from, state.entries))
+        assert self.log is not None, "load() comes first"
+        fault: str | None = self.log.append(record)
+        return fault
+
+    def _read_small(self, name: str, decode: Callable[[bytes], _Value], default: _Value) -> _Value:
+        try:
+            data = self.disk.read(self._path(name), SMALL_FILE_MAX_BYTES)
+        except FileNotFoundError:
+            return default
+        try:
+            return decode(data)
+        except msgspec.MsgspecError as fault:
+            text = f"{self.folder}/{name}: {fault}"
+            raise ConsensusStorageError(text) from None
 
-    def _next_log(self):
-        log = AppendLog(self.disk, self._path(self.generation + 1), LOG_MOST)
+    def _is_own(self, name: str) -> bool:
+        if name in (IDENTITY_FILE, KNOWN_STARTS_FILE):
+            return True
+        return bool(self.log_name.fullmatch(name) or self.snapshots.named.fullmatch(name))
+
+    def _begin_next_log(self) -> None:
+        log = AppendLog(self.disk, self._log_path(self.generation + 1), LOG_MAX_BYTES)
         log.recover()
         self.close()
-        self.log, self.generation = log, self.generation + 1
+        self.log = log
+        self.generation += 1
+
+    def _log_path(self, number: int) -> str:
+        return self._path(f"agreed-{number:016d}.log")
 
-    def _path(self, number):
-        return os.path.join(self.folder, f"agreed-{number:016d}.log")
+    def _path(self, name: str) -> str:
+        return str(PurePath(self.folder, name))
--- a/sprucegate/fleet/rollout/leader.py
+++ b/sprucegate/fleet/rollout/leader.py
@@ -59,7 +59,7 @@
             if now - at < FRONT_LEASE and known.get(name) != life and not left:
                 found.append(["front", name, life, True])
         for name, life in sorted(known.items()):
-            last = heard[name].at if name in heard and heard[name].life == life else 0
+            last = heard[name].at if name in heard and heard[name].incarnation == life else 0
             # Counted from the election at the earliest: whom the former leader heard is not known here.
             if now - max(last, self.since) >= FRONT_LEASE:
                 found.append(["front", name, life, False])
@@ -94,13 +94,15 @@
         """Reports of the fronts that count."""
         fronts = self.machine.permits.fronts
         return {
-            name: one.report for name, one in heard.items() if fronts.get(name) == one.life and one.report
+            name: one.report
+            for name, one in heard.items()
+            if fronts.get(name) == one.incarnation and one.report
         }
 
     def _says_now(self, heard, now):
         """Reports made since this keeper leads, and not long ago: older ones are of what was then."""
         since = max(self.since, now - REPORT_LATE)
-        return self._said({name: one for name, one in heard.items() if one.reported >= since})
+        return self._said({name: one for name, one in heard.items() if one.reported_at >= since})
 
     def _most(self, count):
         """Whether so many are most of the fronts that count, heard or not."""
@@ -152,7 +154,7 @@
             life, before, rows = self.told.get(name, (None, None, {}))
             if report is before:
                 continue
-            rows = rows if life == heard[name].life else {}
+            rows = rows if life == heard[name].incarnation else {}
             for box, *row in report[0]:
                 if box not in boxes:
                     continue  # not one that the log knows: it would be counted for ever
@@ -168,7 +170,7 @@
                 # The most of any front; it never falls, so it need not be looked for among all of them each time:
                 # with 200 fronts and boxes that was most of what a leader did.
                 total[5] = max(total[5], seen[name])
-            self.told[name] = heard[name].life, report, rows
+            self.told[name] = heard[name].incarnation, report, rows
 
     def _gates(self, heard, now):
         found = []
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -13,7 +13,9 @@
 
 from sprucegate.fleet.consensus.actions import SendMessage
 from sprucegate.fleet.consensus.durability_check import base_name
-from sprucegate.fleet.consensus.log_follower import Follow, Follower, Propose, Serving, State
+from sprucegate.fleet.consensus.follow_messages import FollowRequest, ProposeRequest, StateResponse
+from sprucegate.fleet.consensus.log_follower import ApplyCommands, LogFollower, ReplaceState
+from sprucegate.fleet.consensus.log_server import LogServer
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.leader import Leading, front_lease
@@ -38,7 +40,7 @@
         machine = Rollout()
         if state:
             machine.loaded(msgspec.msgpack.decode(state))
-        self.serving = Serving(self.keeper, machine)
+        self.serving = LogServer(self.keeper, machine)
         self.leading = None
 
     def whole(self):
@@ -46,8 +48,8 @@
         return msgspec.msgpack.encode(self.serving.machine.told())
 
     def applies(self, entries):
-        now, machine = self.clock(), self.serving.machine
-        sends, granted = self.serving.applied(entries, now)
+        machine = self.serving.machine
+        sends, granted = self.serving.on_committed(entries)
         for permit in granted:
             self.world.note(self.name, "grants", permit.id, permit.index, permit.box, permit.release)
         self.state = machine
@@ -59,25 +61,25 @@
             generation = self.generation
             self.world.later(1, self, self._duties, generation, self.leading)
         else:
-            self.done(self.serving.lost())
+            self.done(self.serving.on_leadership_lost())
 
     def _duties(self, generation, leading):
         if generation != self.generation or self.leading is not leading:
             return []
         done, now = [], self.clock()
-        for command in leading.due(self.serving.heard_from, now):
+        for command in leading.due(self.serving.contacts, now):
             done += self.keeper.propose(command, now)[1]
         self.world.later(100 * MS, self, self._duties, generation, leading)
         return done
 
     def comes(self, sender, to, message):
-        if isinstance(message, Follow | Propose):
+        if isinstance(message, FollowRequest | ProposeRequest):
             if not self.fitness.may_vote:
                 return []
-            done = self.serving.heard(sender, message, self.clock())
+            done = self.serving.on_message(sender, message, self.clock())
             return [
                 a._replace(message=a.message._replace(state=msgspec.msgpack.encode(a.message.state)))
-                if isinstance(a, SendMessage) and isinstance(a.message, State)
+                if isinstance(a, SendMessage) and isinstance(a.message, StateResponse)
                 else a
                 for a in done
             ]
@@ -101,7 +103,7 @@
         self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
         life = self.generation if isinstance(self, Front) else 0
         self.machine = Rollout()
-        self.follower = Follower(
+        self.follower = LogFollower(
             self.world.keepers,
             life,
             RandomSource(self.name, self.world.seed + self.generation),
@@ -128,16 +130,16 @@
             self.done(action(*given) or [])
 
     def comes(self, sender, to, message):
-        return self.follower.heard(base_name(sender), message, self.clock())
+        return self.follower.on_message(base_name(sender), message, self.clock())
 
     def done(self, actions):
         for action in actions:
             if isinstance(action, SendMessage):
                 self.world.send(self.name, action.to, action.message)
-            elif type(action).__name__ == "Applied":
+            elif isinstance(action, ApplyCommands):
                 for index, command in action.entries:
                     self.machine.apply(index, command)
-            elif type(action).__name__ == "Replaced":
+            elif isinstance(action, ReplaceState):
                 self.machine = Rollout()
                 self.machine.loaded(msgspec.msgpack.decode(action.state))
 
@@ -145,7 +147,7 @@
         if generation != self.generation:
             return []
         self.world.later(50 * MS, self, self._due, generation)
-        done = self.follower.due(self.clock())
+        done = self.follower.on_timer(self.clock())
         for command in self.turn(self.clock()):
             done += self.follower.propose(command, None, self.clock(), PATIENCE)
         return done
@@ -161,8 +163,8 @@
             if (box in fresh) != (box in self.drained):
                 self.world.note(self.name, "drains" if box in fresh else "sends", box)
         self.drained = fresh
-        if not self.follower.fenced(now):
-            self.world.note(self.name, "lease", self.world.when(self.name, self.follower.until))
+        if not self.follower.is_fenced(now):
+            self.world.note(self.name, "lease", self.world.when(self.name, self.follower.lease_expiry))
         if now >= self.told_at:
             self.told_at = now + 500 * MS  # as a front in service
             down = [name for name, cache in self.world.caches.items() if cache.state == "down"]
--- a/tests/fleet/test_fleet_agreement.py
+++ b/tests/fleet/test_fleet_agreement.py
@@ -18,7 +18,7 @@
 from sprucegate.fleet.consensus.messages import RequestVote, RequestVoteResponse
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.consensus.raft_state import Role
-from sprucegate.fleet.consensus.storage import Ledger
+from sprucegate.fleet.consensus.storage import RaftStorage
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.units import MILLISECOND, SECOND
 from standins.disk import Crashed, FaultyDisk
@@ -234,22 +234,22 @@
 
 def test_a_ledger_gives_back_what_was_written():
     disk = FaultyDisk()
-    one = Ledger(disk, "/k")
-    assert one.begin("k0") == ("k0", 1)
-    one.open(0)
+    one = RaftStorage(disk, "/k")
+    assert one.count_start("k0") == ("k0", 1)
+    one.load(0)
     written(one, 1, 1, "k1", 0, entries(1, 5))
     written(one, 2, 2, "", 4, entries(4, 6, term=2))  # a cut, and another term's entries
     one.close()
-    two = Ledger(disk.after_crash(), "/k")
-    assert two.begin("k7") == ("k0", 2)  # who it is stands in the folder
-    kept = two.open(0)
-    assert (kept.term, kept.vote, kept.refused) == (2, "", [])
+    two = RaftStorage(disk.after_crash(), "/k")
+    assert two.count_start("k7") == ("k0", 2)  # who it is stands in the folder
+    kept = two.load(0)
+    assert (kept.term, kept.voted_for, kept.refused) == (2, "", [])
     assert kept.entries == entries(1, 4) + entries(4, 6, term=2)
     config = ClusterConfiguration(("k0", "k1"), ("k2",))
     assert written(two, 3, 2, "k0", 4, entries(4, 6, term=2), (3, 1, config, b"state")) is None
     assert written(two, 4, 2, "k0", 0, [LogEntry(6, 2, "config", config)]) is None
     two.close()
-    kept = Ledger(two.disk.after_crash(), "/k").open(0)
+    kept = RaftStorage(two.disk.after_crash(), "/k").load(0)
     assert kept.snapshot == (3, 1, config, b"state")
     assert kept.entries == [*entries(4, 6, term=2), LogEntry(6, 2, "config", config)]
 
@@ -259,10 +259,10 @@
     while True:
         at += 1
         disk, sure = FaultyDisk(seed=at, crash_at=at), 0
-        one = Ledger(disk, "/k")
+        one = RaftStorage(disk, "/k")
         try:
-            one.begin("k0")
-            one.open(0)
+            one.count_start("k0")
+            one.load(0)
             for n in range(1, 9):
                 snapshot = (n - 2, 1, config, n) if n in (4, 7) else None
                 fresh = entries(n, n + 1) if snapshot is None else entries(n - 1, n + 1)
@@ -270,12 +270,12 @@
                 sure = n
         except Crashed:
             pass
-        after = Ledger(disk.after_crash(), "/k")
-        after.begin("k0")
-        kept = after.open(0)
+        after = RaftStorage(disk.after_crash(), "/k")
+        after.count_start("k0")
+        kept = after.load(0)
         last = kept.entries[-1].index if kept.entries else kept.snapshot[0] if kept.snapshot else 0
         assert last >= sure, at
-        assert not sure or kept.vote in (f"k{sure}", f"k{sure + 1}"), at
+        assert not sure or kept.voted_for in (f"k{sure}", f"k{sure + 1}"), at
         if sure == 8:
             return
 
@@ -283,10 +283,10 @@
 @pytest.mark.parametrize("call", range(1, 60))
 def test_a_disk_that_fails_is_told_and_never_taken_for_a_sync(call):
     disk = FaultyDisk(faults={call: OSError(28, "no space left")})
-    one, sure = Ledger(disk, "/k"), 0
+    one, sure = RaftStorage(disk, "/k"), 0
     try:
-        one.begin("k0")
-        one.open(0)
+        one.count_start("k0")
+        one.load(0)
     except OSError:
         return
     for n in range(1, 9):
@@ -294,21 +294,21 @@
         if written(one, n, 1, "", n if snapshot else 0, entries(n, n + 1), snapshot) is not None:
             break  # the keeper steps down and writes no more
         sure = n
-    kept = Ledger(disk.after_crash(), "/k").open(0)
+    kept = RaftStorage(disk.after_crash(), "/k").load(0)
     assert (kept.entries[-1].index if kept.entries else 0) >= sure
 
 
 def test_a_ledger_put_aside_begins_as_another_member():
     disk = FaultyDisk()
-    one = Ledger(disk, "/k")
-    one.begin("k0")
-    one.open(0)
+    one = RaftStorage(disk, "/k")
+    one.count_start("k0")
+    one.load(0)
     written(one, 1, 3, "k1", 0, entries(1, 5))
-    one.anew("k0^ab")
-    kept = one.open(0)
-    assert (kept.term, kept.vote, kept.entries, kept.snapshot) == (0, "", [], None)
+    one.begin_new_identity("k0^ab")
+    kept = one.load(0)
+    assert (kept.term, kept.voted_for, kept.entries, kept.snapshot) == (0, "", [], None)
     one.close()
-    assert Ledger(disk.after_crash(), "/k").begin("k0") == ("k0^ab", 2)
+    assert RaftStorage(disk.after_crash(), "/k").count_start("k0") == ("k0^ab", 2)
 
 
 def fits(*names, **given):
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -5,21 +5,18 @@
 import msgspec
 import pytest
 
-from sprucegate.fleet.consensus import codec, log_follower
+from sprucegate.fleet.consensus import codec, log_server
 from sprucegate.fleet.consensus.durability_check import StartAnnouncement, StartConfirmation
-from sprucegate.fleet.consensus.log_entry import ClusterConfiguration, LogEntry
-from sprucegate.fleet.consensus.log_follower import (
-    Applied,
-    Entries,
-    Follow,
-    Follower,
-    Heard,
-    Propose,
-    Proposed,
-    Serving,
-    State,
-    Word,
+from sprucegate.fleet.consensus.follow_messages import (
+    EntriesResponse,
+    FollowRequest,
+    ProposeRequest,
+    ProposeResponse,
+    StateResponse,
 )
+from sprucegate.fleet.consensus.log_entry import ClusterConfiguration, LogEntry
+from sprucegate.fleet.consensus.log_follower import ApplyCommands, LogFollower, ProposalCompleted
+from sprucegate.fleet.consensus.log_server import FrontContact, LogServer
 from sprucegate.fleet.consensus.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -435,7 +432,7 @@
 
 
 def heard(now, fronts=("x", "y"), rows=(), down=(), troubles=None):
-    return {name: Heard(1, now, [list(rows), list(down), troubles or {}], now) for name in fronts}
+    return {name: FrontContact(1, now, [list(rows), list(down), troubles or {}], now) for name in fronts}
 
 
 def test_a_front_is_counted_in_when_heard_and_out_after_its_lease_with_a_halt():
@@ -486,7 +483,7 @@
     leading = Leading(log.machine, now)
     assert leading.due(heard(now, "v", down=["c3"]), now) == []  # one of five
     old = {
-        name: row._replace(at=now + S, reported=now - S)
+        name: row._replace(at=now + S, reported_at=now - S)
         for name, row in heard(now, "vwxyz", down=["c3"]).items()
     }
     assert leading.due(old, now + S) == []  # heard anew, but not of the boxes
@@ -627,43 +624,52 @@
 
 
 def test_a_follower_finds_the_leader_and_its_lease_counts_from_its_question():
-    one = Follower(["k0", "k1", "k2"], 1, RandomSource("x", 1), 0, 5 * S)
-    asked = one.due(0)[0]
-    other = next(k for k in one.keepers if k != asked.to)
-    assert one.heard(asked.to, Entries(asked.message.number, 0, [], 0, False, other), S // 10) == []
-    asked = one.due(S // 10)[0]
-    assert asked.to == other and one.fenced(S // 10)
-    done = one.heard(other, Entries(asked.message.number, 0, [[1, None]], 1, True, other), 3 * S)
-    assert done == [Applied([[1, None]])] and not one.fenced(5 * S) and one.fenced(S // 10 + 5 * S)
-    again = Entries(asked.message.number, 1, [[2, None]], 2, True, other)
-    assert one.heard(other, again, 9 * S) == []
+    one = LogFollower(["k0", "k1", "k2"], 1, RandomSource("x", 1), 0, 5 * S)
+    asked = one.on_timer(0)[0]
+    other = next(k for k in one.voters if k != asked.to)
+    assert (
+        one.on_message(asked.to, EntriesResponse(asked.message.number, 0, [], 0, False, other), S // 10) == []
+    )
+    asked = one.on_timer(S // 10)[0]
+    assert asked.to == other and one.is_fenced(S // 10)
+    done = one.on_message(other, EntriesResponse(asked.message.number, 0, [[1, None]], 1, True, other), 3 * S)
+    assert (
+        done == [ApplyCommands([[1, None]])] and not one.is_fenced(5 * S) and one.is_fenced(S // 10 + 5 * S)
+    )
+    again = EntriesResponse(asked.message.number, 1, [[2, None]], 2, True, other)
+    assert one.on_message(other, again, 9 * S) == []
 
 
 def test_a_request_ends_with_a_word_or_without_one_in_its_time():
-    one = Follower(["k0"], 1, RandomSource("x", 1), 0, 5 * S)
-    one.due(0)
+    one = LogFollower(["k0"], 1, RandomSource("x", 1), 0, 5 * S)
+    one.on_timer(0)
     sent = one.propose(["ask"], "t1", S, 2 * S)
-    assert [type(a.message) for a in sent] == [Propose]
-    assert one.heard("k0", Proposed(1, 4, "asked", ""), S) == [Word("t1", "asked", 4)]
+    assert [type(a.message) for a in sent] == [ProposeRequest]
+    assert one.on_message("k0", ProposeResponse(1, 4, "asked", ""), S) == [
+        ProposalCompleted("t1", "asked", 4)
+    ]
     one.propose(["ask"], "t2", S, 2 * S)
-    assert Word("t2", "", 0) in one.due(3 * S)
+    assert ProposalCompleted("t2", "", 0) in one.on_timer(3 * S)
 
 
 def serving(now=0):
     keeper = RaftNode("k0", ClusterConfiguration(("k0",), ()), RandomSource("k0", 1), now)
-    return keeper, Serving(keeper, Rollout())
+    return keeper, LogServer(keeper, Rollout())
 
 
 def test_a_keeper_answers_with_entries_or_its_whole_state_and_leads_only_in_touch():
     keeper, one = serving()
-    one.applied([LogEntry(n, 1, "data", ["front", f"f{n}", 1, True]) for n in range(1, 1500)], 0)
-    near = one.heard("x", Follow(1400, 1, 5, []), S)[0].message
-    assert [e[0] for e in near.entries] == list(range(1401, 1500)) and not near.leads
-    far = one.heard("x", Follow(3, 1, 6, []), S)[0].message
+    one.on_committed([LogEntry(n, 1, "data", ["front", f"f{n}", 1, True]) for n in range(1, 1500)])
+    near = one.on_message("x", FollowRequest(1400, 1, 5, []), S)[0].message
+    assert [e[0] for e in near.entries] == list(range(1401, 1500)) and not near.is_leader
+    far = one.on_message("x", FollowRequest(3, 1, 6, []), S)[0].message
     assert far.index == 1499 and far.state[1] == 1499
-    assert one.heard("x", Propose(1, ["ask"]), S)[0].message == Proposed(1, 0, "", "")
-    assert set(one.heard_from) == {"x"} and not one.heard("agent", Follow(1499, 0, 1, []), S)[0].message.leads
-    assert set(one.heard_from) == {"x"}  # an agent is no front: nobody waits for its word
+    assert one.on_message("x", ProposeRequest(1, ["ask"]), S)[0].message == ProposeResponse(1, 0, "", "")
+    assert (
+        set(one.contacts) == {"x"}
+        and not one.on_message("agent", FollowRequest(1499, 0, 1, []), S)[0].message.is_leader
+    )
+    assert set(one.contacts) == {"x"}  # an agent is no front: nobody waits for its word
 
 
 # On the way.
@@ -676,43 +682,45 @@
     AppendEntriesResponse(3, True, 6, 9),
     InstallSnapshot(3, 9, 2, CONFIG, b"state", 1),
     TimeoutNow(4),
-    Follow(7, 1 << 40, 2, ([("c0", 1, 2, 3, 4, 5, 6)], ["c1"], {"origin": "rests"})),
-    Entries(1, 2, [(3, ["ask", "h"]), (4, None)], 5, True, "k1"),
-    State(1, 9, [1, 9], True, "k1"),
-    Propose(1, ["halt", "v2", "op", "why"]),
-    Proposed(1, 0, "", "k1"),
+    FollowRequest(7, 1 << 40, 2, ([("c0", 1, 2, 3, 4, 5, 6)], ["c1"], {"origin": "rests"})),
+    EntriesResponse(1, 2, [(3, ["ask", "h"]), (4, None)], 5, True, "k1"),
+    StateResponse(1, 9, [1, 9], True, "k1"),
+    ProposeRequest(1, ["halt", "v2", "op", "why"]),
+    ProposeResponse(1, 0, "", "k1"),
     StartAnnouncement(2, 77, {"k1": (3, 5)}),
     StartConfirmation(2, 77, False, True, {}),
 ]
 
 
 def test_each_word_of_the_log_comes_as_it_went():
-    assert [codec.unpacked(*codec.packed(said)) for said in SAID] == SAID
-    assert {type(said) for said in SAID} == set(codec.KINDS[1:])
+    assert [codec.decode(*codec.encode(said)) for said in SAID] == SAID
+    assert {type(said) for said in SAID} == {kind.message for kind in codec.KIND_BY_NUMBER.values()}
 
 
 @pytest.mark.parametrize(
     "said",
     [
-        Propose(1, ["grant", "h"]),
-        Propose(1, ["ask", "h"]),
-        Propose(1, ["ask", "h", "c0", "op", "x" * 201]),
-        Propose(1, ["once", "q", ["once", "r", ["withdraw", "h"]]]),
-        Propose(1, ["once", "", ["withdraw", "h"]]),
-        Propose(1, ["ask", "h", "c0", "op", "why", "v2", "2"]),  # a release's own request is no operator's
+        ProposeRequest(1, ["grant", "h"]),
+        ProposeRequest(1, ["ask", "h"]),
+        ProposeRequest(1, ["ask", "h", "c0", "op", "x" * 201]),
+        ProposeRequest(1, ["once", "q", ["once", "r", ["withdraw", "h"]]]),
+        ProposeRequest(1, ["once", "", ["withdraw", "h"]]),
+        ProposeRequest(
+            1, ["ask", "h", "c0", "op", "why", "v2", "2"]
+        ),  # a release's own request is no operator's
         AppendEntries(3, 4, 2, [LogEntry(6, 3, "data", None)], 4, 9),
         InstallSnapshot(1, 2, 3, (1, 2), b"", 4),
     ],
 )
 def test_a_word_that_would_trip_all_is_refused_at_the_door(said):
     with pytest.raises(codec.ConsensusMessageError):
-        codec.unpacked(*codec.packed(said))
+        codec.decode(*codec.encode(said))
 
 
 @pytest.mark.parametrize("number, data", [(0, b""), (99, b""), (1, b"\xc1"), (1, b"\x90")])
 def test_bytes_that_are_no_word_are_refused(number, data):
     with pytest.raises(codec.ConsensusMessageError):
-        codec.unpacked(number, data)
+        codec.decode(number, data)
 
 
 def test_who_reports_of_boxes_that_are_none_or_under_many_names_fills_no_memory(monkeypatch):
@@ -722,11 +730,11 @@
     for at in range(50):
         leading.due(heard(at * S, rows=[[f"none-{at}-{n}", at, 0, 0, 0, 0, 1] for n in range(20)]), at * S)
     assert not leading.totals and not leading.starts and all(not rows for *_, rows in leading.told.values())
-    monkeypatch.setattr(log_follower, "FOLLOWERS_MOST", 5)
+    monkeypatch.setattr(log_server, "FOLLOWERS_MAX", 5)
     _, one = serving()
     for at in range(50):
-        one.heard(f"n{at}", Follow(0, 1, at, []), at)
-    assert list(one.heard_from) == [f"n{at}" for at in range(45, 50)]
+        one.on_message(f"n{at}", FollowRequest(0, 1, at, []), at)
+    assert list(one.contacts) == [f"n{at}" for at in range(45, 50)]
 
 
 # Whole fleets under troubles.
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -27,9 +27,16 @@
 from sprucegate import clock
 from sprucegate.discovery import service as membership
 from sprucegate.discovery import view as membership_view
-from sprucegate.fleet.consensus import actions, durability_check, log_entry, log_follower, messages, raft_node
+from sprucegate.fleet.consensus import (
+    actions,
+    durability_check,
+    follow_messages,
+    log_entry,
+    messages,
+    raft_node,
+)
 from sprucegate.fleet.consensus import codec as consensus_codec
-from sprucegate.fleet.consensus.storage import Ledger
+from sprucegate.fleet.consensus.storage import RaftStorage
 from sprucegate.fleet.failure_detector import swim
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.quotas import part as shares
@@ -74,11 +81,11 @@
     "04-append-answer": messages.AppendEntriesResponse,
     "05-whole": messages.InstallSnapshot,
     "06-stand": messages.TimeoutNow,
-    "07-follow": log_follower.Follow,
-    "08-entries": log_follower.Entries,
-    "09-state": log_follower.State,
-    "10-propose": log_follower.Propose,
-    "11-proposed": log_follower.Proposed,
+    "07-follow": follow_messages.FollowRequest,
+    "08-entries": follow_messages.EntriesResponse,
+    "09-state": follow_messages.StateResponse,
+    "10-propose": follow_messages.ProposeRequest,
+    "11-proposed": follow_messages.ProposeResponse,
     "12-begins": durability_check.StartAnnouncement,
     "13-begun": durability_check.StartConfirmation,
 }
@@ -124,11 +131,11 @@
     messages.TimeoutNow: "term",
     log_entry.LogEntry: "index term kind data",
     log_entry.ClusterConfiguration: "voters learners",
-    log_follower.Follow: "index life number report",
-    log_follower.Entries: "number before entries committed leads leader",
-    log_follower.State: "number index state leads leader",
-    log_follower.Propose: "number command",
-    log_follower.Proposed: "number index word leader",
+    follow_messages.FollowRequest: "applied_index incarnation number report",
+    follow_messages.EntriesResponse: "number after_index entries commit_index is_leader leader",
+    follow_messages.StateResponse: "number index state is_leader leader",
+    follow_messages.ProposeRequest: "number command",
+    follow_messages.ProposeResponse: "number index result leader",
     durability_check.StartAnnouncement: "start_count incarnation known_starts",
     durability_check.StartConfirmation: "start_count incarnation accepted never_voted known_starts",
     terms.Need: "life steward turn number echo grant old held rows",
@@ -176,7 +183,7 @@
     """The classes that the code knows by number, in order, for each of the three tables above."""
     return {
         "frames": list(codec.KINDS[1:]),
-        "agreed": list(consensus_codec.KINDS[1:]),
+        "agreed": [kind.message for kind in consensus_codec.KIND_BY_NUMBER.values()],
         "shares": list(shares.KINDS[1:]),
     }
 
@@ -216,15 +223,15 @@
 
 def encoded_agreed(label, fields):
     """A word of the agreed log from voter-a to voter-b, as one frame between fronts."""
-    number, data = consensus_codec.packed(AGREED_KINDS[label](*fields))
+    number, data = consensus_codec.encode(AGREED_KINDS[label](*fields))
     return codec.frame(codec.ConsensusFrame("voter-a", "voter-b", number, data))
 
 
 def decoded_agreed(data):
     """(sender, receiver, label, fields, the frame encoded anew)."""
     routed = codec.message(*payloads_of(data))
-    made = consensus_codec.unpacked(routed.number, routed.data)
-    number, again = consensus_codec.packed(made)
+    made = consensus_codec.decode(routed.number, routed.data)
+    number, again = consensus_codec.encode(made)
     frame = codec.frame(codec.ConsensusFrame(routed.sender, routed.to, number, again))
     return routed.sender, routed.to, _label(AGREED_KINDS, made), plain(made), frame
 
@@ -291,11 +298,11 @@
     An entry is (index, term, kind, data); a snapshot is (index, term, members, state) or None; members are
     (voters, learners).
     """
-    ledger = Ledger(Disk(), str(folder))
+    ledger = RaftStorage(Disk(), str(folder))
     for _ in range(starts):
-        ledger.begin(name)
-    assert ledger.knows(known) is None
-    ledger.open(unix_time)
+        ledger.count_start(name)
+    assert ledger.write_known_starts(known) is None
+    ledger.load(unix_time)
     for number, (term, vote, cut, rows, snapshot) in enumerate(writes, 1):
         entries = [
             log_entry.LogEntry(index, at, kind, _entry_data(kind, data)) for index, at, kind, data in rows
@@ -315,9 +322,9 @@
 
 def read_voter_folder(folder, name, unix_time):
     """What a start finds in the folder, as plain data. The start is counted and a new log is begun."""
-    ledger = Ledger(Disk(), str(folder))
-    found_name, start = ledger.begin(name)
-    known, kept = ledger.known(), ledger.open(unix_time)
+    ledger = RaftStorage(Disk(), str(folder))
+    found_name, start = ledger.count_start(name)
+    known, kept = ledger.read_known_starts(), ledger.load(unix_time)
     ledger.close()
     return {
         "name": found_name,
@@ -325,7 +332,7 @@
         "known": plain(known),
         "refused": kept.refused,
         "term": kept.term,
-        "vote": kept.vote,
+        "vote": kept.voted_for,
         "snapshot": plain(kept.snapshot),
         "entries": plain(kept.entries),
     }
@@ -333,12 +340,12 @@
 
 def voter_after(folder, name, unix_time):
     """(term, vote, last index, members) of a voter that begins with the folder."""
-    ledger = Ledger(Disk(), str(folder))
-    ledger.begin(name)
-    kept = ledger.open(unix_time)
+    ledger = RaftStorage(Disk(), str(folder))
+    ledger.count_start(name)
+    kept = ledger.load(unix_time)
     ledger.close()
     voter = raft_node.RaftNode(name, log_entry.ClusterConfiguration((name,), ()), RandomSource(name, 1), 0)
-    voter.load(kept.term, kept.vote, kept.snapshot, kept.entries)
+    voter.load(kept.term, kept.voted_for, kept.snapshot, kept.entries)
     return voter.current_term, voter.voted_for, voter.log.last_index(), plain(voter.configuration())
 
 
