--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from sprucegate.fleet.failure_detector.swim import Member, MemberState
+from sprucegate.fleet.failure_detector.member import Member, MemberState
 from sprucegate.fleet.membership_view.views import ViewTracker
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
@@ -132,7 +132,7 @@
     """How many of twenty losses in a row, two seconds apart, a front was kept out after."""
     views, out = ViewTracker(0), 0
     for life in range(1, 21):
-        for word, at in ((MemberState.ALIVE, 0), (MemberState.GONE, S)):
+        for word, at in ((MemberState.ALIVE, 0), (MemberState.DEAD, S)):
             now = life * 2 * S + at
             views.member(Member("b", "at-b", life << 32, 0, int(word), "b"), now)
             views.due(now)
--- a/sprucegate/fleet/failure_detector/__init__.py
+++ b/sprucegate/fleet/failure_detector/__init__.py
@@ -1,1 +1,1 @@
-"""Which fronts there are and how each stands. No I/O."""
+"""SWIM failure detector with Lifeguard's extensions: which members there are, and their states. No I/O, no clock."""
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from sprucegate.errors import ProtocolError
-from sprucegate.fleet.failure_detector import swim
+from sprucegate.fleet.failure_detector import messages as membership
+from sprucegate.fleet.failure_detector.member import Member
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, State
 from sprucegate.routing.events import BeliefGossip, EjectionGossip
@@ -35,27 +36,47 @@
 VERSION = 1
 FRAME_MOST = 8 << 20  # bytes: what a fleet has seen, with the gaps of a transfer under way
 GREETING_MOST = 1024
-KINDS = (
-    None,
-    swim.Ping,
-    swim.Ack,
-    swim.PingFor,
-    swim.Nack,
-    swim.All,
-    replica.Tell,
-    replica.Done,
-    replica.Held,
-    replica.Have,
-    replica.Mark,
-    replica.Ranges,
-    replica.Keys,
-    replica.Repair,
-    replica.Evidence,
-    ConsensusFrame,
-    swim.Refused,
-    ComponentMessage,
-)
-NUMBERS = {kind: number for number, kind in enumerate(KINDS) if kind}
+# The number of each kind of message on the wire; numbers are never used anew.
+KINDS = {
+    1: membership.Ping,
+    2: membership.Ack,
+    3: membership.PingRequest,
+    4: membership.Nack,
+    5: membership.FullState,
+    6: replica.Tell,
+    7: replica.Done,
+    8: replica.Held,
+    9: replica.Have,
+    10: replica.Mark,
+    11: replica.Ranges,
+    12: replica.Keys,
+    13: replica.Repair,
+    14: replica.Evidence,
+    15: ConsensusFrame,
+    16: membership.ConnectionRefused,
+    17: ComponentMessage,
+}
+NUMBERS = {kind: number for number, kind in KINDS.items()}
+# The word of each kind in the count of messages that `status` answers.
+STATUS_WORDS = {
+    membership.Ping: "ping",
+    membership.Ack: "ack",
+    membership.PingRequest: "pingfor",
+    membership.Nack: "nack",
+    membership.FullState: "all",
+    replica.Tell: "tell",
+    replica.Done: "done",
+    replica.Held: "held",
+    replica.Have: "have",
+    replica.Mark: "mark",
+    replica.Ranges: "ranges",
+    replica.Keys: "keys",
+    replica.Repair: "repair",
+    replica.Evidence: "evidence",
+    ConsensusFrame: "routed",
+    membership.ConnectionRefused: "refused",
+    ComponentMessage: "word",
+}
 
 
 class FrameError(ProtocolError):
@@ -84,11 +105,11 @@
 _Key, _Dot = tuple, tuple[str, int, int]
 _Lives = list[tuple[str, int, list[int]]]
 SHAPES = {
-    swim.Ping: tuple[int, str, int, list[swim.Member]],
-    swim.Ack: tuple[int, int, list[swim.Member]],
-    swim.PingFor: tuple[int, str, list[swim.Member]],
-    swim.Nack: tuple[int],
-    swim.All: tuple[list[swim.Member], bool],
+    membership.Ping: tuple[int, str, int, list[Member]],
+    membership.Ack: tuple[int, int, list[Member]],
+    membership.PingRequest: tuple[int, str, list[Member]],
+    membership.Nack: tuple[int],
+    membership.FullState: tuple[list[Member], bool],
     replica.Tell: tuple[list[Fact], int, int],
     replica.Done: tuple[int, int, _Lives],
     replica.Held: tuple[int],
@@ -99,7 +120,7 @@
     replica.Repair: tuple[list[Fact]],
     replica.Evidence: tuple[int, list[BeliefGossip], list[EjectionGossip]],
     ConsensusFrame: tuple[str, str, int, bytes],
-    swim.Refused: tuple[str, int],
+    membership.ConnectionRefused: tuple[str, int],
     ComponentMessage: tuple[str, bytes],
 }
 _encode = msgspec.msgpack.Encoder().encode
@@ -127,7 +148,7 @@
     """The message of one record, checked."""
     try:
         number, raw = _number(payload)
-        if not 0 < number < len(KINDS):
+        if number not in KINDS:
             raise FrameError(f"a message of kind {number}, which format {VERSION} lacks")
         made = KINDS[number](*_decoders[KINDS[number]](raw))
     except msgspec.MsgspecError as fault:
--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -104,7 +104,7 @@
                 return
             connection = self.dialled[address] = Connection(self, None, address)
             connection.task = self.loop.create_task(self._dial(connection))
-        kind = type(message).__name__.lower()
+        kind = codec.STATUS_WORDS[type(message)]
         self.sent[kind] = self.sent.get(kind, 0) + 1
         connection.put(message, guard)
 
--- a/sprucegate/fleet/membership_view/standing.py
+++ b/sprucegate/fleet/membership_view/standing.py
@@ -8,7 +8,7 @@
 from math import log2
 from typing import NamedTuple
 
-from sprucegate.fleet.failure_detector.swim import MemberState
+from sprucegate.fleet.failure_detector.member import MemberState
 
 MS, S = 1_000_000, 1_000_000_000
 HEARD = 1500 * MS  # a frame that came so lately: it is heard
@@ -33,7 +33,7 @@
 HEALTH_STATE_OF_MEMBER = {
     MemberState.ALIVE: HealthState.LIVE,
     MemberState.SUSPECT: HealthState.SUSPECT,
-    MemberState.GONE: HealthState.GONE,
+    MemberState.DEAD: HealthState.GONE,
     MemberState.LEFT: HealthState.LEAVING,
 }
 
@@ -57,8 +57,8 @@
 
     def told(self, member, now):
         """The members' word changed."""
-        word = HEALTH_STATE_OF_MEMBER[MemberState(member.standing)]
-        fresh = member.life != self.life
+        word = HEALTH_STATE_OF_MEMBER[MemberState(member.state)]
+        fresh = member.incarnation != self.life
         if not self.life:
             self.met_at = now
         elif (
@@ -72,7 +72,7 @@
             self.indirect, self.format, self.heard_at = 0, False, -1 << 62
         if fresh or word is not self.word:
             self.word_at = now
-        self.word, self.by, self.life = word, member.by, member.life
+        self.word, self.by, self.life = word, member.reported_by, member.incarnation
 
     def lost(self, now):
         self.losses = min(LOSSES_MOST, self._left(now) + 1)
--- a/sprucegate/fleet/membership_view/views.py
+++ b/sprucegate/fleet/membership_view/views.py
@@ -7,7 +7,7 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.failure_detector.swim import MEMBERS_MOST
+from sprucegate.fleet.failure_detector.member import MEMBERS_MAX
 from sprucegate.fleet.membership_view import careful
 from sprucegate.fleet.membership_view.careful import FleetState
 from sprucegate.fleet.membership_view.standing import HealthState, PeerHealth, ViewRow
@@ -58,7 +58,7 @@
     # What happens: it is looked at by the next `due`, which is at once.
 
     def member(self, member, now):
-        if member.name not in self.known and len(self.known) >= MEMBERS_MOST:
+        if member.name not in self.known and len(self.known) >= MEMBERS_MAX:
             return
         self.known.setdefault(member.name, PeerHealth()).told(member, now)
         self.at = now
--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -4,8 +4,10 @@
 Actions are those of the two modules; `Send` of either goes to a peer by name, or to an address.
 """
 
-from sprucegate.fleet.failure_detector import swim
-from sprucegate.fleet.failure_detector.swim import Member, Members, MemberState
+from sprucegate.fleet.failure_detector import actions as membership_actions
+from sprucegate.fleet.failure_detector import messages
+from sprucegate.fleet.failure_detector.detector import FailureDetector
+from sprucegate.fleet.failure_detector.member import Member, MemberState
 from sprucegate.fleet.membership_view.careful import PeerAction, allows
 from sprucegate.fleet.membership_view.standing import HEALTH_STATE_OF_MEMBER
 from sprucegate.fleet.membership_view.views import ViewTracker
@@ -13,15 +15,22 @@
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.replica import Live, Phase, Replica
 
-MEMBER_WORDS = (swim.Ping, swim.Ack, swim.PingFor, swim.Nack, swim.All, swim.Refused)
+MEMBERSHIP_MESSAGES = (
+    messages.Ping,
+    messages.Ack,
+    messages.PingRequest,
+    messages.Nack,
+    messages.FullState,
+    messages.ConnectionRefused,
+)
 
 
 class FleetNode:
-    def __init__(self, name, address, life, seeds, seed, now, pace=None, **replicas):
+    def __init__(self, name, address, life, seeds, seed, now, timing=None, **replicas):
         """`life`: start << 32 | being, its start kept on disk before anything is told; `replicas`: see Replica."""
         chance = RandomSource(name, seed ^ life)
         own = Member(name, address, life, 0, int(MemberState.ALIVE), name)
-        self.members = Members(own, seeds, chance, now, pace)
+        self.members = FailureDetector(own, seeds, chance, now, timing)
         self.replica, self.views = Replica(name, life, chance, now, **replicas), ViewTracker(now)
 
     def loaded(self, facts, lives, now):
@@ -31,7 +40,7 @@
         """From here on others are looked for, and asked once one is there."""
         self.replica.phase, self.replica.ask_until = Phase.ASKING, now + self.replica.alone_after
         self.replica.moved = now
-        self.replica.unmet = bool(self.members.unmet())
+        self.replica.unmet = bool(self.members.unmet_seeds())
         return self.due(now)
 
     def told(self, key, value, now):
@@ -39,35 +48,35 @@
 
     def heard(self, sender, message, now):
         self.views.heard(sender, now)
-        if isinstance(message, MEMBER_WORDS):
-            done = self._followed(self.members.heard(sender, message, now), now)
+        if isinstance(message, MEMBERSHIP_MESSAGES):
+            done = self._followed(self.members.on_message(sender, message, now), now)
             # Neighbours alone could be a closed circle: a probe comes from anywhere.
-            held = message.held if isinstance(message, swim.Ping | swim.Ack) else 0
+            held = message.digest if isinstance(message, messages.Ping | messages.Ack) else 0
             return self._lives(done + (self.replica.compared(sender, held, now) if held else []), now)
         return self._lives(self.replica.heard(sender, message, now), now)
 
     def reset(self, name, now):
-        return self.members.reset(name, now)
+        return self.members.on_connection_reset(name, now)
 
     def refused(self, name, life, now):
-        return self._followed(self.members.refused(name, life, now), now)
+        return self._followed(self.members.on_connection_refused(name, life, now), now)
 
     def due(self, now):
         done = []
-        if self.members.next_due() <= now:
-            self.members.held = self.replica.digest()
-            done = self._followed(self.members.due(now), now)
+        if self.members.next_deadline() <= now:
+            self.members.set_digest(self.replica.digest())
+            done = self._followed(self.members.on_timer(now), now)
         if self.replica.next_due() <= now:
-            self.replica.unmet = self.replica.phase is Phase.ASKING and bool(self.members.unmet())
+            self.replica.unmet = self.replica.phase is Phase.ASKING and bool(self.members.unmet_seeds())
             done += self.replica.due(now)
         return self._lives(done, now) + self.views.due(now)
 
     def next_due(self):
-        return min(self.members.next_due(), self.replica.next_due(), self.views.next_due())
+        return min(self.members.next_deadline(), self.replica.next_due(), self.views.next_due())
 
     def renewed(self, start, alias):
-        self.members.renewed(start, alias)
-        self.replica.renewed(self.members.own.name, self.members.own.life)
+        self.members.renew(start, alias)
+        self.replica.renewed(self.members.own.name, self.members.own.incarnation)
 
     def synced(self, number, now):
         return self._lives(self.replica.synced(number, now), now)
@@ -76,7 +85,7 @@
         return self._lives(self.replica.not_kept(number, fault, now), now)
 
     def leaves(self, now):
-        return self.members.leaves(now)
+        return self.members.leave()
 
     def _lives(self, actions, now):
         if any(isinstance(action, Live) for action in actions):
@@ -87,20 +96,20 @@
         """What membership finds goes to the replica at once."""
         done = []
         for action in actions:
-            if isinstance(action, swim.Answered):
+            if isinstance(action, membership_actions.ProbeAnswered):
                 self.views.answered(action.name, action.direct, now)
                 continue
-            if isinstance(action, swim.Slept):
+            if isinstance(action, membership_actions.ProcessStalled):
                 self.views.slept(now)
                 continue
             done.append(action)
-            if isinstance(action, swim.Stands):
+            if isinstance(action, membership_actions.MemberChanged):
                 self.views.member(action.member, now)
                 there, before = (
-                    allows(PeerAction.TELL, HEALTH_STATE_OF_MEMBER[action.member.standing]),
+                    allows(PeerAction.TELL, HEALTH_STATE_OF_MEMBER[action.member.state]),
                     action.before,
                 )
-                if before is not None and before.life != action.member.life:
+                if before is not None and before.incarnation != action.member.incarnation:
                     # Another life may have lost its disk: what the former one had seen counts no more.
                     done += self.replica.stands(before.name, False, now)
                     self.replica.gone.pop(before.name, None)
@@ -108,14 +117,14 @@
                     done += self.replica.stands(action.member.name, there, now)
                     first = self.replica.phase is Phase.ASKING and not self.replica.meet_at
                     done += self.replica.asks(now) if there and first else []
-            elif isinstance(action, swim.Fenced):
+            elif isinstance(action, membership_actions.DeclaredDead):
                 done += self.replica.fenced(now)
         return done
 
 
 def outgoing(action):
     """(name, address, message, whether it is facts) of a Send of either module; None of any other action."""
-    if isinstance(action, swim.Send):
+    if isinstance(action, membership_actions.Send):
         return action.to, action.address, action.message, False
     if isinstance(action, replica.Send):
         return action.to, "", action.message, action.guard
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -14,7 +14,8 @@
 
 from sprucegate import clock
 from sprucegate.fleet import components
-from sprucegate.fleet.failure_detector.swim import Doubled, Fenced, Look, MemberState, Stands
+from sprucegate.fleet.failure_detector.actions import CheckPort, DeclaredDead, MemberChanged, NameConflict
+from sprucegate.fleet.failure_detector.member import MEMBER_STATE_WORDS
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.links import INBOUND_CONNECTIONS_MAX, VOTER_CONNECTIONS_MAX, PeerLinks
 from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
@@ -239,31 +240,31 @@
                     self.up.set()
                 case Note():
                     self.log(action.event, **action.said)
-                case Look(name, address, life):
+                case CheckPort(name, address, life):
                     self.links.look(address, lambda name=name, life=life: self._refused(name, life))
                 case ViewChanged():
                     self._viewed(action)
-                case Stands():
+                case MemberChanged():
                     member, before = action.member, action.before
                     self.log(
                         "fleet_member",
                         member=member.name,
-                        standing=MemberState(member.standing).name.lower(),
-                        before=MemberState(before.standing).name.lower() if before else None,
-                        by=member.by,
-                        life=f"{member.life:x}",
+                        standing=MEMBER_STATE_WORDS[member.state],
+                        before=MEMBER_STATE_WORDS[before.state] if before else None,
+                        by=member.reported_by,
+                        life=f"{member.incarnation:x}",
                         address=member.address,
                     )
-                case Fenced():
+                case DeclaredDead():
                     self.log("fleet_fenced")
-                case Doubled():
+                case NameConflict():
                     self.log(
                         "fleet_name_twice",
                         own=f"{action.own:x}",
                         other=f"{action.other:x}",
                         alias=action.alias,
                     )
-                    self._later(self._renew(action.least, action.alias))
+                    self._later(self._renew(action.start_above, action.alias))
                 case Doubted():
                     self._later(self._renew(0, ""))
                 case LetGo():
@@ -427,8 +428,10 @@
         if alias:
             self.links.greet_again()
         for part in self.parts:
-            part.on_identity_changed(self.peer.members.own.name, self.peer.members.own.life)
-        self.log("fleet_renewed", name=self.peer.members.own.name, life=f"{self.peer.members.own.life:x}")
+            part.on_identity_changed(self.peer.members.own.name, self.peer.members.own.incarnation)
+        self.log(
+            "fleet_renewed", name=self.peer.members.own.name, life=f"{self.peer.members.own.incarnation:x}"
+        )
 
     def _later(self, action):
         task = self.loop.create_task(self._guarded(action))
@@ -450,7 +453,7 @@
 
     def _greeting(self):
         own = self.peer.members.own
-        return codec.Greeting(codec.VERSION, self.node.name, "front", own.name, own.address, own.life)
+        return codec.Greeting(codec.VERSION, self.node.name, "front", own.name, own.address, own.incarnation)
 
     async def _asked(self, question):
         answers = {"status": self._status, "facts": self._facts, "why": self._why}
@@ -473,7 +476,7 @@
             "phase": "caught up" if replica.phase is Phase.TOGETHER else replica.phase.name.lower(),
             "root": f"{replica.facts.root():016x}",
             "kept": replica.kept,
-            "health": members.health,
+            "health": members.local_health,
             "facts": kinds,
             "view": self._shown_view(),
             "bytes_out": self.links.bytes_out,
@@ -487,9 +490,9 @@
                 {
                     "name": m.name,
                     "address": m.address,
-                    "standing": MemberState(m.standing).name.lower(),
-                    "by": m.by,
-                    "life": f"{m.life:x}",
+                    "standing": MEMBER_STATE_WORDS[m.state],
+                    "by": m.reported_by,
+                    "life": f"{m.incarnation:x}",
                     "lag": lag.get(name),
                 }
                 for name, m in sorted(members.known.items())
--- a/standins/fleet/schedules.py
+++ b/standins/fleet/schedules.py
@@ -9,12 +9,14 @@
 import sys
 import time
 
+from sprucegate.fleet.failure_detector.messages import Ack, FullState, Ping
 from sprucegate.fleet.replica.facts import State
+from sprucegate.fleet.replica.replica import Done, Have, Held, Keys, Ranges, Tell
 from standins.fleet import checkers
 from standins.fleet.simulated import MS, Fleet, S
 
 TROUBLES = ("kill", "pause", "split", "one-way", "kind", "disk-full", "crash-at", "put-back", "lift-gone")
-KINDS = ("Tell", "Done", "Have", "Held", "Ping", "Ack", "All", "Keys", "Ranges")
+KINDS = (Tell, Done, Have, Held, Ping, Ack, FullState, Keys, Ranges)
 
 
 def played(seed, size, loss=0.0, span=12 * S, settle=25 * S, facts=30, quiet=False, make=Fleet):
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -7,7 +7,7 @@
 import random
 from itertools import count
 
-from sprucegate.fleet.failure_detector.swim import Doubled, Look, Stands
+from sprucegate.fleet.failure_detector.actions import CheckPort, MemberChanged, NameConflict
 from sprucegate.fleet.membership_view.views import ViewChanged
 from sprucegate.fleet.node import FleetNode, outgoing
 from sprucegate.fleet.replica.facts import State
@@ -39,7 +39,7 @@
     def fates(self, sender, to, message):
         """When each copy of a message comes, ns from now; none where it is lost."""
         self.frames += 1
-        kind = type(message).__name__
+        kind = type(message)
         if (sender, to) in self.cut or (sender, to, kind) in self.cut or self.chance.random() < self.loss:
             return []
         copies = 2 if self.chance.random() < self.twice else 1
@@ -151,7 +151,7 @@
                 )
             case Note():
                 fleet.note(self.name, "note", action.event)
-            case Look(name, _, life):
+            case CheckPort(name, _, life):
                 fleet.later(2 * MS, self, self._looked, name, life)
             case ViewChanged(view):
                 fleet.note(
@@ -162,11 +162,11 @@
                     view.share,
                     {name: row.standing.name for name, row in view.rows.items()},
                 )
-            case Stands():
-                fleet.note(self.name, "stands", action.member.name, int(action.member.standing))
-            case Doubled() | Doubted():
+            case MemberChanged():
+                fleet.note(self.name, "stands", action.member.name, int(action.member.state))
+            case NameConflict() | Doubted():
                 alias = getattr(action, "alias", "")
-                self._renew(getattr(action, "least", 0), alias, self.generation)
+                self._renew(getattr(action, "start_above", 0), alias, self.generation)
 
     def _renew(self, least, alias, generation):
         if generation != self.generation or not self.up:
@@ -176,7 +176,7 @@
         except OSError:
             return self.fleet.later(S, self, self._renew, least, alias, generation)
         self.peer.renewed(start, alias)
-        self.fleet.note(self.name, "life", self.peer.members.own.life)
+        self.fleet.note(self.name, "life", self.peer.members.own.incarnation)
 
     def _looked(self, name, life):
         """What a dial shows: nothing where it is cut off, and an open port where it stands still."""
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -3,7 +3,9 @@
 import msgspec
 import pytest
 
-from sprucegate.fleet.failure_detector import swim
+from sprucegate.fleet.failure_detector import messages as membership
+from sprucegate.fleet.failure_detector.detector import FailureDetector
+from sprucegate.fleet.failure_detector.member import Member
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.outgoing import FACTS_MOST, PIECES_MOST, SAID_MOST, Outgoing
 from sprucegate.fleet.random_source import RandomSource
@@ -14,18 +16,18 @@
 from sprucegate.storage import records
 from standins.disk import Crashed, FaultyDisk
 
-MEMBER = swim.Member("n0", "127.0.0.1:1", 1 << 40, 2, 1, "n1")
+MEMBER = Member("n0", "127.0.0.1:1", 1 << 40, 2, 1, "n1")
 FACTS = [
     Fact(("purge", "object", 5), (7,), ("n0", 1, 1)),
     Fact(("word", 16, 0, "bus", "n0"), (1, 2, 0), ("n0", 1, 2)),
 ]
 LIVES = [("n0", 1, [1, 3, 5, 9])]
 MESSAGES = [
-    swim.Ping(1, "n1", 2**63, [MEMBER]),
-    swim.Ack(1, 0, []),
-    swim.PingFor(2, "n1", []),
-    swim.Nack(3),
-    swim.All([MEMBER], True),
+    membership.Ping(1, "n1", 2**63, [MEMBER]),
+    membership.Ack(1, 0, []),
+    membership.PingRequest(2, "n1", []),
+    membership.Nack(3),
+    membership.FullState([MEMBER], True),
     replica.Tell(FACTS, 4, 1),
     replica.Done(4, 2, LIVES),
     replica.Held(2**64 - 1),
@@ -36,7 +38,7 @@
     replica.Repair(FACTS),
     replica.Evidence(5, [BeliefGossip(1, 0, 12, 0, 7, 8)], [EjectionGossip(12, 0, True, 9, 1500, 5)]),
     codec.ConsensusFrame("k0", "k1^a", 1, b"x"),
-    swim.Refused("n1", 7),
+    membership.ConnectionRefused("n1", 7),
     codec.ComponentMessage("shares", b""),
 ]
 
@@ -48,7 +50,7 @@
         reader.most = codec.FRAME_MOST
         for at in range(0, len(data), size):
             found += [codec.message(payload) for payload in reader.feed(data[at : at + size])]
-        assert found == MESSAGES and {type(m) for m in MESSAGES} == set(codec.KINDS[1:])
+        assert found == MESSAGES and {type(m) for m in MESSAGES} == set(codec.KINDS.values())
 
 
 def test_every_changed_byte_of_a_frame_is_found():
@@ -97,9 +99,9 @@
     out.put(replica.Tell(FACTS, 7, 0), True)
     out.put(replica.Tell([FACTS[0]], 0, 0), True)
     out.put(replica.Tell([FACTS[0]._replace(value=(9,))], 0, 0), True)
-    out.put(swim.Nack(1), False)
+    out.put(membership.Nack(1), False)
     assert sent(out) == [
-        swim.Nack(1),
+        membership.Nack(1),
         replica.Tell([FACTS[0]._replace(value=(9,))], 0, 0),
         replica.Tell(FACTS, 7, 0),
         replica.Evidence(2, [], []),
@@ -185,11 +187,15 @@
 
 def test_an_answer_tells_a_process_of_a_later_life_under_its_name():
     # Against two of one name: the one that others no longer took for it heard nothing of why.
-    own = swim.Member("n0", "127.0.0.1:1", 1 << 32, 0, 0, "n0")
-    members = swim.Members(own, [], RandomSource("n0", 1), 0)
-    members.heard("n2", swim.All([MEMBER._replace(name="n2", life=2 << 32, standing=0)], False), 0)
-    (answer,) = members.heard("n2", swim.Ping(7, "n0", 0, []), 0)
-    assert answer.message.number == 7 and [m.life for m in answer.message.news if m.name == "n2"] == [2 << 32]
+    own = Member("n0", "127.0.0.1:1", 1 << 32, 0, 0, "n0")
+    members = FailureDetector(own, [], RandomSource("n0", 1), 0)
+    members.on_message(
+        "n2", membership.FullState([MEMBER._replace(name="n2", incarnation=2 << 32, state=0)], False), 0
+    )
+    (answer,) = members.on_message("n2", membership.Ping(7, "n0", 0, []), 0)
+    assert answer.message.number == 7 and [
+        m.incarnation for m in answer.message.updates if m.name == "n2"
+    ] == [2 << 32]
 
 
 def test_many_twins_in_one_message_are_one_note_and_one_repair_to_their_owner():
--- a/tests/fleet/test_fleet_links_lack.py
+++ b/tests/fleet/test_fleet_links_lack.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sprucegate.fleet.failure_detector.swim import Ping
+from sprucegate.fleet.failure_detector.messages import Ping
 from sprucegate.fleet.links import codec, links
 from sprucegate.fleet.links.links import PeerLinks
 from standins.ports import free_port
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -5,7 +5,7 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from sprucegate.fleet.failure_detector.swim import Members
+from sprucegate.fleet.failure_detector.detector import FailureDetector
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, Facts, Joined, State
 from sprucegate.fleet.replica.seen import Seen
@@ -176,12 +176,12 @@
     fleet = paused_and_half_cut(seed)
     assert not checkers.falsely_gone(fleet.trace, 5 * S)
     for front in fleet.fronts.values():
-        assert len(front.peer.members.alive()) == 9, front.name
+        assert len(front.peer.members.reachable()) == 9, front.name
 
 
 def test_the_checker_of_false_ends_cries_out(monkeypatch):
     # A suspect that is not heard: nobody takes its refutation.
-    monkeypatch.setattr(Members, "_of_own", lambda self, word: [])
+    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, word: [])
     assert any(checkers.falsely_gone(paused_and_half_cut(seed).trace, 5 * S) for seed in range(3))
 
 
@@ -279,7 +279,7 @@
     fleet.drained("n0", 16)
     fleet.run(4 * S)
     # n2 hears everything but facts: it is there, and has not seen the lifting.
-    fleet.network.cut |= {(a, "n2", kind) for a in ("n0", "n1") for kind in ("Tell", "Done")}
+    fleet.network.cut |= {(a, "n2", kind) for a in ("n0", "n1") for kind in (replica.Tell, replica.Done)}
     fleet.drained("n0", 16, State.LIFTED)
     fleet.run(30 * S)
     assert all(("word", 16, 0, "bus", "n0") in fleet.fronts[n].holds() for n in ("n0", "n1"))
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -6,19 +6,10 @@
 
 import pytest
 
-from sprucegate.fleet.failure_detector import swim
-from sprucegate.fleet.failure_detector.swim import (
-    All,
-    Answered,
-    Look,
-    Member,
-    Members,
-    Ping,
-    Refused,
-    Send,
-    Stands,
-)
-from sprucegate.fleet.failure_detector.swim import MemberState as Word
+from sprucegate.fleet.failure_detector.actions import CheckPort, MemberChanged, ProbeAnswered, Send
+from sprucegate.fleet.failure_detector.detector import FailureDetector
+from sprucegate.fleet.failure_detector.member import Member, MemberState
+from sprucegate.fleet.failure_detector.messages import Ack, ConnectionRefused, FullState, Ping
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.membership_view import careful
 from sprucegate.fleet.membership_view.careful import FleetState, OwnAction, PeerAction
@@ -32,7 +23,7 @@
 MS, S = 1_000_000, 1_000_000_000
 
 
-def member(name="b", word=Word.ALIVE, life=1 << 32, turn=0, by="b"):
+def member(name="b", word=MemberState.ALIVE, life=1 << 32, turn=0, by="b"):
     return Member(name, f"at-{name}", life, turn, int(word), by)
 
 
@@ -46,16 +37,22 @@
 @pytest.mark.parametrize(
     "word, heard, indirect, agreed, said",
     [
-        (Word.ALIVE, 0, 0, None, HealthState.LIVE),
-        (Word.ALIVE, 0, 0, True, HealthState.LIVE),
-        (Word.ALIVE, 0, 0, False, HealthState.CUT_OFF),  # probes reach it, and it follows no keeper
-        (Word.ALIVE, 0, 2, True, HealthState.CUT_OFF),  # only others reach it
-        (Word.ALIVE, 0, 1, True, HealthState.LIVE),
-        (Word.SUSPECT, 0, 0, True, HealthState.SUSPECT),
-        (Word.SUSPECT, 9 * S, 0, True, HealthState.ONE_WAY),
-        (Word.GONE, 9 * S, 0, True, HealthState.ONE_WAY),  # its frames still come, so it hears nobody's
-        (Word.GONE, 5 * S, 0, True, HealthState.GONE),  # what came last was long ago
-        (Word.LEFT, 9 * S, 2, False, HealthState.LEAVING),
+        (MemberState.ALIVE, 0, 0, None, HealthState.LIVE),
+        (MemberState.ALIVE, 0, 0, True, HealthState.LIVE),
+        (MemberState.ALIVE, 0, 0, False, HealthState.CUT_OFF),  # probes reach it, and it follows no keeper
+        (MemberState.ALIVE, 0, 2, True, HealthState.CUT_OFF),  # only others reach it
+        (MemberState.ALIVE, 0, 1, True, HealthState.LIVE),
+        (MemberState.SUSPECT, 0, 0, True, HealthState.SUSPECT),
+        (MemberState.SUSPECT, 9 * S, 0, True, HealthState.ONE_WAY),
+        (
+            MemberState.DEAD,
+            9 * S,
+            0,
+            True,
+            HealthState.ONE_WAY,
+        ),  # its frames still come, so it hears nobody's
+        (MemberState.DEAD, 5 * S, 0, True, HealthState.GONE),  # what came last was long ago
+        (MemberState.LEFT, 9 * S, 2, False, HealthState.LEAVING),
     ],
 )
 def test_what_members_links_and_the_log_say_makes_one_standing(word, heard, indirect, agreed, said):
@@ -67,7 +64,7 @@
 
 
 def test_a_frame_that_was_under_way_speaks_not_against_an_accusation():
-    one = known(member(), member(word=Word.SUSPECT))
+    one = known(member(), member(word=MemberState.SUSPECT))
     one.heard_at = 50 * MS
     assert one.reads(None, S)[0] is HealthState.SUSPECT
 
@@ -84,7 +81,7 @@
     # One that said that it goes, as each release makes it, does not flap.
     planned = known(member())
     for life in range(2, 9):
-        planned.told(member(word=Word.LEFT, life=(life - 1) << 32), life * S)
+        planned.told(member(word=MemberState.LEFT, life=(life - 1) << 32), life * S)
         planned.told(member(life=life << 32), life * S)
     assert planned.reads(True, 30 * S)[0] is HealthState.LIVE
 
@@ -101,11 +98,11 @@
     views.member(member(), 0)
     assert seen(views, 0) == {"b": HealthState.SUSPECT} and views.view.state is FleetState.RETURNING
     assert seen(views, HOLD) == {"b": HealthState.LIVE}
-    views.member(member(word=Word.SUSPECT), 2 * S)
+    views.member(member(word=MemberState.SUSPECT), 2 * S)
     assert seen(views, 2 * S) == {"b": HealthState.SUSPECT}
     views.member(member(turn=1), 2 * S + MS)
     assert seen(views, 2 * S + 500 * MS) == {"b": HealthState.SUSPECT}  # doubted again, the time begins anew
-    views.member(member(word=Word.SUSPECT, turn=1), 2 * S + 600 * MS)
+    views.member(member(word=MemberState.SUSPECT, turn=1), 2 * S + 600 * MS)
     seen(views, 2 * S + 600 * MS)
     views.member(member(turn=2), 2 * S + 700 * MS)
     seen(views, 2 * S + 700 * MS)
@@ -138,7 +135,7 @@
     seen(views, 0)
     seen(views, HOLD)
     for name in "bc":
-        views.member(member(name, Word.GONE), 5 * S)
+        views.member(member(name, MemberState.DEAD), 5 * S)
     seen(views, 5 * S)
     assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 0.5, 0)
     views.agreed(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
@@ -149,10 +146,10 @@
     views.agreed(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, True, 7 * S)
     seen(views, 7 * S)  # fenced: by its own word again; the log's is no reason for any standing
     assert views.view.agreed == 0
-    views.member(member("d", Word.GONE), 8 * S)
+    views.member(member("d", MemberState.DEAD), 8 * S)
     seen(views, 8 * S)
     assert views.view.state is FleetState.ALONE
-    views.member(member("d", Word.LEFT), 9 * S)
+    views.member(member("d", MemberState.LEFT), 9 * S)
     seen(views, 9 * S)
     assert seen(views, 700 * S) == {}  # and who is gone for long is forgotten
 
@@ -179,43 +176,46 @@
 
 
 def members(*others):
-    made = Members(member("a"), [], RandomSource("a", 1), 0)
+    made = FailureDetector(member("a"), [], RandomSource("a", 1), 0)
     for name in others:
-        made.heard(name, All([member(name)], False), 0)
+        made.on_message(name, FullState([member(name)], False), 0)
     return made
 
 
 def test_an_end_takes_two_fronts_that_were_refused_and_one_alone_ends_nobody():
     one = members("b", "c", "d")
-    assert one.reset("b", S) == [Look("b", "at-b", 1 << 32)] and one.reset("b", S + MS) == []
-    asked = one.refused("b", 1 << 32, S)
+    assert (
+        one.on_connection_reset("b", S) == [CheckPort("b", "at-b", 1 << 32)]
+        and one.on_connection_reset("b", S + MS) == []
+    )
+    asked = one.on_connection_refused("b", 1 << 32, S)
     assert (
         asked
         and {a.to for a in asked} <= {"c", "d"}
-        and {a.message for a in asked} == {Refused("b", 1 << 32)}
+        and {a.message for a in asked} == {ConnectionRefused("b", 1 << 32)}
     )
-    assert one.known["b"].standing == Word.ALIVE and one.refused("b", 1 << 32, S) == []
-    assert one.heard("c", Refused("b", 9 << 32), S) == []  # another life's end
-    told = one.heard("c", Refused("b", 1 << 32), S)
-    assert told[0] == Stands(member("b", Word.GONE, by="a"), member("b"))
-    assert all(isinstance(a, Send) and isinstance(a.message, All) for a in told[1:]) and len(told) > 1
+    assert one.known["b"].state == MemberState.ALIVE and one.on_connection_refused("b", 1 << 32, S) == []
+    assert one.on_message("c", ConnectionRefused("b", 9 << 32), S) == []  # another life's end
+    told = one.on_message("c", ConnectionRefused("b", 1 << 32), S)
+    assert told[0] == MemberChanged(member("b", MemberState.DEAD, by="a"), member("b"))
+    assert all(isinstance(a, Send) and isinstance(a.message, FullState) for a in told[1:]) and len(told) > 1
 
 
 def test_one_that_hears_of_an_end_looks_itself_and_says_nothing_by_hearsay():
     one = members("b", "c")
-    assert one.heard("c", Refused("b", 1 << 32), S) == [Look("b", "at-b", 1 << 32)]
-    assert one.known["b"].standing == Word.ALIVE
-    assert [a for a in one.refused("b", 1 << 32, S) if isinstance(a, Stands)]
+    assert one.on_message("c", ConnectionRefused("b", 1 << 32), S) == [CheckPort("b", "at-b", 1 << 32)]
+    assert one.known["b"].state == MemberState.ALIVE
+    assert [a for a in one.on_connection_refused("b", 1 << 32, S) if isinstance(a, MemberChanged)]
     # What it said before its end may come after it: looked at again at once.
-    told = one.heard("c", All([member("b", turn=5)], False), 2 * S)
-    assert Look("b", "at-b", 1 << 32) in told
+    told = one.on_message("c", FullState([member("b", turn=5)], False), 2 * S)
+    assert CheckPort("b", "at-b", 1 << 32) in told
 
 
 def test_an_answer_by_a_helper_alone_is_told_as_such():
     one = members("b", "c")
-    probe = next(a for a in one.due(one.next_due()) if isinstance(a.message, Ping))
+    probe = next(a for a in one.on_timer(one.next_deadline()) if isinstance(a.message, Ping))
     other = "c" if probe.to == "b" else "b"
-    assert Answered(probe.to, False) in one.heard(other, swim.Ack(probe.message.number, 0, []), MS)
+    assert ProbeAnswered(probe.to, False) in one.on_message(other, Ack(probe.message.number, 0, []), MS)
 
 
 @pytest.mark.parametrize("size, loss", [(3, 0.0), (5, 0.1), (5, 0.3)])
@@ -228,12 +228,12 @@
     monkeypatch.setattr(
         ViewTracker,
         "member",
-        lambda self, m, now, told=ViewTracker.member: told(self, m._replace(standing=0), now),
+        lambda self, m, now, told=ViewTracker.member: told(self, m._replace(state=0), now),
     )
 
 
 def _never_refutes(monkeypatch):
-    monkeypatch.setattr(Members, "_of_own", lambda self, word: [])
+    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, word: [])
 
 
 def _never_caught_up(monkeypatch):
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -30,7 +30,8 @@
 from sprucegate.fleet.consensus import codec as consensus_codec
 from sprucegate.fleet.consensus import durability_check, log_follower, raft_node
 from sprucegate.fleet.consensus.storage import Ledger
-from sprucegate.fleet.failure_detector import swim
+from sprucegate.fleet.failure_detector import messages as swim
+from sprucegate.fleet.failure_detector.member import Member
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.quotas import part as shares
 from sprucegate.fleet.quotas import terms
@@ -49,9 +50,9 @@
 FRAME_KINDS = {
     "01-ping": swim.Ping,
     "02-ack": swim.Ack,
-    "03-ping-for": swim.PingFor,
+    "03-ping-for": swim.PingRequest,
     "04-nack": swim.Nack,
-    "05-all": swim.All,
+    "05-all": swim.FullState,
     "06-tell": replica.Tell,
     "07-done": replica.Done,
     "08-held": replica.Held,
@@ -62,7 +63,7 @@
     "13-repair": replica.Repair,
     "14-evidence": replica.Evidence,
     "15-routed": codec.ConsensusFrame,
-    "16-refused": swim.Refused,
+    "16-refused": swim.ConnectionRefused,
     "17-word": codec.ComponentMessage,
 }
 
@@ -96,13 +97,13 @@
 
 # What is sent or stored as an array, by the order of its fields: a field may be renamed here and there, never moved.
 FIELDS = {
-    swim.Ping: "number to held news",
-    swim.Ack: "number held news",
-    swim.PingFor: "number target news",
+    swim.Ping: "number to digest updates",
+    swim.Ack: "number digest updates",
+    swim.PingRequest: "number target updates",
     swim.Nack: "number",
-    swim.All: "members answer",
-    swim.Refused: "name life",
-    swim.Member: "name address life turn standing by",
+    swim.FullState: "members reply_requested",
+    swim.ConnectionRefused: "name incarnation",
+    Member: "name address incarnation refutation state reported_by",
     replica.Tell: "facts transfer at",
     replica.Done: "transfer pieces claims",
     replica.Held: "digest",
@@ -175,7 +176,7 @@
 def kinds_of_code():
     """The classes that the code knows by number, in order, for each of the three tables above."""
     return {
-        "frames": list(codec.KINDS[1:]),
+        "frames": [codec.KINDS[number] for number in range(1, 1 + len(codec.KINDS))],
         "agreed": list(consensus_codec.KINDS[1:]),
         "shares": list(shares.KINDS[1:]),
     }
