--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -287,7 +287,9 @@
             fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views
         )
         node = ConsensusSettings(self.file.addresses, self.file.state, self.rollout.limits)
-        self.agreed = ConsensusDriver(own.name, own.life, node, fleet.seed, fleet.log, fleet.links, self.face)
+        self.agreed = ConsensusDriver(
+            own.name, own.incarnation, node, fleet.seed, fleet.log, fleet.links, self.face
+        )
         await self.agreed.start()
 
     def on_message(self, sender, message):
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -58,7 +58,7 @@
 
     def changed(self):
         """Differs where `boxes` may give something else."""
-        return self.merged.view.generation, [(name, m.standing) for name, m in sorted(self.members().items())]
+        return self.merged.view.generation, [(name, m.state) for name, m in sorted(self.members().items())]
 
     def boxes(self):
         found = {
@@ -73,7 +73,7 @@
             for name, row in self._rows().items()
         }
         for name, member in self.members().items():
-            if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.standing]):
+            if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.state]):
                 found[name] = Box(name, "front", "", "front", "", 1)
         return found
 
--- a/sprucegate/fleet/quotas/part.py
+++ b/sprucegate/fleet/quotas/part.py
@@ -108,7 +108,7 @@
     async def start(self):
         self.up = True
         own = self.fleet.peer.members.own
-        self.on_identity_changed(own.name, own.life)
+        self.on_identity_changed(own.name, own.incarnation)
         self._ages()
 
     def start_without_storage(self):
@@ -145,7 +145,7 @@
     def on_view_changed(self, view):
         own = self.fleet.peer.members.own
         lenders = [(name, row.life) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)]
-        lenders += [(own.name, own.life)] if view.allows_own(OwnAction.LEND) else []
+        lenders += [(own.name, own.incarnation)] if view.allows_own(OwnAction.LEND) else []
         self._do(
             self.shares.viewed(
                 lenders,
