--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from sprucegate.fleet.failure_detector.member import Member, MemberState
-from sprucegate.fleet.membership_view.views import ViewTracker
+from sprucegate.fleet.membership_view.tracker import ViewTracker
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
 from standins.fleet.schedules import played
@@ -134,8 +134,8 @@
     for life in range(1, 21):
         for word, at in ((MemberState.ALIVE, 0), (MemberState.DEAD, S)):
             now = life * 2 * S + at
-            views.member(Member("b", "at-b", life << 32, 0, int(word), "b"), now)
-            views.due(now)
+            views.on_member_changed(Member("b", "at-b", life << 32, 0, int(word), "b"), now)
+            views.on_timer(now)
         out += views.known["b"].damped
     return out
 
--- a/sprucegate/fleet/membership_view/__init__.py
+++ b/sprucegate/fleet/membership_view/__init__.py
@@ -1,1 +1,1 @@
-"""How the fleet stands, as this front sees it, and what may be done in each standing."""
+"""This front's view of the fleet: the health state of each front, and what is allowed in it. No I/O, no clock."""
--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -8,9 +8,9 @@
 from sprucegate.fleet.failure_detector import messages
 from sprucegate.fleet.failure_detector.detector import FailureDetector
 from sprucegate.fleet.failure_detector.member import Member, MemberState
-from sprucegate.fleet.membership_view.careful import PeerAction, allows
-from sprucegate.fleet.membership_view.standing import HEALTH_STATE_OF_MEMBER
-from sprucegate.fleet.membership_view.views import ViewTracker
+from sprucegate.fleet.membership_view.degraded_mode import PeerAction, allows
+from sprucegate.fleet.membership_view.health_state import HEALTH_STATE_OF_MEMBER
+from sprucegate.fleet.membership_view.tracker import ViewTracker
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.replica import Live, Phase, Replica
@@ -47,7 +47,7 @@
         return self._lives(self.replica.told(key, value, now), now)
 
     def heard(self, sender, message, now):
-        self.views.heard(sender, now)
+        self.views.on_frame(sender, now)
         if isinstance(message, MEMBERSHIP_MESSAGES):
             done = self._followed(self.members.on_message(sender, message, now), now)
             # Neighbours alone could be a closed circle: a probe comes from anywhere.
@@ -69,10 +69,10 @@
         if self.replica.next_due() <= now:
             self.replica.unmet = self.replica.phase is Phase.ASKING and bool(self.members.unmet_seeds())
             done += self.replica.due(now)
-        return self._lives(done, now) + self.views.due(now)
+        return self._lives(done, now) + self.views.on_timer(now)
 
     def next_due(self):
-        return min(self.members.next_deadline(), self.replica.next_due(), self.views.next_due())
+        return min(self.members.next_deadline(), self.replica.next_due(), self.views.next_deadline())
 
     def renewed(self, start, alias):
         self.members.renew(start, alias)
@@ -89,7 +89,7 @@
 
     def _lives(self, actions, now):
         if any(isinstance(action, Live) for action in actions):
-            self.views.caught_up(now)
+            self.views.on_caught_up(now)
         return actions
 
     def _followed(self, actions, now):
@@ -97,14 +97,14 @@
         done = []
         for action in actions:
             if isinstance(action, membership_actions.ProbeAnswered):
-                self.views.answered(action.name, action.direct, now)
+                self.views.on_probe_answered(action.name, action.direct, now)
                 continue
             if isinstance(action, membership_actions.ProcessStalled):
-                self.views.slept(now)
+                self.views.on_stall(now)
                 continue
             done.append(action)
             if isinstance(action, membership_actions.MemberChanged):
-                self.views.member(action.member, now)
+                self.views.on_member_changed(action.member, now)
                 there, before = (
                     allows(PeerAction.TELL, HEALTH_STATE_OF_MEMBER[action.member.state]),
                     action.before,
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -18,8 +18,9 @@
 from sprucegate.fleet.failure_detector.member import MEMBER_STATE_WORDS
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.links import INBOUND_CONNECTIONS_MAX, VOTER_CONNECTIONS_MAX, PeerLinks
-from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
-from sprucegate.fleet.membership_view.views import ViewChanged
+from sprucegate.fleet.membership_view.degraded_mode import OwnAction, PeerAction
+from sprucegate.fleet.membership_view.health_state import HEALTH_STATE_LOG_WORDS, HEALTH_STATE_WORDS
+from sprucegate.fleet.membership_view.tracker import ViewChanged
 from sprucegate.fleet.node import FleetNode, outgoing
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import (
@@ -310,7 +311,7 @@
         self.do(self.peer.refused(name, life, time.monotonic_ns()))
 
     def _other_build(self, name):
-        self.peer.views.other_build(name, time.monotonic_ns())
+        self.peer.views.on_other_version(name, time.monotonic_ns())
 
     def _viewed(self, action):
         view = action.view
@@ -321,7 +322,7 @@
             state=view.state.value,
             share=round(view.share, 3),
             changed={
-                name: view.rows[name].standing.name.lower()
+                name: HEALTH_STATE_LOG_WORDS[view.rows[name].health]
                 for name in action.changed[:TOLD_EACH]
                 if name in view.rows
             },
@@ -343,7 +344,7 @@
     def _heard(self, name, message):
         try:
             if isinstance(message, Evidence):
-                self.peer.views.heard(name, time.monotonic_ns())
+                self.peer.views.on_frame(name, time.monotonic_ns())
                 return self._hears(name, message)
             if isinstance(message, codec.ComponentMessage):
                 return [
@@ -513,10 +514,10 @@
             "fronts": [
                 {
                     "name": name,
-                    "standing": row.standing.name.lower().replace("_", "-"),
-                    "by": row.by,
+                    "standing": HEALTH_STATE_WORDS[row.health],
+                    "by": row.source,
                     "since_ms": (now - row.since) // 1_000_000,
-                    "life": f"{row.life:x}",
+                    "life": f"{row.incarnation:x}",
                 }
                 for name, row in sorted(view.rows.items())
             ],
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -8,7 +8,7 @@
 from itertools import count
 
 from sprucegate.fleet.failure_detector.actions import CheckPort, MemberChanged, NameConflict
-from sprucegate.fleet.membership_view.views import ViewChanged
+from sprucegate.fleet.membership_view.tracker import ViewChanged
 from sprucegate.fleet.node import FleetNode, outgoing
 from sprucegate.fleet.replica.facts import State
 from sprucegate.fleet.replica.replica import Act, Done, Doubted, Have, LetGo, Live, Mark, Note, Tell, Write
@@ -160,7 +160,7 @@
                     view.number,
                     view.state.value,
                     view.share,
-                    {name: row.standing.name for name, row in view.rows.items()},
+                    {name: row.health.name for name, row in view.rows.items()},
                 )
             case MemberChanged():
                 fleet.note(self.name, "stands", action.member.name, int(action.member.state))
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -11,10 +11,11 @@
 from sprucegate.fleet.failure_detector.member import Member, MemberState
 from sprucegate.fleet.failure_detector.messages import Ack, ConnectionRefused, FullState, Ping
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.membership_view import careful
-from sprucegate.fleet.membership_view.careful import FleetState, OwnAction, PeerAction
-from sprucegate.fleet.membership_view.standing import HealthState, PeerHealth
-from sprucegate.fleet.membership_view.views import HOLD, STILL, ViewTracker
+from sprucegate.fleet.membership_view import degraded_mode
+from sprucegate.fleet.membership_view.degraded_mode import OwnAction, PeerAction
+from sprucegate.fleet.membership_view.health_state import FleetState, HealthState
+from sprucegate.fleet.membership_view.peer_health import PeerHealth
+from sprucegate.fleet.membership_view.tracker import HOLD_DOWN_NS, STALL_RECOVERY_NS, ViewTracker
 from sprucegate.fleet.random_source import RandomSource
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
@@ -30,7 +31,7 @@
 def known(*words, at=0):
     one = PeerHealth()
     for word in words:
-        one.told(word, at)
+        one.on_member_changed(word, at)
     return one
 
 
@@ -57,54 +58,54 @@
 )
 def test_what_members_links_and_the_log_say_makes_one_standing(word, heard, indirect, agreed, said):
     one = known(member(word=word))
-    one.heard_at, one.indirect = heard, indirect
-    assert one.reads(agreed, 10 * S)[0] is said
-    one.format = True
-    assert one.reads(agreed, 10 * S)[0] is HealthState.OTHER_BUILD
+    one.last_frame_at, one.indirect_probes = heard, indirect
+    assert one.health(agreed, 10 * S)[0] is said
+    one.other_version = True
+    assert one.health(agreed, 10 * S)[0] is HealthState.OTHER_BUILD
 
 
 def test_a_frame_that_was_under_way_speaks_not_against_an_accusation():
     one = known(member(), member(word=MemberState.SUSPECT))
-    one.heard_at = 50 * MS
-    assert one.reads(None, S)[0] is HealthState.SUSPECT
+    one.last_frame_at = 50 * MS
+    assert one.health(None, S)[0] is HealthState.SUSPECT
 
 
 def test_one_that_flaps_is_kept_out_for_a_rising_and_bounded_time():
     one, out = known(member()), []
     for life in range(2, 40):
         now = life * 2 * S
-        one.told(member(life=life << 32), now)
-        if one.reads(True, now)[0] is HealthState.FLAPPING:
-            out.append(one.calm_at() - now)
+        one.on_member_changed(member(life=life << 32), now)
+        if one.health(True, now)[0] is HealthState.FLAPPING:
+            out.append(one.damped_until() - now)
     assert out[0] < out[2] < out[3] and max(out) <= 78 * S
-    assert one.reads(True, now + max(out))[0] is HealthState.LIVE
+    assert one.health(True, now + max(out))[0] is HealthState.LIVE
     # One that said that it goes, as each release makes it, does not flap.
     planned = known(member())
     for life in range(2, 9):
-        planned.told(member(word=MemberState.LEFT, life=(life - 1) << 32), life * S)
-        planned.told(member(life=life << 32), life * S)
-    assert planned.reads(True, 30 * S)[0] is HealthState.LIVE
+        planned.on_member_changed(member(word=MemberState.LEFT, life=(life - 1) << 32), life * S)
+        planned.on_member_changed(member(life=life << 32), life * S)
+    assert planned.health(True, 30 * S)[0] is HealthState.LIVE
 
 
 def seen(views, now):
     """The rows of the view at that time."""
-    views.at = min(views.at, now)
-    views.due(now)
-    return {name: row.standing for name, row in views.view.rows.items()}
+    views.deadline = min(views.deadline, now)
+    views.on_timer(now)
+    return {name: row.health for name, row in views.view.rows.items()}
 
 
 def test_what_makes_careful_is_at_once_and_what_makes_bold_has_held():
     views = ViewTracker(0)
-    views.member(member(), 0)
+    views.on_member_changed(member(), 0)
     assert seen(views, 0) == {"b": HealthState.SUSPECT} and views.view.state is FleetState.RETURNING
-    assert seen(views, HOLD) == {"b": HealthState.LIVE}
-    views.member(member(word=MemberState.SUSPECT), 2 * S)
+    assert seen(views, HOLD_DOWN_NS) == {"b": HealthState.LIVE}
+    views.on_member_changed(member(word=MemberState.SUSPECT), 2 * S)
     assert seen(views, 2 * S) == {"b": HealthState.SUSPECT}
-    views.member(member(turn=1), 2 * S + MS)
+    views.on_member_changed(member(turn=1), 2 * S + MS)
     assert seen(views, 2 * S + 500 * MS) == {"b": HealthState.SUSPECT}  # doubted again, the time begins anew
-    views.member(member(word=MemberState.SUSPECT, turn=1), 2 * S + 600 * MS)
+    views.on_member_changed(member(word=MemberState.SUSPECT, turn=1), 2 * S + 600 * MS)
     seen(views, 2 * S + 600 * MS)
-    views.member(member(turn=2), 2 * S + 700 * MS)
+    views.on_member_changed(member(turn=2), 2 * S + 700 * MS)
     seen(views, 2 * S + 700 * MS)
     assert seen(views, 3 * S + 650 * MS) == {"b": HealthState.SUSPECT}
     assert seen(views, 3 * S + 700 * MS) == {"b": HealthState.LIVE}
@@ -113,52 +114,56 @@
 
 def test_a_front_that_stood_still_blames_nobody_and_is_bold_only_after_a_while():
     views = ViewTracker(0)
-    views.caught_up(0)
+    views.on_caught_up(0)
     for name in "bc":
-        views.member(member(name), 0)
+        views.on_member_changed(member(name), 0)
     seen(views, 0)
-    assert set(seen(views, HOLD).values()) == {HealthState.LIVE} and views.view.state is FleetState.WHOLE
-    views.slept(9 * S)
+    assert (
+        set(seen(views, HOLD_DOWN_NS).values()) == {HealthState.LIVE} and views.view.state is FleetState.WHOLE
+    )
+    views.on_stall(9 * S)
     assert (
         set(seen(views, 9 * S).values()) == {HealthState.LIVE} and views.view.state is FleetState.STOOD_STILL
     )
     assert not views.view.allows_own(OwnAction.BORROW) and not views.view.allows_own(OwnAction.FLOOR)
-    seen(views, 9 * S + STILL)
+    seen(views, 9 * S + STALL_RECOVERY_NS)
     assert views.view.state is FleetState.WHOLE
 
 
 def test_a_view_says_which_part_of_the_fleet_is_there_and_whose_word_it_is():
     views = ViewTracker(0)
-    views.caught_up(0)
+    views.on_caught_up(0)
     for name in "bcd":
-        views.member(member(name), 0)
+        views.on_member_changed(member(name), 0)
     seen(views, 0)
-    seen(views, HOLD)
+    seen(views, HOLD_DOWN_NS)
     for name in "bc":
-        views.member(member(name, MemberState.DEAD), 5 * S)
+        views.on_member_changed(member(name, MemberState.DEAD), 5 * S)
     seen(views, 5 * S)
     assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 0.5, 0)
-    views.agreed(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
+    views.on_log_applied(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     seen(views, 6 * S)  # the log has counted b out: it is a part of the fleet no more
     assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 2 / 3, 7)
-    views.agreed(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
+    views.on_log_applied(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     assert seen(views, 6 * S) and views.view.agreed == 7  # entries on other things make no new view
-    views.agreed(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, True, 7 * S)
+    views.on_log_applied(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, True, 7 * S)
     seen(views, 7 * S)  # fenced: by its own word again; the log's is no reason for any standing
     assert views.view.agreed == 0
-    views.member(member("d", MemberState.DEAD), 8 * S)
+    views.on_member_changed(member("d", MemberState.DEAD), 8 * S)
     seen(views, 8 * S)
     assert views.view.state is FleetState.ALONE
-    views.member(member("d", MemberState.LEFT), 9 * S)
+    views.on_member_changed(member("d", MemberState.LEFT), 9 * S)
     seen(views, 9 * S)
     assert seen(views, 700 * S) == {}  # and who is gone for long is forgotten
 
 
 def test_each_action_is_in_the_table_and_none_is_bolder_for_a_worse_standing():
-    assert set(careful.IN_STANDING) == set(PeerAction) and set(careful.IN_STATE) == set(OwnAction)
+    assert set(degraded_mode.ALLOWED_BY_HEALTH) == set(PeerAction) and set(
+        degraded_mode.ALLOWED_BY_FLEET
+    ) == set(OwnAction)
     # Bold ones: never on one that may be gone, or works otherwise.
     for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LENDS):
-        assert not careful.IN_STANDING[action] & {
+        assert not degraded_mode.ALLOWED_BY_HEALTH[action] & {
             HealthState.GONE,
             HealthState.ONE_WAY,
             HealthState.LEAVING,
@@ -169,8 +174,8 @@
         PeerAction.COUNTED,
         PeerAction.AWAITED,
     ):  # careful ones: whatever it looks like
-        assert careful.IN_STANDING[action] == set(HealthState)
-    assert not careful.allows_own(OwnAction.BORROW, FleetState.ALONE) and careful.allows_own(
+        assert degraded_mode.ALLOWED_BY_HEALTH[action] == set(HealthState)
+    assert not degraded_mode.allows_own(OwnAction.BORROW, FleetState.ALONE) and degraded_mode.allows_own(
         OwnAction.TELL, FleetState.STOOD_STILL
     )
 
@@ -227,8 +232,8 @@
 def _never_careful(monkeypatch):
     monkeypatch.setattr(
         ViewTracker,
-        "member",
-        lambda self, m, now, told=ViewTracker.member: told(self, m._replace(state=0), now),
+        "on_member_changed",
+        lambda self, m, now, told=ViewTracker.on_member_changed: told(self, m._replace(state=0), now),
     )
 
 
@@ -237,7 +242,7 @@
 
 
 def _never_caught_up(monkeypatch):
-    monkeypatch.setattr(ViewTracker, "caught_up", lambda self, now: None)
+    monkeypatch.setattr(ViewTracker, "on_caught_up", lambda self, now: None)
 
 
 @pytest.mark.parametrize(
