--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -39,7 +39,7 @@
 from sprucegate.fleet.consensus.storage import ConsensusStorageError, Ledger
 from sprucegate.fleet.links.codec import ConsensusFrame
 from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
-from sprucegate.fleet.membership_view.careful import OwnAction
+from sprucegate.fleet.membership_view.degraded_mode import OwnAction
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout import commands
 from sprucegate.fleet.rollout.follower import Words
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.membership_view.careful import PeerAction, allows
-from sprucegate.fleet.membership_view.standing import HEALTH_STATE_OF_MEMBER
+from sprucegate.fleet.membership_view.degraded_mode import PeerAction, allows
+from sprucegate.fleet.membership_view.health_state import HEALTH_STATE_OF_MEMBER
 from sprucegate.fleet.rollout.gates import Limits
 from sprucegate.fleet.rollout.permits import Box, Step
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
@@ -85,7 +85,7 @@
 
     def follows(self, machine, fenced, now):
         if self.views is not None:
-            self.views.agreed(machine.index, machine.permits.fronts, fenced, now)
+            self.views.on_log_applied(machine.index, machine.permits.fronts, fenced, now)
 
     # Drains.
 
--- a/sprucegate/fleet/quotas/part.py
+++ b/sprucegate/fleet/quotas/part.py
@@ -10,7 +10,7 @@
 
 from sprucegate.fleet.components import FleetComponent
 from sprucegate.fleet.links.codec import ComponentMessage, FrameError
-from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
+from sprucegate.fleet.membership_view.degraded_mode import OwnAction, PeerAction
 from sprucegate.fleet.quotas import places
 from sprucegate.fleet.quotas.queue import tenant_of
 from sprucegate.fleet.quotas.shares import Shares
@@ -144,7 +144,9 @@
 
     def on_view_changed(self, view):
         own = self.fleet.peer.members.own
-        lenders = [(name, row.life) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)]
+        lenders = [
+            (name, row.incarnation) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)
+        ]
         lenders += [(own.name, own.incarnation)] if view.allows_own(OwnAction.LEND) else []
         self._do(
             self.shares.viewed(
