--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -54,7 +54,7 @@
 from sprucegate.fleet.consensus.storage import ConsensusStorageError, RaftStorage
 from sprucegate.fleet.links.codec import ConsensusFrame
 from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
-from sprucegate.fleet.membership_view.careful import OwnAction
+from sprucegate.fleet.membership_view.degraded_mode import OwnAction
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout import commands
 from sprucegate.fleet.rollout.follower import Words
@@ -323,7 +323,9 @@
             fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views
         )
         node = ConsensusSettings(self.file.addresses, self.file.state, self.rollout.limits)
-        self.agreed = ConsensusDriver(own.name, own.life, node, fleet.seed, fleet.log, fleet.links, self.face)
+        self.agreed = ConsensusDriver(
+            own.name, own.incarnation, node, fleet.seed, fleet.log, fleet.links, self.face
+        )
         await self.agreed.start()
 
     def on_message(self, sender, message):
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -8,7 +8,7 @@
 
 from sprucegate.fleet.components import FleetComponent
 from sprucegate.fleet.links.codec import ComponentMessage
-from sprucegate.fleet.membership_view.careful import OwnAction, PeerAction
+from sprucegate.fleet.membership_view.degraded_mode import OwnAction, PeerAction
 from sprucegate.fleet.quotas import codec
 from sprucegate.fleet.quotas.actions import AbandonWait, LeaseHolderChanged, Send, StartFill
 from sprucegate.fleet.quotas.coordinator import QuotaCoordinator
@@ -83,7 +83,7 @@
         """Begin with the front's identity in the fleet."""
         self.up = True
         own = self.fleet.peer.members.own
-        self.on_identity_changed(own.name, own.life)
+        self.on_identity_changed(own.name, own.incarnation)
         self._update_slow_start()
 
     def start_without_storage(self):
@@ -125,10 +125,10 @@
         """Tell the coordinator who may lend, and whether this front may borrow or use its floors."""
         own = self.fleet.peer.members.own
         candidates = [
-            (name, row.life) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)
+            (name, row.incarnation) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)
         ]
         if view.allows_own(OwnAction.LEND):
-            candidates.append((own.name, own.life))
+            candidates.append((own.name, own.incarnation))
         may_borrow = view.allows_own(OwnAction.BORROW)
         may_use_floors = view.allows_own(OwnAction.FLOOR)
         now = time.monotonic_ns()
