--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.links.outgoing import Outgoing
+from sprucegate.fleet.links.send_queue import SendQueue
 from sprucegate.upstream.sockets import set_no_delay
 
 OUTBOUND_CONNECTIONS_MAX, INBOUND_CONNECTIONS_MAX = (
@@ -33,7 +33,7 @@
         self.links, self.sock, self.address = links, sock, address
         self.name, self.out, self.wake, self.used, self.bytes = (
             "",
-            Outgoing(),
+            SendQueue(),
             asyncio.Event(),
             time.monotonic(),
             0,
@@ -110,7 +110,7 @@
 
     def slow(self):
         """Peers for which more of a transfer waits than is sent in one go."""
-        return {name: None for name, one in self.by_name.items() if one.out.piece_bytes > SLOW}
+        return {name: None for name, one in self.by_name.items() if one.out.transfer_bytes > SLOW}
 
     def greet_again(self):
         """This front has another name: on what is open the others would take it for the twin that keeps the old one."""
--- a/sprucegate/fleet/replica/facts.py
+++ b/sprucegate/fleet/replica/facts.py
@@ -20,7 +20,7 @@
 import msgspec
 import xxhash
 
-from sprucegate.fleet.replica.seen import Seen
+from sprucegate.fleet.replica.version_vector import VersionVector
 
 BUCKETS = 256  # ranges of keys that are compared by digest
 FACTS_MOST = 250_000  # a snapshot of as many stays within its bound in bytes
@@ -60,7 +60,7 @@
     """Facts, what was seen, and digests of ranges of keys, kept in step."""
 
     def __init__(self, most=FACTS_MOST):
-        self.most, self.held, self.seen = most, {}, Seen()
+        self.most, self.held, self.seen = most, {}, VersionVector()
         self.kinds = {}  # how many are held, by kind
         self.counters, self.at = {}, {}  # (owner, life) -> counters, sorted; -> {counter: key}
         self.ranges = [0] * BUCKETS  # xor of the digests of the facts in each
@@ -74,7 +74,7 @@
     def join(self, fact):
         """(Joined, the fact that held before under this key, or None)."""
         mine = self.held.get(fact.key)
-        if self.seen.has(fact.dot):
+        if self.seen.contains(fact.dot):
             there = self.at.get(fact.dot[:2], {}).get(fact.dot[2])
             if there is None or there == fact.key and mine.value == fact.value:
                 return Joined.OLD, mine  # let go, replaced, or the same once more
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -15,7 +15,7 @@
 import xxhash
 
 from sprucegate.fleet.replica.facts import BUCKETS, FACTS_MOST, Fact, Facts, Joined, State
-from sprucegate.fleet.replica.seen import Seen
+from sprucegate.fleet.replica.version_vector import VersionVector
 
 MS, S = 1_000_000, 1_000_000_000
 FAN_OUT = 4  # neighbours that a front chooses; as many choose it, on average
@@ -48,7 +48,7 @@
 
 
 class Done(NamedTuple):
-    """The end of a transfer: once all its pieces are there, `claims` (lives, as of `Seen`) has been seen.
+    """The end of a transfer: once all its pieces are there, `claims` (lives, as of `VersionVector`) has been seen.
 
     Not before: what replaced one of them, and so is not among its facts, may stand in any piece.
     """
@@ -203,7 +203,10 @@
             count(1),
         )  # (when, order, key) of what may be let go
         self.unsaved, self.writing, self.number = ([], [], []), None, 0
-        self.on_disk, self.kept = Seen(), True  # seen, as far as it is synced; whether the disk takes it
+        self.on_disk, self.kept = (
+            VersionVector(),
+            True,
+        )  # seen, as far as it is synced; whether the disk takes it
         self.capturing = False  # a snapshot is under way after the disk failed
         self.waiting = []  # own facts, until they are on disk
         self.peers, self.gone = {}, {}  # names there -> what they were last known to have seen; not there
@@ -232,7 +235,7 @@
     def digest(self):
         """Of all that is held and was seen: equal where two fronts have nothing to tell each other."""
         if self.cached[0] != self.changes:
-            seen = xxhash.xxh64_intdigest(_packed(self.facts.seen.told()))
+            seen = xxhash.xxh64_intdigest(_packed(self.facts.seen.as_ranges()))
             self.cached = self.changes, self.facts.root() ^ seen
         return self.cached[1]
 
@@ -256,7 +259,7 @@
 
     def loaded(self, facts, lives, now):
         """What the disk had, before anything else happens."""
-        self.facts.seen = Seen(lives)
+        self.facts.seen = VersionVector(lives)
         for fact in facts:
             self.facts.seen.add(fact.dot)
             mine = self.facts.held.get(fact.key)
@@ -296,7 +299,7 @@
                 return self._have(sender, message, now)
             case Mark():
                 if message.number == self.ask_number and self.phase is Phase.ASKING:
-                    self.marks[sender], self.moved = Seen(message.lives), now
+                    self.marks[sender], self.moved = VersionVector(message.lives), now
                     self.waiting_too[sender] = not message.live
                 return self._caught_up(now)
             case Ranges():
@@ -311,7 +314,7 @@
     def stands(self, name, there, now):
         """A member came, or went: what it had seen counts no more for what may be let go once it is fenced."""
         if there and name not in self.peers and name != self.name:
-            self.peers[name] = self.gone.pop(name, None) or Seen()
+            self.peers[name] = self.gone.pop(name, None) or VersionVector()
             self._choose(now)
             if self.phase is Phase.ALONE:
                 return self.asks(now)
@@ -422,11 +425,11 @@
         self.capturing = not self.kept
         if self.capturing:
             self.unsaved = [], [], []
-        return list(self.facts.held.values()), self.facts.seen.told()
+        return list(self.facts.held.values()), self.facts.seen.as_ranges()
 
     def disk_is_back(self, lives, now):
         """That snapshot is on disk."""
-        self.kept, self.capturing, self.on_disk = True, False, Seen(lives)
+        self.kept, self.capturing, self.on_disk = True, False, VersionVector(lives)
         return self._saved() + self._caught_up(now)
 
     def _no_room(self, fact):
@@ -468,7 +471,7 @@
             return []
         for owner, life, ends in coming.done.claims:
             for first, past in zip(ends[::2], ends[1::2], strict=True):
-                self.facts.seen.span(owner, life, first, past)
+                self.facts.seen.add_range(owner, life, first, past)
                 self.unsaved[1].append((owner, life, first, past))
         self.changes += 1
         del self.coming[sender]
@@ -518,7 +521,7 @@
     def _have_message(self, part=(0, 1), number=0):
         # To ask for the rest, what is here: by what is on disk all that is being written would be sent once more.
         seen = self.facts.seen if number else self.on_disk
-        return Have(seen.told(), self.facts.root(), part, number)
+        return Have(seen.as_ranges(), self.facts.root(), part, number)
 
     def _due_held(self, now):
         self.timers["held"] = now + HELD_EVERY
@@ -544,18 +547,18 @@
         return [Send(peer, self._have_message()) for peer in self.chance.pick("seen", sorted(self.peers))]
 
     def _have(self, sender, message, now):
-        theirs = Seen(message.lives)
+        theirs = VersionVector(message.lives)
         if sender in self.peers and not message.number:
             self.peers[sender] = theirs
         live = self.phase in (Phase.TOGETHER, Phase.ALONE)
-        done = [Send(sender, Mark(message.number, self.on_disk.told(), live))] if message.number else []
-        lacks = _share(theirs.lacks(self.on_disk), message.part)
+        done = [Send(sender, Mark(message.number, self.on_disk.as_ranges(), live))] if message.number else []
+        lacks = _share(theirs.missing(self.on_disk), message.part)
         if lacks:
             # A share makes no claims: what replaced one of its facts may come with another peer's share.
-            claims = Seen()
+            claims = VersionVector()
             for span in lacks if message.part[1] <= 1 else ():
-                claims.span(*span)
-            self.plans[sender] = Plan(next(self.transfers), lacks, claims.told())
+                claims.add_range(*span)
+            self.plans[sender] = Plan(next(self.transfers), lacks, claims.as_ranges())
             return done + self._feed(now)
         self.plans.pop(sender, None)
         if message.number:
@@ -626,10 +629,10 @@
             {at for at in message.ranges if 0 <= at < BUCKETS},
             {k: h for k, _, h in message.facts},
         )
-        differ, done, seen = [], [], self.peers.get(sender) or Seen()
+        differ, done, seen = [], [], self.peers.get(sender) or VersionVector()
         for fact, hashed in self.facts.keys_in(chosen):
             if fact.key not in theirs:
-                if fact.key[0] == WORD and seen.has(fact.dot):
+                if fact.key[0] == WORD and seen.contains(fact.dot):
                     done += [
                         *self._forget(fact.key),
                         Act(fact._replace(value=(*fact.value[:2], int(State.LIFTED)))),
@@ -652,7 +655,9 @@
             fact = self.facts.held.get(key)
             if fact is None or self._life(fact) is None:
                 continue  # a newer one of this key has a time of its own
-            if self.on_disk.has(fact.dot) and all(seen.has(fact.dot) for seen in self.peers.values()):
+            if self.on_disk.contains(fact.dot) and all(
+                seen.contains(fact.dot) for seen in self.peers.values()
+            ):
                 done += self._forget(key)
             else:
                 heapq.heappush(self.ageing, (now + SEEN_EVERY, next(self.order), key))
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -468,7 +468,7 @@
     async def _status(self, _):
         replica, members = self.peer.replica, self.peer.members
         lag = {
-            name: sum(past - first for _, _, first, past in seen.lacks(replica.facts.seen))
+            name: sum(past - first for _, _, first, past in seen.missing(replica.facts.seen))
             for name, seen in replica.peers.items()
         }
         kinds = {kind: count for kind, count in replica.facts.kinds.items() if count}
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -115,7 +115,7 @@
         for name, front in self.fronts.items():
             for fact in self.told:
                 held = front.facts.held.get(fact.key)
-                if front.facts.seen.has(fact.dot) and (held is None or held.value < fact.value):
+                if front.facts.seen.contains(fact.dot) and (held is None or held.value < fact.value):
                     raise Broken("a", name, fact, self.steps)
             disk = {}
             for taken, spans, _ in self.disks[name]:
@@ -123,7 +123,7 @@
                     disk.setdefault(fact.dot[:2], set()).add(fact.dot[2])
                 for owner, life, first, past in spans:
                     disk.setdefault((owner, life), set()).update(range(first, past))
-            for owner, life, ends in front.on_disk.told():
+            for owner, life, ends in front.on_disk.as_ranges():
                 for first, past in zip(ends[::2], ends[1::2], strict=True):
                     if not set(range(first, past)) <= disk.get((owner, life), set()):
                         raise Broken("b", name, (owner, life, first, past), self.steps)
@@ -159,8 +159,8 @@
                 (
                     name,
                     tuple(sorted(f.facts.held.items(), key=repr)),
-                    tuple((o, life, tuple(ends)) for o, life, ends in f.facts.seen.told()),
-                    tuple((o, life, tuple(ends)) for o, life, ends in f.on_disk.told()),
+                    tuple((o, life, tuple(ends)) for o, life, ends in f.facts.seen.as_ranges()),
+                    tuple((o, life, tuple(ends)) for o, life, ends in f.on_disk.as_ranges()),
                     len(self.writes[name]),
                     len(self.tells[name]),
                     len(f.waiting),
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -72,7 +72,7 @@
         fleet.note(self.name, "life", life)
         self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
         self.peer.loaded(kept.facts.values(), kept.lives, now)
-        fleet.note(self.name, "loaded", self.peer.replica.facts.seen.told(), self.holds())
+        fleet.note(self.name, "loaded", self.peer.replica.facts.seen.as_ranges(), self.holds())
         self.done(self.peer.starts(now))
 
     def _again(self):
@@ -145,8 +145,8 @@
                     self.name,
                     "live",
                     action.how,
-                    self.peer.replica.facts.seen.told(),
-                    {n: self.peer.replica.marks[n].told() for n in action.asked},
+                    self.peer.replica.facts.seen.as_ranges(),
+                    {n: self.peer.replica.marks[n].as_ranges() for n in action.asked},
                     self.holds(),
                 )
             case Note():
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -7,7 +7,7 @@
 from sprucegate.fleet.failure_detector.detector import FailureDetector
 from sprucegate.fleet.failure_detector.member import Member
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.links.outgoing import FACTS_MOST, PIECES_MOST, SAID_MOST, Outgoing
+from sprucegate.fleet.links.send_queue import CONTROL_BYTES_MAX, RECORDS_MAX, TRANSFER_BYTES_MAX, SendQueue
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, Facts, Joined
@@ -93,7 +93,7 @@
 
 
 def test_what_waits_is_in_order_of_weight_and_the_latest_word_of_a_key_replaces_an_older_one():
-    out = Outgoing()
+    out = SendQueue()
     out.put(replica.Evidence(1, [], []), False)
     out.put(replica.Evidence(2, [], []), False)
     out.put(replica.Tell(FACTS, 7, 0), True)
@@ -110,14 +110,14 @@
 
 
 def test_what_waits_is_bounded():
-    out = Outgoing()
-    for n in range(FACTS_MOST + 100):
+    out = SendQueue()
+    for n in range(RECORDS_MAX + 100):
         out.put(replica.Tell([Fact(("purge", "object", n), (7,), ("n0", 1, n + 1))], 0, 0), True)
-    assert len(out.facts) == FACTS_MOST and out.dropped == 100
+    assert len(out.records) == RECORDS_MAX and out.dropped == 100
     for _ in range(2000):
         out.put(replica.Ranges([2**60] * 256), False)
         out.put(replica.Tell(FACTS * 100, 1, 0), True)
-    assert out.said_bytes <= SAID_MOST and out.piece_bytes <= PIECES_MOST
+    assert out.control_bytes <= CONTROL_BYTES_MAX and out.transfer_bytes <= TRANSFER_BYTES_MAX
 
 
 def test_a_front_with_a_full_table_obeys_what_it_is_told_and_passes_it_on_to_nobody():
@@ -135,7 +135,7 @@
 def test_a_full_table_takes_no_new_key_and_has_not_seen_it():
     facts = Facts(1)
     assert facts.join(FACTS[0])[0] is Joined.NEW and facts.join(FACTS[1])[0] is Joined.FULL
-    assert not facts.seen.has(FACTS[1].dot)
+    assert not facts.seen.contains(FACTS[1].dot)
     assert facts.join(Fact(FACTS[0].key, (8,), ("n0", 1, 3)))[0] is Joined.NEW
 
 
@@ -238,4 +238,4 @@
     made.not_kept(1, "no space left", 0)
     done = made.told(("purge", "object", 2), (5,), 0)
     assert [a.message.facts[0].key[2] for a in done if isinstance(a, replica.Send)] == [2]
-    assert not made.waiting and made.on_disk.told() == []
+    assert not made.waiting and made.on_disk.as_ranges() == []
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -8,7 +8,7 @@
 from sprucegate.fleet.failure_detector.detector import FailureDetector
 from sprucegate.fleet.replica import replica
 from sprucegate.fleet.replica.facts import Fact, Facts, Joined, State
-from sprucegate.fleet.replica.seen import Seen
+from sprucegate.fleet.replica.version_vector import VersionVector
 from sprucegate.fleet.replica_storage import Keeping
 from standins.fleet import checkers, explore
 from standins.fleet.schedules import played
@@ -21,17 +21,19 @@
 @profile(max_examples=300, deadline=None, derandomize=True)
 def test_what_was_seen_is_a_set_of_counters(ours, theirs):
     def made(spans):
-        seen, plain = Seen(), set()
+        seen, plain = VersionVector(), set()
         for first, past in spans:
-            seen.span("a", 1, first, past)
+            seen.add_range("a", 1, first, past)
             plain |= set(range(first, past))
         return seen, plain
 
     (seen, plain), (other, others) = made(ours), made(theirs)
-    assert {n for n in range(40) if seen.has(("a", 1, n))} == plain
-    assert {n for _, _, a, b in seen.lacks(other) for n in range(a, b)} == others - plain
-    assert Seen(seen.told()).told() == seen.told() and seen.covers(other) is (others <= plain)
-    assert all(a < b for _, _, ends in seen.told() for a, b in zip(ends, ends[1:], strict=False))
+    assert {n for n in range(40) if seen.contains(("a", 1, n))} == plain
+    assert {n for _, _, a, b in seen.missing(other) for n in range(a, b)} == others - plain
+    assert VersionVector(seen.as_ranges()).as_ranges() == seen.as_ranges() and seen.covers(other) is (
+        others <= plain
+    )
+    assert all(a < b for _, _, ends in seen.as_ranges() for a, b in zip(ends, ends[1:], strict=False))
 
 
 @given(
@@ -50,7 +52,11 @@
     order.shuffle(mixed)
     for fact in mixed:
         other.join(fact)
-    assert one.held == other.held and one.root() == other.root() and one.seen.told() == other.seen.told()
+    assert (
+        one.held == other.held
+        and one.root() == other.root()
+        and one.seen.as_ranges() == other.seen.as_ranges()
+    )
     assert all(one.held[f.key].value >= f.value for f in facts)
 
 
@@ -83,7 +89,7 @@
 def _last_one_wins(monkeypatch):
     def join(self, fact):
         mine = self.held.get(fact.key)
-        if self.seen.has(fact.dot):
+        if self.seen.contains(fact.dot):
             return Joined.OLD, mine
         self.seen.add(fact.dot)
         if mine is not None:
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -393,7 +393,7 @@
         "refused": kept.refused,
         "age": kept.age,
         "facts": plain(list(kept.facts.values())),
-        "seen": plain(loaded.facts.seen.told()),
+        "seen": plain(loaded.facts.seen.as_ranges()),
         "digest": loaded.digest(),
     }
 
