--- a/sprucegate/config/source_locations.py
+++ b/sprucegate/config/source_locations.py
@@ -11,25 +11,40 @@
 
 
 class OperatorFileError(ConfigurationError):
-    """What is wrong and where: `file`, `line`, `key`, `text`. Nothing of the file is taken."""
+    """A file of the operator's is wrong; nothing of it is taken.
 
-    def __init__(self, file, line, key, text):
+    :ivar line: where the fault is, from 1 on.
+    :ivar key: the path of the node or value, or "" for the file as a whole; `text`: what is wrong.
+    """
+
+    def __init__(self, file: str, line: int, key: str, text: str) -> None:
         super().__init__(f"{file}:{line}: {key}: {text}" if key else f"{file}:{line}: {text}")
-        self.file, self.line, self.key, self.text = file, line, key, text
+        self.file = file
+        self.line = line
+        self.key = key
+        self.text = text
+
+
+DEPTH_MAX = 8  # braces that a prefix of a document may leave open
 
 
 class Start(NamedTuple):
+    """The first line of a node, and the starts of its children."""
+
     line: int
-    children: list
+    children: list["Start"]
 
 
 class _Reader:
-    def __init__(self, text):
-        self.text, self.at = text, 0
+    """Moves through a text; `at`: index of the next character."""
+
+    def __init__(self, text: str) -> None:
+        self.text = text
+        self.at = 0
 
-    def starts(self, text_ends_inside=False):
-        """The nodes up to a closing brace or the end."""
-        found = []
+    def starts(self) -> list[Start]:
+        """Return the starts of the nodes up to a closing brace or the end."""
+        found: list[Start] = []
         while True:
             self._space(newlines=True)
             if self.at >= len(self.text) or self.text[self.at] == "}":
@@ -42,13 +57,13 @@
             if not dropped:
                 found.append(start)
 
-    def _takes(self, mark):
+    def _takes(self, mark: str) -> bool:
         if self.text.startswith(mark, self.at):
             self.at += len(mark)
             return True
         return False
 
-    def _space(self, newlines=False):
+    def _space(self, newlines: bool = False) -> None:
         while self.at < len(self.text):
             if self._takes("//"):
                 end = self.text.find("\n", self.at)
@@ -63,7 +78,7 @@
             else:
                 return
 
-    def _comment(self):
+    def _comment(self) -> None:
         depth = 1
         while depth and self.at < len(self.text):
             if self._takes("/*"):
@@ -73,9 +88,9 @@
             else:
                 self.at += 1
 
-    def _node(self):
-        """Past one node; the starts of its children."""
-        children = []
+    def _node(self) -> list[Start]:
+        """Move past one node; return the starts of its children."""
+        children: list[Start] = []
         while True:
             self._space()
             if self.at >= len(self.text) or self.text[self.at] in "\n;}":
@@ -90,9 +105,9 @@
             else:
                 self._word()
 
-    def _word(self):
-        """Past one identifier, value or property, with any strings in it."""
-        begun = self.at
+    def _word(self) -> None:
+        """Move past one identifier, value or property, with any strings in it."""
+        start = self.at
         while self.at < len(self.text) and self.text[self.at] not in " \t\r\n;{}\\":
             hashes = len(self.text) - self.at - len(self.text[self.at :].lstrip("#"))
             quoted = self.text[self.at + hashes : self.at + hashes + 1] == '"'
@@ -102,9 +117,10 @@
                 return
             else:
                 self.at += 1
-        self.at += self.at == begun  # whatever it is, the reading goes on
+        if self.at == start:
+            self.at += 1  # whatever it is, the reading goes on
 
-    def _string(self, hashes):
+    def _string(self, hashes: int) -> None:
         self.at += hashes
         mark = '"""' if self.text.startswith('"""', self.at) else '"'
         self.at += len(mark)
@@ -113,12 +129,12 @@
             self.at += 2 if not hashes and self.text[self.at] == "\\" else 1
 
 
-def starts(text):
-    """The lines at which nodes begin, in the document's order and nesting, without those a slashdash drops."""
+def starts(text: str) -> list[Start]:
+    """Return the lines at which nodes begin, in the document's order and nesting, without those a slashdash drops."""
     return _Reader(text).starts()
 
 
-def _parses(text):
+def _parses(text: str) -> bool:
     try:
         ckdl.parse(text)
     except Exception:  # ckdl raises several kinds
@@ -126,13 +142,13 @@
     return True
 
 
-def fault_line(text):
-    """The line at which `text` stops being a document: the first whose prefix can't be one, closed as it stands."""
+def fault_line(text: str) -> int:
+    """Return the line where `text` stops being a document: the first whose prefix, closed as it stands, is none."""
     lines = text.split("\n")
     last = 0
     for count in range(1, len(lines) + 1):
         prefix = "\n".join(lines[:count])
-        for depth in range(9):
+        for depth in range(DEPTH_MAX + 1):
             if _parses(prefix + "\n" + "}" * depth):
                 last = count
                 break
--- a/sprucegate/discovery/list_format.py
+++ b/sprucegate/discovery/list_format.py
@@ -10,7 +10,8 @@
 
 import math
 import re
-from typing import Annotated, Literal
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Annotated, Any, Literal
 
 import ckdl
 import msgspec
@@ -19,15 +20,29 @@
 from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.discovery.merged_view import Server
 from sprucegate.routing.events import Endpoint, EndpointState
+from sprucegate.units import MILLISECOND
 from sprucegate.upstream.hosts import endpoint_id
 
-MS = 1_000_000
 LIST_BYTES_MAX = 10_000_000  # of all parts together
 ENTRIES_MAX = 20_000
+WEIGHT_MAX = 1e6
+PORTS = range(1, 65_536)
 ADDRESS = re.compile(r"[0-9A-Za-z.\-]{1,253}:([0-9]{1,5})")
+FAULT_SEARCH_CHARACTERS_MAX = 20_000  # above which the end of the text stands for the line of a fault
 
 
-class Node(msgspec.Struct, forbid_unknown_fields=True):
+class ServerEntryError(ValueError):
+    """What is wrong with one entry; `key` and `text` go into the message for the operator."""
+
+    def __init__(self, key: str, text: str) -> None:
+        super().__init__(f"{key}: {text}")
+        self.key = key
+        self.text = text
+
+
+class ServerNode(msgspec.Struct, forbid_unknown_fields=True):
+    """The schema of one `server` node."""
+
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=64, pattern=r"^[!-~]+$")]
     address: str
     location: str
@@ -39,33 +54,43 @@
     cold: bool = False
 
 
-def parse(texts, locations, kinds):
-    """Servers of one generation; `texts` are its parts as (file, text). Raises Faulty."""
-    found, seen_names, seen_ids, seen_addresses, weights = [], {}, {}, {}, 0.0
+class _Duplicates:
+    """Finds names, ids and addresses that stand twice in a list."""
+
+    def __init__(self) -> None:
+        self.places: dict[tuple[str, object], str] = {}
+
+    def check(self, server: Server, place: str) -> None:
+        values = (("server", server.name), ("server", server.entry.id), ("address", server.address))
+        for key, value in values:
+            # Ids are numbers and names are texts: they don't meet.
+            if (key, value) in self.places:
+                raise ServerEntryError(key, f"{value!r} stands on {self.places[key, value]} already")
+            self.places[key, value] = place
+
+
+def parse(
+    texts: Sequence[tuple[str, str]], locations: Mapping[str, int], kinds: Mapping[str, int]
+) -> list[Server]:
+    """Return the servers of a list; `texts`: its parts as (file, text). Raises OperatorFileError."""
+    found: list[Server] = []
+    duplicates = _Duplicates()
+    weights = 0.0
     for file, text in texts:
-        nodes = _nodes(file, text)
-        for at, node in enumerate(nodes):
+        for index, node in enumerate(_nodes(file, text)):
             try:
-                one = msgspec.convert(_plain(node), Node)
-                server = _server(one, locations, kinds)
-                for seen, what, value in (
-                    (seen_names, "server", one.name),
-                    (seen_ids, "server", server.entry.id),
-                    (seen_addresses, "address", one.address),
-                ):
-                    if value in seen:
-                        raise ValueError(f"{what}: {value!r} stands on {seen[value]} already")
-                    seen[value] = f"entry {at + 1} of {file}"
+                entry = msgspec.convert(_plain(node), ServerNode)
+                server = _server(entry, locations, kinds)
+                duplicates.check(server, f"entry {index + 1} of {file}")
             except msgspec.ValidationError as fault:
-                text_of, _, where = str(fault).partition(" - at `$.")
-                raise _fault(file, text, at, where.rstrip("`"), text_of) from None
-            except ValueError as fault:
-                key, _, said = str(fault).partition(": ")
-                raise _fault(file, text, at, key, said) from None
-            weights += one.weight
+                problem, _, key = str(fault).partition(" - at `$.")
+                raise _fault(file, text, index, key.rstrip("`"), problem) from None
+            except ServerEntryError as fault:
+                raise _fault(file, text, index, fault.key, fault.text) from None
+            weights += entry.weight
             found.append(server)
             if len(found) > ENTRIES_MAX:
-                raise _fault(file, text, at, "servers", f"more than {ENTRIES_MAX} entries")
+                raise _fault(file, text, index, "servers", f"more than {ENTRIES_MAX} entries")
     file = texts[0][0] if texts else "?"
     if not found:
         raise OperatorFileError(file, 1, "servers", "names no servers: an empty list is taken for a mistake")
@@ -74,73 +99,89 @@
     return found
 
 
-def _nodes(file, text):
+def _nodes(file: str, text: str) -> list[Any]:
     try:
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several kinds
-        line = source_locations.fault_line(text) if len(text) < 20_000 else text.count("\n") + 1
+        short = len(text) < FAULT_SEARCH_CHARACTERS_MAX
+        line = source_locations.fault_line(text) if short else text.count("\n") + 1
         raise OperatorFileError(file, line, "", "is not KDL, or is cut") from None
     if [node.name for node in nodes] != ["servers"] or nodes[0].args or nodes[0].properties:
         raise OperatorFileError(file, 1, "", "wants one block `servers { ... }` and nothing else")
-    return nodes[0].children
+    children: list[Any] = nodes[0].children
+    return children
 
 
-def _plain(node):
+def _plain(node: Any) -> dict[str, Any]:
+    """Return a node's name and properties as the plain data that the schema checks."""
     if node.name != "server":
-        raise ValueError(f"{node.name}: is not known; a list has `server` nodes")
+        raise ServerEntryError(node.name, "is not known; a list has `server` nodes")
     if len(node.args) != 1 or node.children or node.type_annotation:
-        raise ValueError("server: wants one name and properties")
+        raise ServerEntryError("server", "wants one name and properties")
     values = {"name": node.args[0], **node.properties}
     for key, value in values.items():
         if isinstance(value, ckdl.Value):
-            raise ValueError(f"{key}: takes no type, not ({value.type_annotation})")
+            raise ServerEntryError(key, f"takes no type, not ({value.type_annotation})")
     return values
 
 
-def _server(one, locations, kinds):
-    if one.location not in locations:
-        raise ValueError(f"location: {one.location!r} is not among settings.failureDomains")
-    if one.kind not in kinds:
-        raise ValueError(f"kind: {one.kind!r} is not among settings.shapes")
-    if not math.isfinite(one.weight) or one.weight < 0 or one.weight > 1e6:
-        raise ValueError(f"weight: must be a number from 0 to 1,000,000, not {one.weight}")
-    match = ADDRESS.fullmatch(one.address)
-    if not match or not 0 < int(match[1]) < 65_536:
-        raise ValueError(f"address: must be HOST:PORT, not {one.address[:60]!r}")
-    if one.cold and not one.started:
-        raise ValueError(
-            "started: is wanted of a cold server: without it the front would send as to a warm one"
-        )
-    state = EndpointState.DRAINING if one.state == "draining" else EndpointState.SERVING
-    entry = Endpoint(
-        endpoint_id(one.name),
-        locations[one.location],
-        kinds[one.kind],
-        one.cell,
+def _server(entry: ServerNode, locations: Mapping[str, int], kinds: Mapping[str, int]) -> Server:
+    _check(entry, locations, kinds)
+    state = EndpointState.DRAINING if entry.state == "draining" else EndpointState.SERVING
+    endpoint = Endpoint(
+        endpoint_id(entry.name),
+        locations[entry.location],
+        kinds[entry.kind],
+        entry.cell,
         state,
-        one.weight,
-        one.started * MS,
+        entry.weight,
+        entry.started * MILLISECOND,
     )
-    return Server(entry, one.name, one.address, one.state == "held")
+    return Server(endpoint, entry.name, entry.address, entry.state == "held")
+
+
+def _check(entry: ServerNode, locations: Mapping[str, int], kinds: Mapping[str, int]) -> None:
+    """Raise ServerEntryError for what the schema can't tell."""
+    if entry.location not in locations:
+        raise ServerEntryError("location", f"{entry.location!r} is not among settings.failureDomains")
+    if entry.kind not in kinds:
+        raise ServerEntryError("kind", f"{entry.kind!r} is not among settings.shapes")
+    if not math.isfinite(entry.weight) or entry.weight < 0 or entry.weight > WEIGHT_MAX:
+        raise ServerEntryError("weight", f"must be a number from 0 to 1,000,000, not {entry.weight}")
+    match = ADDRESS.fullmatch(entry.address)
+    if not match or int(match[1]) not in PORTS:
+        raise ServerEntryError("address", f"must be HOST:PORT, not {entry.address[:60]!r}")
+    if entry.cold and not entry.started:
+        raise ServerEntryError(
+            "started", "is wanted of a cold server: without it the front would send as to a warm one"
+        )
 
 
-def _fault(file, text, at, key, said):
-    """The line is looked for only now: finding all of them would cost more than the parsing."""
+def _fault(file: str, text: str, index: int, key: str, problem: str) -> OperatorFileError:
+    """Return the error with its line, which is looked for only now: finding all lines would cost more than parsing."""
     starts = source_locations.starts(text)
     children = starts[0].children if starts else []
-    return OperatorFileError(file, children[at].line if at < len(children) else 1, key, said)
+    line = children[index].line if index < len(children) else 1
+    return OperatorFileError(file, line, key, problem)
+
+
+def state_word(server: Server) -> str:
+    """Return the word of a server's state in a list."""
+    if server.held:
+        return "held"
+    return "draining" if server.entry.state is EndpointState.DRAINING else "serving"
 
 
-def render(servers, locations, kinds):
-    """A list as text, which `parse` reads back."""
-    places_of, kinds_of = {v: k for k, v in locations.items()}, {v: k for k, v in kinds.items()}
+def render(servers: Iterable[Server], locations: Mapping[str, int], kinds: Mapping[str, int]) -> str:
+    """Return a list as text, which `parse` reads back."""
+    location_names = {number: name for name, number in locations.items()}
+    kind_names = {number: name for name, number in kinds.items()}
     lines = ["servers {"]
     for server in servers:
         entry = server.entry
-        state = "held" if server.held else "draining" if entry.state is EndpointState.DRAINING else "serving"
         lines.append(
-            f'    server "{server.name}" address="{server.address}" location="{places_of[entry.location]}" '
-            f'kind="{kinds_of[entry.kind]}" cell={entry.cell} weight={entry.weight!r} state="{state}" '
-            f"started={entry.started // MS}"
+            f'    server "{server.name}" address="{server.address}" '
+            f'location="{location_names[entry.location]}" kind="{kind_names[entry.kind]}" cell={entry.cell} '
+            f'weight={entry.weight!r} state="{state_word(server)}" started={entry.started // MILLISECOND}'
         )
     return "\n".join([*lines, "}", ""])
