--- a/sprucegate/clock.py
+++ b/sprucegate/clock.py
@@ -1,4 +1,4 @@
-"""The one place that asks the system for the time, and how Unix times of the platform are compared with it.
+"""The one module that asks the system for the time, and how Unix times of the platform are compared with it.
 
 Everything that lasts (deadlines, waits, graces, leases, ages) is a span on the monotonic clock, nanoseconds from a
 beginning of its own. The wall clock may be stepped at any time, so it is read for people, for what lasts on disk and
@@ -7,23 +7,24 @@
 
 import time
 
-ABSURD = 24 * 3600 * 1_000_000_000  # nanoseconds that a stamp may be ahead of the wall clock
+STAMP_LEAD_MAX = 24 * 3600 * 1_000_000_000  # nanoseconds by which a stamp may be ahead of the wall clock
+CONFIRMING_SERVERS = 2  # that have to be ahead of the wall clock before it counts as behind
 
 now = time.monotonic_ns
 
 
-def unix():
-    """The wall clock: Unix time, nanoseconds. For log lines, for files and between processes, never for a span here."""
+def unix() -> int:
+    """Return the wall clock: Unix time, nanoseconds. For logs, files and between processes, never for a span here."""
     return time.time_ns()
 
 
-def unix_of(at):
-    """A time of `now` as Unix time by the wall clock as it stands, for people and for files."""
+def unix_of(at: int) -> int:
+    """Return a time of `now` as Unix time by the wall clock as it stands, for people and for files."""
     return unix() - (now() - at)
 
 
-def since_unix(stamp):
-    """A Unix time out of a file as a time of `now`; one in the future counts as just now."""
+def since_unix(stamp: int) -> int:
+    """Return a Unix time out of a file as a time of `now`; one in the future counts as just now."""
     return now() - max(0, unix() - stamp)
 
 
@@ -36,58 +37,58 @@
     Where the two differ each age is taken towards the careful side: `age` is never more than the true age, for purges
     and cold starts; `copy_age` never less, for copies, as far as stamps have shown.
 
-    A stamp that is more than ABSURD ahead of the wall clock counts as none. Without any stamp both offsets are those
-    of the wall clock when this object was made.
+    A stamp that is more than STAMP_LEAD_MAX ahead of the wall clock counts as none. Without any stamp both offsets are
+    those of the wall clock when this object was made.
     """
 
-    def __init__(self, at=None, wall=None):
+    def __init__(self, at: int | None = None, wall: int | None = None) -> None:
         self.wall_offset = (unix() if wall is None else wall) - (now() if at is None else at)
-        self._newest = None  # the largest offset that a stamp has shown
-        self._leads = {}  # server -> how far a stamp of it was ahead (ns), the two largest
+        self._newest: int | None = None  # the largest offset that a stamp has shown
+        self._leads: dict[int, int] = {}  # server -> how far a stamp of it was ahead (ns), the largest ones
 
     @property
-    def least_offset(self):
+    def least_offset(self) -> int:
+        """The least that the platform's clock can be ahead of the own one, nanoseconds."""
         return self.wall_offset if self._newest is None else self._newest
 
     @property
-    def most_offset(self):
+    def most_offset(self) -> int:
+        """The most that the platform's clock can be ahead of the own one, nanoseconds."""
         return max(self.wall_offset, self.least_offset)
 
-    def stamped(self, stamp, at):
-        """A stamp of discovery, whose word is believed: a purge's or a start's, Unix nanoseconds; 0 is none."""
-        if (
-            stamp
-            and stamp - at <= self.wall_offset + ABSURD
-            and (self._newest is None or stamp - at > self._newest)
-        ):
+    def stamped(self, stamp: int, at: int) -> None:
+        """Take a stamp of discovery, which is trusted: a purge's or a start's, Unix nanoseconds; 0 is none."""
+        if not stamp or stamp - at > self.wall_offset + STAMP_LEAD_MAX:
+            return
+        if self._newest is None or stamp - at > self._newest:
             self._newest = stamp - at
 
-    def copy_stamped(self, stamp, server, at):
-        """A copy's stamp, told by one of many servers of which one may be wrong.
+    def copy_stamped(self, stamp: int, server: int, at: int) -> None:
+        """Take a copy's stamp, reported by one of many servers of which one may be wrong.
 
         It shows that the own wall clock is not ahead; that it is behind takes the word of a second server.
         """
-        if not stamp or stamp - at > self.wall_offset + ABSURD:
+        if not stamp or stamp - at > self.wall_offset + STAMP_LEAD_MAX:
             return
         self.stamped(min(stamp, at + self.wall_offset), at)
         lead = stamp - at - self.most_offset
         if lead <= 0:
             return
         self._leads[server] = max(lead, self._leads.get(server, 0))
-        if len(self._leads) > 2:
-            del self._leads[min(self._leads, key=self._leads.get)]
-        if len(self._leads) == 2:
+        if len(self._leads) > CONFIRMING_SERVERS:
+            del self._leads[min(self._leads, key=self._leads.__getitem__)]
+        if len(self._leads) == CONFIRMING_SERVERS:
             confirmed = min(self._leads.values())
             self.wall_offset = self.most_offset + confirmed
             self._leads = {
                 name: ahead - confirmed for name, ahead in self._leads.items() if ahead > confirmed
             }
 
-    def age(self, stamp, at):
-        """Nanoseconds since a stamp, at most the true ones; one from the future counts as just now."""
+    def age(self, stamp: int, at: int) -> int:
+        """Return nanoseconds since a stamp, at most the true ones; one from the future counts as just now."""
         return max(0, at + self.least_offset - stamp)
 
-    def copy_age(self, stamp, at):
-        """Nanoseconds since a copy was made, at least the true ones; None where its stamp lies in the future."""
+    def copy_age(self, stamp: int, at: int) -> int | None:
+        """Return nanoseconds since a copy was made, at least the true ones; None where its stamp lies in the future."""
         age = at + self.most_offset - stamp
         return age if age >= 0 else None
