--- /dev/null
+++ b/sprucegate/fleet/component_registry.py
@@ -0,0 +1,22 @@
+"""Which components a fleet has: each is imported only where the operator's file has its node."""
+
+from typing import TYPE_CHECKING
+
+from sprucegate.fleet.components import FleetComponent
+
+if TYPE_CHECKING:
+    from sprucegate.fleet.service import FleetService
+
+
+def configured_components(fleet: "FleetService") -> list[FleetComponent]:
+    """Return the components that the operator's file has, in the order in which they start."""
+    components: list[FleetComponent] = []
+    if fleet.agreement is not None:
+        from sprucegate.fleet.consensus.driver import ConsensusComponent
+
+        components.append(ConsensusComponent(fleet, *fleet.agreement))
+    if fleet.shares is not None:
+        from sprucegate.fleet.quotas.part import QuotaComponent
+
+        components.append(QuotaComponent(fleet, fleet.shares))
+    return components
--- a/sprucegate/fleet/components.py
+++ b/sprucegate/fleet/components.py
@@ -1,52 +1,54 @@
-"""What is joined to a front's fleet by the operator's file: parts with the same few calls, each imported only where the
-file has its node. A part that breaks loses the one call, not the front."""
+"""What a component of a front's fleet is: the calls that the fleet service makes, each with nothing to do by default.
 
+A component that raises loses the one call; the router process goes on.
+"""
 
-class FleetComponent:
-    name, message_types = "", ()  # whose words of `codec.Word` it is given; other messages that it takes
-    question = ""  # by which word `fleet why` asks it
-    question_handlers = {}  # question -> awaited call with what was given: its answer as a map
+from collections.abc import Awaitable, Callable
+from typing import ClassVar
 
-    async def start(self):
-        pass
 
-    def start_without_storage(self):
-        """The fleet's disk can't be used: this front goes on by itself, and `start` does not come."""
+class FleetComponent:
+    """One feature of the fleet that the operator's file may have.
 
-    def on_message(self, sender, message):
-        """A message of a kind that it takes, or the bytes of a word for it."""
+    :cvar name: its ComponentMessages carry this name
+    :cvar message_types: other messages between router processes that it takes
+    :cvar question: the word by which `sprucegate fleet why` asks it, "" for none
+    :cvar question_handlers: question -> awaited call with the question's arguments; the answer is a JSON object
+    """
 
-    def on_view_changed(self, view):
-        """A new view of the fleet."""
+    name: ClassVar[str] = ""
+    message_types: ClassVar[tuple[type, ...]] = ()
+    question: ClassVar[str] = ""
+    question_handlers: dict[str, Callable[[list[str]], Awaitable[dict[str, object]]]] = {}
 
-    def on_endpoints_changed(self):
-        """The list of servers changed."""
+    async def start(self) -> None:
+        """Begin, once the fleet's own state is loaded."""
 
-    def on_identity_changed(self, name, life):
-        """This front is another life, or another name beside its twin."""
+    def start_without_storage(self) -> None:
+        """Go on without a fleet, as its disk can't be used; `start` isn't called then."""
 
-    def on_attempt_ended(self, cache, outcome, found, took, question):
-        """One forward's end at a server."""
+    def on_message(self, sender: str, message: object) -> None:
+        """Take a message of one of `message_types`, or the bytes of a ComponentMessage of this name."""
 
-    def on_leaving(self):
-        """SIGTERM: the others need not find out by themselves."""
+    def on_view_changed(self, view: object) -> None:
+        """Take a new view of the fleet's members."""
 
-    def explain(self, given):
-        """Rows for `fleet why NAME ...`, or None."""
+    def on_endpoints_changed(self) -> None:
+        """Follow a change of the list of servers."""
 
-    async def stop(self):
-        pass
+    def on_identity_changed(self, name: str, incarnation: int) -> None:
+        """Follow this process's new incarnation, or its new name beside a twin."""
 
+    def on_attempt_ended(
+        self, endpoint: str, outcome: object, cache_status: object, duration: int, request: object
+    ) -> None:
+        """Count the end of one attempt at a server; `duration` in ns."""
 
-def configured_components(fleet):
-    """The parts that the file has, in the order in which they start."""
-    made = []
-    if fleet.agreement is not None:
-        from sprucegate.fleet.consensus.driver import ConsensusComponent
+    def on_leaving(self) -> None:
+        """Tell others of SIGTERM, so that they need not find out by themselves."""
 
-        made.append(ConsensusComponent(fleet, *fleet.agreement))
-    if fleet.shares is not None:
-        from sprucegate.fleet.quotas.part import QuotaComponent
+    def explain(self, given: list[str]) -> list[object] | None:
+        """Return rows for `sprucegate fleet why NAME ...`, or None."""
 
-        made.append(QuotaComponent(fleet, fleet.shares))
-    return made
+    async def stop(self) -> None:
+        """End what `start` began."""
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -59,8 +59,8 @@
 from sprucegate.fleet.rollout import commands
 from sprucegate.fleet.rollout.follower import Words
 from sprucegate.fleet.rollout.leader import Leading, front_lease
-from sprucegate.fleet.rollout.permits import Step
-from sprucegate.fleet.rollout.releases import Phase
+from sprucegate.fleet.rollout.permits import STEP_WORDS, Step
+from sprucegate.fleet.rollout.releases import PHASE_WORDS
 from sprucegate.fleet.rollout.rollout import Rollout
 from sprucegate.storage.disk import Disk
 
@@ -567,7 +567,7 @@
                     "why": p.why,
                     "release": p.release,
                     "version": p.version,
-                    "step": p.step.name.lower(),
+                    "step": STEP_WORDS[p.step],
                     "index": p.index,
                     "drained": p.drained,
                     "warm": p.warm,
@@ -580,12 +580,12 @@
             ],
             "history": machine.releases.history,
             "left_without_permit": permits.without,
-            "ended": {id: permits.permits[id].step.name.lower() for id in permits.ended[-SHOWN_MOST:]},
+            "ended": {id: STEP_WORDS[permits.permits[id].step] for id in permits.ended[-SHOWN_MOST:]},
             "releases": [
                 {
                     "name": n,
                     "by": r.by,
-                    "phase": Phase(r.phase).name.lower(),
+                    "phase": PHASE_WORDS[r.phase],
                     "wave": r.wave,
                     "why": r.why,
                     "waves": [list(w) for w in r.plan.waves],
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -14,7 +14,8 @@
 
 ENDED_MOST = 1000  # permits that are over and still told of
 OPEN_MOST = 2000  # requests at one time
-SCOPES = ("fleet", "location", "kind", "group")
+FLEET, LOCATION, KIND, GROUP = "fleet", "location", "kind", "group"  # words of the file and of stored budgets
+SCOPES = (FLEET, LOCATION, KIND, GROUP)
 
 
 class Step(IntEnum):
@@ -28,6 +29,17 @@
     GIVEN_UP = 7
 
 
+# A step's word in answers to commands, in reasons and in operators' answers.
+STEP_WORDS = {
+    Step.ASKED: "asked",
+    Step.GRANTED: "granted",
+    Step.DRAINED: "drained",
+    Step.OUT: "out",
+    Step.COLD: "cold",
+    Step.BACK: "back",
+    Step.WITHDRAWN: "withdrawn",
+    Step.GIVEN_UP: "given_up",
+}
 OPEN = (Step.ASKED, Step.GRANTED, Step.DRAINED, Step.OUT, Step.COLD)
 TAKES = (Step.GRANTED, Step.DRAINED, Step.OUT, Step.COLD)  # a place
 
@@ -43,6 +55,15 @@
     weight: int
 
 
+# Which of the places that a scope tells apart a box is in.
+_SCOPE_VALUES = {
+    FLEET: lambda box: "",
+    LOCATION: lambda box: box.location,
+    KIND: lambda box: box.kind,
+    GROUP: lambda box: box.group,
+}
+
+
 class Budget(NamedTuple):
     """So many may be out at once, and so much of the weight (thousandths), of each one of the scope, or of `of` alone.
 
@@ -59,7 +80,7 @@
         return self.role in ("", box.role) and (not self.of or self.of == self.place(box))
 
     def place(self, box):
-        return "" if self.scope == "fleet" else getattr(box, self.scope)
+        return _SCOPE_VALUES[self.scope](box)
 
 
 class Warmth(NamedTuple):
@@ -71,23 +92,6 @@
 
 
 class Permit:
-    FIELDS = (
-        "id",
-        "box",
-        "by",
-        "why",
-        "release",
-        "version",
-        "step",
-        "index",
-        "drained",
-        "warm",
-        "start",
-        "holder",
-        "renewed",
-        "overdue",
-    )
-
     def __init__(
         self,
         id,
@@ -112,7 +116,23 @@
         self.start, self.holder, self.renewed, self.overdue = start, holder, renewed, overdue
 
     def told(self):
-        return [int(self.step) if name == "step" else getattr(self, name) for name in self.FIELDS]
+        """The values as they are stored, in this order."""
+        return [
+            self.id,
+            self.box,
+            self.by,
+            self.why,
+            self.release,
+            self.version,
+            int(self.step),
+            self.index,
+            self.drained,
+            self.warm,
+            self.start,
+            self.holder,
+            self.renewed,
+            self.overdue,
+        ]
 
 
 class Permits:
@@ -154,7 +174,7 @@
         taken.update(
             {b.name: "lost" for b in self.boxes.values() if b.role == "front" and b.name not in self.fronts}
         )
-        taken.update({p.box: p.step.name.lower() for p in self.of_box.values() if p.step in TAKES})
+        taken.update({p.box: STEP_WORDS[p.step] for p in self.of_box.values() if p.step in TAKES})
         return {name: why for name, why in taken.items() if name in self.boxes}
 
     def wait(self, permit, out=None):
@@ -213,7 +233,7 @@
     def ask(self, id, box, by, why, release="", version=""):
         """A word for whoever asked; the same request again has no second effect."""
         if id in self.permits:
-            return self.permits[id].step.name.lower()
+            return STEP_WORDS[self.permits[id].step]
         if box not in self.boxes:
             return "no such box"
         if (other := self.of_box.get(box)) is not None:
@@ -221,7 +241,7 @@
         if len(self.of_box) >= OPEN_MOST:
             return "too many requests"
         permit = self.permits[id] = self.of_box[box] = Permit(id, box, by, why, release, version)
-        return permit.step.name.lower()
+        return STEP_WORDS[permit.step]
 
     def grants(self, index, may=lambda permit: True):
         """Those that go out now, in the order of asking; `may` holds a release back."""
@@ -370,7 +390,7 @@
     def _charged(self, but):
         """{box: why} of those that take a place by a permit: out, or granted as one that was there."""
         return {
-            p.box: p.step.name.lower()
+            p.box: STEP_WORDS[p.step]
             for p in self.of_box.values()
             if p is not but and (p.step in (Step.OUT, Step.COLD) or p.step in TAKES and not self._free(p.box))
         }
--- a/sprucegate/fleet/rollout/releases.py
+++ b/sprucegate/fleet/rollout/releases.py
@@ -19,6 +19,16 @@
     RETURNED = 4
 
 
+# A phase's word in reasons and in operators' answers.
+PHASE_WORDS = {
+    Phase.RUNNING: "running",
+    Phase.HALTED: "halted",
+    Phase.BACK: "back",
+    Phase.DONE: "done",
+    Phase.RETURNED: "returned",
+}
+
+
 class Plan(NamedTuple):
     """`waves`: boxes by name, the canary first. `bake`: ns for which a whole wave is watched before its gate passes."""
 
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -5,7 +5,7 @@
 """
 
 from sprucegate.fleet.rollout.permits import Box, Budget, Permits, Step, Warmth
-from sprucegate.fleet.rollout.releases import Plan, Releases
+from sprucegate.fleet.rollout.releases import PHASE_WORDS, Plan, Releases
 
 FORMAT = 1
 ONCE_MOST = 1000  # requests of operators whose words are kept
@@ -92,7 +92,7 @@
                 release = self.releases.releases[permit.release]
                 found[permit.id] = (
                     "trouble",
-                    next(iter(self.releases.troubles), release.phase.name.lower()),
+                    next(iter(self.releases.troubles), PHASE_WORDS[release.phase]),
                     0,
                     0,
                 )
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -13,7 +13,7 @@
 import orjson
 
 from sprucegate import clock
-from sprucegate.fleet import components
+from sprucegate.fleet.component_registry import configured_components
 from sprucegate.fleet.failure_detector.swim import Doubled, Fenced, Look, MemberState, Stands
 from sprucegate.fleet.links import codec
 from sprucegate.fleet.links.links import INBOUND_CONNECTIONS_MAX, VOTER_CONNECTIONS_MAX, PeerLinks
@@ -64,7 +64,7 @@
         self.tasks, self.snapping, self.stopped, self.waiting = set(), False, False, []
         self.rows_out, self.rows_in = 0, 0  # of evidence
         self.being = int.from_bytes(os.urandom(4), "big")
-        self.parts = components.configured_components(self)
+        self.parts = configured_components(self)
         self.fresh = 0  # facts since the collector was told
         merged.view.news = []
 
