--- a/sprucegate/fleet/component_registry.py
+++ b/sprucegate/fleet/component_registry.py
@@ -12,7 +12,7 @@
     """Return the components that the operator's file has, in the order in which they start."""
     components: list[FleetComponent] = []
     if fleet.agreement is not None:
-        from sprucegate.fleet.consensus.driver import ConsensusComponent
+        from sprucegate.fleet.consensus.component import ConsensusComponent
 
         components.append(ConsensusComponent(fleet, *fleet.agreement))
     if fleet.shares is not None:
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from sprucegate.fleet.consensus.driver import Voting
+from sprucegate.fleet.consensus.voter_driver import VoterDriver
 from sprucegate.fleet.maintenance_agent import ConsensusSettings, MaintenanceAgent
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.storage.disk import Disk
@@ -419,7 +419,7 @@
     async def played():
         disk = Fickle()
         node = ConsensusSettings({"k0": "127.0.0.1:1"}, str(tmp_path / "k0"), None)
-        one = Voting("k0", node, 7, lambda event, **said: events.append(event), lambda *_: None, disk)
+        one = VoterDriver("k0", node, 7, lambda event, **said: events.append(event), lambda *_: None, disk)
         await one.begins()
 
         async def until(event):
