--- a/sprucegate/front/__init__.py
+++ b/sprucegate/front/__init__.py
@@ -0,0 +1,1 @@
+"""One reverse proxy instance: client connections, requests, the driver of the router, and its configuration."""
--- a/sprucegate/front/client_connections.py
+++ b/sprucegate/front/client_connections.py
@@ -1,82 +1,130 @@
-"""What is kept of each connection to a client. How far it has come is one phase, and only `to` changes it."""
+"""The state of each client connection. It is one `ConnectionState`, and only `ClientConnection.to` changes it."""
 
+import contextlib
 import socket
 from enum import Enum, auto
 
+from sprucegate.errors import SprucegateError
 from sprucegate.front.protocol.http import RequestReader
 from sprucegate.upstream.sockets import ended
 
 
-class Phase(Enum):
-    RESTING = auto()  # nothing is owed; part of a request may have come
-    TAKEN = auto()  # a whole request was read: one answer is owed
-    FLUSHING = auto()  # the answer is given, and not all of it written
-    SHUT = (
-        auto()
-    )  # our side has ended; what comes is read and discarded until the client ends, within a bound
+class ConnectionState(Enum):
+    """States of a client connection.
+
+    :cvar IDLE: no response is owed; part of a request may have been read
+    :cvar REQUEST_IN_PROGRESS: a whole request was read, and one response to it is owed
+    :cvar WRITING_RESPONSE: the response is known and not all of it is written
+    :cvar HALF_CLOSED: our side is shut down; what arrives is read and discarded until the client closes, or until
+        the lingering time is over
+    :cvar CLOSED: the socket is closed
+    """
+
+    IDLE = auto()
+    REQUEST_IN_PROGRESS = auto()
+    WRITING_RESPONSE = auto()
+    HALF_CLOSED = auto()
     CLOSED = auto()
 
 
-LEGAL = {
-    Phase.RESTING: (Phase.TAKEN, Phase.FLUSHING, Phase.SHUT, Phase.CLOSED),
-    Phase.TAKEN: (Phase.FLUSHING, Phase.CLOSED),
-    Phase.FLUSHING: (Phase.RESTING, Phase.SHUT, Phase.CLOSED),
-    Phase.SHUT: (Phase.CLOSED,),
-    Phase.CLOSED: (),
+TRANSITIONS = {
+    ConnectionState.IDLE: (
+        ConnectionState.REQUEST_IN_PROGRESS,
+        ConnectionState.WRITING_RESPONSE,
+        ConnectionState.HALF_CLOSED,
+        ConnectionState.CLOSED,
+    ),
+    ConnectionState.REQUEST_IN_PROGRESS: (ConnectionState.WRITING_RESPONSE, ConnectionState.CLOSED),
+    ConnectionState.WRITING_RESPONSE: (
+        ConnectionState.IDLE,
+        ConnectionState.HALF_CLOSED,
+        ConnectionState.CLOSED,
+    ),
+    ConnectionState.HALF_CLOSED: (ConnectionState.CLOSED,),
+    ConnectionState.CLOSED: (),
 }
 
 
-class Client:
-    """`since` (ns): when it came into its phase, or began a request. `last`: its next answer ends it, nothing is read
-    after that."""
+class IllegalTransitionError(SprucegateError, ValueError):
+    """A fault of the program: a state change that would skip a response or read on after the connection's end."""
+
+    def __init__(self, state, new_state):
+        super().__init__(f"a client's connection can't go from {state.name} to {new_state.name}")
+
+
+class ClientConnection:
+    """One connection to a client.
 
-    __slots__ = ("sock", "reader", "phase", "last", "since", "asked", "get", "writer")
+    :ivar reader: reads requests from its bytes
+    :ivar last: the next response is the last one on this connection, and nothing more is read
+    :ivar since: when it entered its state, or when a request began to arrive (ns)
+    :ivar asked: whether a whole request was ever read
+    :ivar get: the open request whose response is owed, or None
+    :ivar writer: the pending write of a response, or None
+    """
+
+    __slots__ = ("sock", "reader", "state", "last", "since", "asked", "get", "writer")
 
     def __init__(self, sock, now, repeatable=frozenset()):
-        self.sock, self.reader = sock, RequestReader(repeatable)
-        self.phase, self.last, self.since, self.asked = Phase.RESTING, False, now, False
-        self.get, self.writer = None, None
-
-    def to(self, phase, now):
-        """Any order of events that would skip an answer, or read on after the end, is a fault and not a state."""
-        if phase not in LEGAL[self.phase]:
-            raise ValueError(f"a client's connection can't go from {self.phase.name} to {phase.name}")
-        self.phase, self.since = phase, now
-
-    def take(self, now):
-        self.to(Phase.TAKEN, now)
+        self.sock = sock
+        self.reader = RequestReader(repeatable)
+        self.state = ConnectionState.IDLE
+        self.last = False
+        self.since = now
+        self.asked = False
+        self.get = None
+        self.writer = None
+
+    def to(self, state, now):
+        """Enter a state; raises IllegalTransitionError where the transition is not one of TRANSITIONS."""
+        if state not in TRANSITIONS[self.state]:
+            raise IllegalTransitionError(self.state, state)
+        self.state = state
+        self.since = now
+
+    def on_request(self, now):
+        """Record that a whole request was read."""
+        self.to(ConnectionState.REQUEST_IN_PROGRESS, now)
         self.asked = True
 
-    def answered(self, now):
-        """Its one answer is given, though perhaps not yet written."""
-        self.to(Phase.FLUSHING, now)
+    def on_response_started(self, now):
+        """Record that the response is known, though perhaps not yet written."""
+        self.to(ConnectionState.WRITING_RESPONSE, now)
+
+    def on_response_written(self, now):
+        """Record that all of the response is written, so that the next request may be read.
 
-    def flushed(self, now):
-        """All of the answer is written, so the next request may come. Of who never reads answers would pile up."""
+        Not earlier: responses to a client that never reads would pile up.
+        """
         if self.last:
-            self.shut(now)
+            self.shut_down(now)
         else:
-            self.to(Phase.RESTING, now)
+            self.to(ConnectionState.IDLE, now)
 
-    def shut(self, now):
-        """Half a close: a whole one over unread bytes sends a reset, which destroys an answer on its way."""
-        self.to(Phase.SHUT, now)
-        try:
+    def shut_down(self, now):
+        """Shut down our side only: a full close over unread bytes sends a reset, which destroys a response in flight.
+
+        RFC 9112 section 9.6.
+        """
+        self.to(ConnectionState.HALF_CLOSED, now)
+        with contextlib.suppress(OSError):  # closed already: the reader sees that too
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:
-            pass  # gone already: the reader sees that too
 
-    def closed(self, now):
-        self.to(Phase.CLOSED, now)
+    def on_closed(self, now):
+        """Record that the socket is closed."""
+        self.to(ConnectionState.CLOSED, now)
 
-    def left(self):
-        """Whether its client has gone, though the loop has not come to that yet."""
+    def peer_has_closed(self):
+        """Return whether the client has closed, even where the event loop has not reported that yet."""
         return ended(self.sock)
 
-    def reads(self):
-        """Whether what comes may still become a request."""
-        return self.phase not in (Phase.SHUT, Phase.CLOSED) and not self.last
+    def accepts_requests(self):
+        """Return whether bytes that arrive may still become a request."""
+        return self.state not in (ConnectionState.HALF_CLOSED, ConnectionState.CLOSED) and not self.last
+
+    def is_idle(self):
+        """Return whether no request is in progress or partly read.
 
-    def rests(self):
-        """Nothing is owed, under way or begun: it may be ended, after a look at what has just come."""
-        return self.phase is Phase.RESTING and not self.reader.begun
+        It may then be closed, after a look at what has just arrived.
+        """
+        return self.state is ConnectionState.IDLE and not self.reader.begun
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 
-from sprucegate.front.client_connections import Client, Phase
+from sprucegate.front.client_connections import ClientConnection, ConnectionState
 from sprucegate.upstream.sockets import receive_into, set_no_delay, waited
 
 TURN = 3  # requests begun in one turn of the loop
@@ -56,7 +56,7 @@
             return False
         sock.setblocking(False)
         set_no_delay(sock)
-        client = Client(sock, self.driver.clock(), self.repeatable)
+        client = ClientConnection(sock, self.driver.clock(), self.repeatable)
         self.clients[client] = self.silent[client] = None
         self.loop.add_reader(sock, self._readable, client)
         return True
@@ -94,28 +94,30 @@
 
         Each only after a look at what has just come: a request in the kernel's buffer counts as sent.
         """
-        if (gone := next((c for c in self.clients if c.phase is Phase.SHUT), None)) is not None:
+        if (
+            gone := next((c for c in self.clients if c.state is ConnectionState.HALF_CLOSED), None)
+        ) is not None:
             return self.close(gone, "told_to_go")
         for those in (self.silent, self.clients):
-            for client in [c for c in those if c.rests()][:LOOKS]:
+            for client in [c for c in those if c.is_idle()][:LOOKS]:
                 if self.look(client):
-                    client.shut(self.driver.clock())
+                    client.shut_down(self.driver.clock())
                     return self.close(client, "made_room")
         # Half a request, the oldest one: no answer is owed.
-        half = next((c for c in self.silent if c.phase is Phase.RESTING), None)
+        half = next((c for c in self.silent if c.state is ConnectionState.IDLE), None)
         return half is not None and self.close(half, "half_request")
 
     def look(self, client):
         """Whether it still rests once what has just come was read."""
-        if client.rests():
+        if client.is_idle():
             self._readable(client)
-        return client.rests()
+        return client.is_idle()
 
     def end(self, client):
         """Ends a connection that rests; a request that came meanwhile is served first."""
         if self.look(client):
             self.silent.pop(client, None)
-            client.shut(self.driver.clock())
+            client.shut_down(self.driver.clock())
 
     def _readable(self, client):
         buffer = self.pool.take()
@@ -125,7 +127,7 @@
             size = receive_into(client.sock, buffer)
             if size == 0:
                 self.close(client, "peer")
-            elif size and client.reads():
+            elif size and client.accepts_requests():
                 self._fed(client, buffer[:size])
         except OSError:
             self.close(client, "peer")
@@ -137,11 +139,11 @@
 
     def close(self, client, why):
         """True, for who made room by it. `why` is counted: "peer" where the client ended it."""
-        if client.phase is Phase.CLOSED:
+        if client.state is ConnectionState.CLOSED:
             return True
         self.driver.book.count(f"clients_closed {why}")
         self.driver.invariants.closed(client, why)
-        client.closed(self.driver.clock())
+        client.on_closed(self.driver.clock())
         for those in (self.clients, self.silent):
             those.pop(client, None)
         self.loop.remove_reader(client.sock)
@@ -159,14 +161,14 @@
         now, begun = self.driver.clock(), client.reader.begun
         requests = client.reader.feed(data)
         came = now - waited(client.sock) if requests else now
-        if client.reader.begun and not begun and client.asked and client.phase is Phase.RESTING:
+        if client.reader.begun and not begun and client.asked and client.state is ConnectionState.IDLE:
             client.since = now  # not moved by later bytes: one that dribbles is bounded too
         for request in requests:
-            if client.phase is not Phase.RESTING:
+            if client.state is not ConnectionState.IDLE:
                 # One at a time is agreed; what was sent ahead goes unread, and the answer under way is the last.
                 client.last = True
                 break
-            client.take(now)
+            client.on_request(now)
             client.last = not request.keep_alive
             self.silent.pop(client, None)
             self.clients[client] = self.clients.pop(client)
@@ -176,7 +178,7 @@
             self.loop.call_soon(self._begin)
         if client.reader.fault:
             client.last = True
-            if client.phase is Phase.RESTING:
+            if client.state is ConnectionState.IDLE:
                 self.driver.relay.refuse(client, client.reader.fault)
 
     def _begin(self):
@@ -187,7 +189,7 @@
         """
         for _ in range(min(TURN, len(self.whole))):
             client, request, at = self.whole.popleft()
-            if client.phase is Phase.TAKEN:
+            if client.state is ConnectionState.REQUEST_IN_PROGRESS:
                 self.driver.request(client, request, at)
         self.begins = bool(self.whole)
         if self.begins:
@@ -197,20 +199,20 @@
         """A request never finished, a connection never used or never closed by its client: all go in time."""
         for client in list(self.clients):
             waited = now - client.since
-            if client.phase is Phase.SHUT:
+            if client.state is ConnectionState.HALF_CLOSED:
                 if waited > self.times.lingering:
                     self.close(client, "lingered")
-            elif client.phase is Phase.FLUSHING:
+            elif client.state is ConnectionState.WRITING_RESPONSE:
                 if waited > self.times.sending:
                     self.driver.book.count("clients_not_reading")
                     self.close(client, "not_reading")
-            elif client.phase is Phase.RESTING:
+            elif client.state is ConnectionState.IDLE:
                 waits = client.reader.begun or not client.asked
                 if waited > (self.times.unfinished if waits else self.times.idle):
                     self.driver.book.count("clients_timed_out" if waits else "clients_idle")
                     if client.reader.begun:
                         self.silent.pop(client, None)
-                        client.shut(now)
+                        client.shut_down(now)
                     else:
                         self.end(client)
 
@@ -223,9 +225,9 @@
         goes_on = False
         for client in list(self.clients):
             fresh = not client.asked and now - client.since <= self.times.fresh
-            if client.rests() and not fresh:
+            if client.is_idle() and not fresh:
                 self.end(client)
-            goes_on |= client.phase is not Phase.CLOSED and not (
-                client.phase is Phase.SHUT and now - client.since > self.times.fresh
+            goes_on |= client.state is not ConnectionState.CLOSED and not (
+                client.state is ConnectionState.HALF_CLOSED and now - client.since > self.times.fresh
             )
         return goes_on
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -267,7 +267,7 @@
                     )
                     if self.wanted.log_gets:
                         get.story.append((now, f"attempt {one.number} {self._where(one)}"))
-                    if get.client.left():
+                    if get.client.peer_has_closed():
                         # Its end stands behind what this turn of the loop still does: nobody waits any more.
                         self.loop.call_soon(
                             self.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -5,7 +5,7 @@
 decide. A count other than 0 in the log's `second` lines is to be reported with the lines around it.
 """
 
-from sprucegate.front.client_connections import Phase
+from sprucegate.front.client_connections import ConnectionState
 
 MS = 1_000_000
 GONE_LATE = 100 * MS  # an attempt that begins so long after its client went counts as a lost request
@@ -61,8 +61,11 @@
             self.broken("attempt_after_answer", get, **attempt)
         if get.left_at is not None and now - get.left_at > GONE_LATE:
             self.broken("attempt_after_client_left", get, **attempt)
-        if get.client is not None and get.client.phase not in (Phase.TAKEN, Phase.CLOSED):
-            self.broken("attempt_without_request", get, phase=get.client.phase.name, **attempt)
+        if get.client is not None and get.client.state not in (
+            ConnectionState.REQUEST_IN_PROGRESS,
+            ConnectionState.CLOSED,
+        ):
+            self.broken("attempt_without_request", get, phase=get.client.state.name, **attempt)
         if self.closed_to and (out.cache in self.closed_to or out.source in self.closed_to):
             self.broken("attempt_to_draining", get, source=out.source, **attempt)
         if out.limit > get.until + WAIT_SLACK:
@@ -87,7 +90,12 @@
 
     def closed(self, client, why):
         """This side closes a client's connection for that reason ("peer": the client ended it)."""
-        if client.phase is Phase.TAKEN and why != "peer" and client.get is not None and not client.left():
+        if (
+            client.state is ConnectionState.REQUEST_IN_PROGRESS
+            and why != "peer"
+            and client.get is not None
+            and not client.peer_has_closed()
+        ):
             self.broken("closed_over_request", client.get, why=why)
 
     def quiet(self, gets, ids, buffers):
--- a/sprucegate/front/response_cache.py
+++ b/sprucegate/front/response_cache.py
@@ -1,39 +1,69 @@
-"""The front's own copies: their bytes, and the queue on its link. Whether one may answer is the module's."""
+"""The front's own response cache: stored responses and the queue on its outgoing link.
+
+Whether a stored response may be used is decided by the router (`may_answer_from_own_copy`, `should_store_own_copy`).
+"""
 
 from collections import OrderedDict
 from typing import NamedTuple
 
+from sprucegate.units import SECOND
+
 
 class CachedResponse(NamedTuple):
+    """A stored response; times are nanoseconds on this front's clock.
+
+    :ivar body: its content
+    :ivar tag: its entity tag, without quotes; "" where it has none
+    :ivar made: when the origin generated it, at the earliest
+    :ivar since: when it was stored here
+    """
+
     body: bytes
     tag: str
-    made: int  # when the origin gave it out, at the earliest, on this front's clock (ns)
-    since: int  # when it came here, on that clock
+    made: int
+    since: int
 
 
 class ResponseCache:
-    def __init__(self, most, link):
-        self.most, self.link, self.held, self.kept = most, link, 0, OrderedDict()
-        self.free_at = 0
+    """Stored responses by key, within an upper bound of bytes; the least recently used is evicted first.
+
+    :ivar most_bytes: upper bound of all bodies together
+    :ivar link_bytes_per_s: rate at which responses from this cache are sent
+    :ivar stored_bytes: bytes of all bodies
+    :ivar link_free_at: when the responses sent so far have left over the link (ns)
+    """
+
+    def __init__(self, most_bytes, link_bytes_per_s):
+        self.most_bytes = most_bytes
+        self.link_bytes_per_s = link_bytes_per_s
+        self.stored_bytes = 0
+        self.responses = OrderedDict()
+        self.link_free_at = 0
 
     def find(self, key):
-        return self.kept.get(key)
+        """Return the response stored under this key, or None."""
+        return self.responses.get(key)
 
-    def put(self, key, copy):
+    def put(self, key, response):
+        """Store a response in place of an earlier one, and evict others down to the upper bound."""
         self.drop(key)
-        self.kept[key] = copy
-        self.held += len(copy.body)
-        while self.held > self.most:
-            self.drop(next(iter(self.kept)))  # used longest ago
+        self.responses[key] = response
+        self.stored_bytes += len(response.body)
+        while self.stored_bytes > self.most_bytes:
+            least_recently_used = next(iter(self.responses))
+            self.drop(least_recently_used)
 
     def drop(self, key):
-        if (copy := self.kept.pop(key, None)) is not None:
-            self.held -= len(copy.body)
+        """Remove the response under this key, if there is one."""
+        response = self.responses.pop(key, None)
+        if response is not None:
+            self.stored_bytes -= len(response.body)
 
     def wait(self, now):
-        """How long an answer given now would wait for those before it on the link."""
-        return max(0, self.free_at - now)
+        """Return how long (ns) a response sent now waits for earlier ones on the link."""
+        return max(0, self.link_free_at - now)
 
     def sent(self, key, size, now):
-        self.kept.move_to_end(key)
-        self.free_at = max(self.free_at, now) + int(size / self.link * 1e9)
+        """Record that `size` bytes of the response under this key are sent: it was used, and the link is busy."""
+        self.responses.move_to_end(key)
+        self.link_free_at = max(self.link_free_at, now) + int(size / self.link_bytes_per_s * SECOND)
--- a/sprucegate/front/response_writer.py
+++ b/sprucegate/front/response_writer.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from sprucegate.front.client_connections import Phase
+from sprucegate.front.client_connections import ConnectionState
 from sprucegate.front.protocol import http
 from sprucegate.upstream.sockets import PendingWrite, send
 
@@ -31,11 +31,11 @@
 
     def write(self, client, status, body=b"", headers=b""):
         """At once where the socket takes all of it; the rest as it takes more."""
-        if client.phase is Phase.CLOSED:
+        if client.state is ConnectionState.CLOSED:
             return
         client.last = client.last or self.ending
         data = http.answer(status, body, headers, client.last)
-        client.answered(self.driver.clock())
+        client.on_response_started(self.driver.clock())
         try:
             sent = send(client.sock, data)
         except OSError:
@@ -45,9 +45,9 @@
                 self.loop, client.sock, memoryview(data)[sent:], lambda whole: self._written(client, whole)
             )
         else:
-            client.flushed(self.driver.clock())
+            client.on_response_written(self.driver.clock())
 
     def _written(self, client, whole):
         client.writer = None
         if whole:  # else the reader sees its end too
-            client.flushed(self.driver.clock())
+            client.on_response_written(self.driver.clock())
--- a/sprucegate/front/subscription.py
+++ b/sprucegate/front/subscription.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from sprucegate.front.buffer_pool import SIZE
+from sprucegate.front.buffer_pool import BUFFER_BYTES
 from sprucegate.front.protocol import bus
 from sprucegate.upstream.sockets import set_no_delay
 
@@ -16,7 +16,7 @@
         self.driver, self.wanted, self.last = driver, wanted, wanted.offset
         self.loop, self.task = asyncio.get_running_loop(), None
         # Its own: lent one by one to whoever reads, none could be left for the list.
-        self.buffer = memoryview(bytearray(SIZE))
+        self.buffer = memoryview(bytearray(BUFFER_BYTES))
         self.doubted = -1  # the last event before a fault for which the bus was asked again
 
     def start(self):
--- a/sprucegate/upstream/sending.py
+++ b/sprucegate/upstream/sending.py
@@ -22,7 +22,7 @@
             self.count("sends_refused late")
             return None
         # One that was decided just now was looked at then.
-        if now - out.at > LOOKED and get.client is not None and get.client.left():
+        if now - out.at > LOOKED and get.client is not None and get.client.peer_has_closed():
             self.count("sends_refused client_left")
             return None
         return left
--- a/tests/front/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -14,7 +14,7 @@
 from sprucegate.assembly import run as assembly
 from sprucegate.front import configuration, driver
 from sprucegate.front.buffer_pool import BufferPool
-from sprucegate.front.client_connections import Client
+from sprucegate.front.client_connections import ClientConnection
 from sprucegate.front.connection_reader import ConnectionReader
 from sprucegate.front.protocol.http import RequestReader
 from sprucegate.routing.events import AttemptOutcome
@@ -45,8 +45,8 @@
 def asked_of(made):
     near, far = socket.socketpair()
     near.setblocking(False)
-    client = Client(near, made.clock())
-    client.take(made.clock())
+    client = ClientConnection(near, made.clock())
+    client.on_request(made.clock())
     made.request(client, *RequestReader().feed(get_text(patience=300)), made.clock())
     return client, far
 
@@ -148,7 +148,7 @@
         end = time.monotonic() + 3
         while not ended and time.monotonic() < end:
             await asyncio.sleep(0.02)
-        return ended[:1], made.servers.connections, kept[0].left()
+        return ended[:1], made.servers.connections, kept[0].peer_has_closed()
 
     assert in_a_loop(act, dial) == ([AttemptOutcome.UNREACHABLE], 0, False)
 
@@ -168,7 +168,12 @@
         end = time.monotonic() + 2
         while not ended and time.monotonic() < end:
             await asyncio.sleep(0.02)
-        return ended[:1], made.servers.connections, [e for e, _ in logged if e == "fault"], kept[0].left()
+        return (
+            ended[:1],
+            made.servers.connections,
+            [e for e, _ in logged if e == "fault"],
+            kept[0].peer_has_closed(),
+        )
 
     with cache(served).sock as listener:
         said = in_a_loop(act, f"127.0.0.1:{listener.getsockname()[1]}")
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -36,7 +36,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from hypothesis.strategies import booleans
 
-from sprucegate.front.client_connections import Client, Phase
+from sprucegate.front.client_connections import ClientConnection, ConnectionState
 from sprucegate.front.protocol.http import RequestReader
 from sprucegate.routing.events import AttemptOutcome
 from standins.driver import Recorder
@@ -224,83 +224,91 @@
     def __init__(self):
         super().__init__()
         self.near, self.far = socket.socketpair()
-        self.client, self.owed, self.now = Client(self.near, 0), 0, 0
+        self.client, self.owed, self.now = ClientConnection(self.near, 0), 0, 0
 
     def teardown(self):
         self.near.close()
         self.far.close()
 
-    def legal(self, done, *phases):
-        """The call is made; it is refused, and changes nothing, unless the connection is in one of these phases."""
+    def legal(self, done, *states):
+        """The call is made; it is refused, and changes nothing, unless the connection is in one of these states."""
         self.now += 1
-        before = self.client.phase, self.client.since
+        before = self.client.state, self.client.since
         try:
             done(self.now)
         except ValueError:
-            assert before[0] not in phases and (self.client.phase, self.client.since) == before
+            assert before[0] not in states and (self.client.state, self.client.since) == before
             return False
-        assert before[0] in phases
+        assert before[0] in states
         return True
 
     @rule(last=booleans())
     def taken(self, last):
-        if self.client.phase is Phase.RESTING and self.legal(self.client.take, Phase.RESTING):
+        if self.client.state is ConnectionState.IDLE and self.legal(
+            self.client.on_request, ConnectionState.IDLE
+        ):
             self.owed, self.client.last = self.owed + 1, last
 
     @rule()
     def front_ends(self):
-        if self.client.phase is Phase.TAKEN:
+        if self.client.state is ConnectionState.REQUEST_IN_PROGRESS:
             self.client.last = True
 
     @rule()
     def answered(self):
-        if self.client.phase is Phase.TAKEN:
-            assert self.legal(self.client.answered, Phase.TAKEN)
+        if self.client.state is ConnectionState.REQUEST_IN_PROGRESS:
+            assert self.legal(self.client.on_response_started, ConnectionState.REQUEST_IN_PROGRESS)
             self.owed -= 1
 
     @rule()
     def answered_again(self):
-        if self.client.phase in (Phase.SHUT, Phase.CLOSED, Phase.FLUSHING):
-            assert not self.legal(self.client.answered)
+        if self.client.state in (
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.CLOSED,
+            ConnectionState.WRITING_RESPONSE,
+        ):
+            assert not self.legal(self.client.on_response_started)
 
     @rule()
     def sent_ahead(self):
-        if self.client.phase in (Phase.TAKEN, Phase.FLUSHING):
-            assert not self.legal(self.client.take)
+        if self.client.state in (ConnectionState.REQUEST_IN_PROGRESS, ConnectionState.WRITING_RESPONSE):
+            assert not self.legal(self.client.on_request)
             self.client.last = True
 
     @rule()
     def flushed(self):
         last = self.client.last
-        if self.client.phase is Phase.FLUSHING:
-            assert self.legal(self.client.flushed, Phase.FLUSHING)
-            assert self.client.phase is (Phase.SHUT if last else Phase.RESTING)
+        if self.client.state is ConnectionState.WRITING_RESPONSE:
+            assert self.legal(self.client.on_response_written, ConnectionState.WRITING_RESPONSE)
+            assert self.client.state is (ConnectionState.HALF_CLOSED if last else ConnectionState.IDLE)
 
     @rule()
     def shut(self):
-        self.legal(self.client.shut, Phase.RESTING, Phase.FLUSHING)
+        self.legal(self.client.shut_down, ConnectionState.IDLE, ConnectionState.WRITING_RESPONSE)
 
     @rule()
     def closed(self):
-        if self.legal(self.client.closed, *[p for p in Phase if p is not Phase.CLOSED]):
+        if self.legal(
+            self.client.on_closed, *[p for p in ConnectionState if p is not ConnectionState.CLOSED]
+        ):
             self.owed = 0  # whoever has gone is owed nothing
 
     @invariant()
     def holds(self):
-        assert self.owed == (self.client.phase is Phase.TAKEN)
+        assert self.owed == (self.client.state is ConnectionState.REQUEST_IN_PROGRESS)
         assert (
-            not self.client.reads()
+            not self.client.accepts_requests()
             or not self.client.last
-            and self.client.phase not in (Phase.SHUT, Phase.CLOSED)
+            and self.client.state not in (ConnectionState.HALF_CLOSED, ConnectionState.CLOSED)
         )
-        assert not self.client.rests() or self.owed == 0
+        assert not self.client.is_idle() or self.owed == 0
         self.far.setblocking(False)
         try:
             ended = self.far.recv(1) == b""
         except BlockingIOError:
             ended = False
-        assert ended is (self.client.phase is Phase.SHUT or self.was_shut)
-        self.was_shut |= self.client.phase is Phase.SHUT
+        assert ended is (self.client.state is ConnectionState.HALF_CLOSED or self.was_shut)
+        self.was_shut |= self.client.state is ConnectionState.HALF_CLOSED
 
     was_shut = False
 
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -17,7 +17,7 @@
 
 from sprucegate.front import configuration, driver
 from sprucegate.front.buffer_pool import BufferPool
-from sprucegate.front.client_connections import Client
+from sprucegate.front.client_connections import ClientConnection
 from sprucegate.front.protocol.http import RequestReader
 
 
@@ -465,8 +465,8 @@
         near, far = socket.socketpair()
         near.setblocking(False)
         monkeypatch.setattr(driver, stage, breaks)
-        client = Client(near, 0)
-        client.take(0)
+        client = ClientConnection(near, 0)
+        client.on_request(0)
         made.request(client, *RequestReader().feed(get_text()), made.clock())
         far.settimeout(5)
         near.close()
@@ -520,8 +520,8 @@
         near, far = socket.socketpair()
         near.setblocking(False)
         for at in range(1000):
-            client = Client(near, 0)
-            client.take(0)
+            client = ClientConnection(near, 0)
+            client.on_request(0)
             made.request(
                 client, *RequestReader().feed(get_text(f"{at:016x}", patience=3_000_000)), made.clock()
             )
--- a/tests/front/test_invariants.py
+++ b/tests/front/test_invariants.py
@@ -8,7 +8,7 @@
 from crossing import key, two
 from helpers import SETTINGS, get_text, served
 
-from sprucegate.front.client_connections import Phase
+from sprucegate.front.client_connections import ConnectionState
 from sprucegate.front.invariants import ANSWER_LATE, GONE_LATE, WAIT_SLACK, Invariants
 from sprucegate.front.open_requests import OpenAttempt, OpenRequest
 from sprucegate.routing.events import Request
@@ -19,14 +19,14 @@
 class Checked:
     """An open GET of one attempt, as it should be, and what is said of it."""
 
-    def __init__(self, ds=0, phase=Phase.TAKEN):
+    def __init__(self, ds=0, state=ConnectionState.REQUEST_IN_PROGRESS):
         self.counted, self.logged = [], []
         self.made = Invariants(
             {**SETTINGS, "max_forwards": 3},
             self.counted.append,
             lambda event, **fields: self.logged.append(fields),
         )
-        client = SimpleNamespace(phase=phase, get=None, left=lambda: False)
+        client = SimpleNamespace(state=state, get=None, peer_has_closed=lambda: False)
         asked = Request("9b1f03aa5c7e2d41", 1, 0, 0, ds, 1, False, False, S)
         self.get = client.get = OpenRequest(client, b"9b1f03aa5c7e2d41", "media", "1", 0, "", b"", asked)
         self.get.until = NOW + S
@@ -51,7 +51,7 @@
     [
         ("attempt_after_answer", lambda c: setattr(c.get, "answered", True)),
         ("attempt_after_client_left", lambda c: setattr(c.get, "left_at", NOW - GONE_LATE - 1)),
-        ("attempt_without_request", lambda c: setattr(c.get.client, "phase", Phase.SHUT)),
+        ("attempt_without_request", lambda c: setattr(c.get.client, "state", ConnectionState.HALF_CLOSED)),
         ("attempt_to_draining", lambda c: c.made.listed(set(), {11}, False)),
         ("attempt_to_draining", lambda c: c.made.listed({11}, {11, 21}, False)),
         ("wait_over_patience", lambda c: setattr(c.out, "limit", c.get.until + WAIT_SLACK + 1)),
