--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -13,7 +13,6 @@
 from sprucegate.front.protocol.http import Refusal, tagged
 from sprucegate.front.response_cache import CachedResponse, ResponseCache
 from sprucegate.front.response_writer import ResponseWriter
-from sprucegate.front.route import route
 from sprucegate.routing.actions import AwaitSlot, CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
 from sprucegate.routing.router import OWN_BYTES, Router
@@ -74,7 +73,8 @@
     def _taken(self, get, now):
         if self._own(get, now):
             return self.forget(get)
-        decided = route(self.router, get, now)
+        get.handle = self.router.start_request(get.asked, now)
+        decided = get.handle.route(now)
         self.open[get.handle] = get
         self.say(get, decided, now)
 
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -1,13 +1,13 @@
-"""Invariants of a front, checked as it runs: each breach is counted and logged with its ids, and changes nothing.
+"""Invariants of a front, checked as it runs: each violation is counted and logged with its ids, and changes nothing.
 
-A breach is a fault of the program. Guards elsewhere (`servers/sending.py`, `connections.LEGAL`, the relay's one answer)
-keep the rules; this module looks at what was done, from what clients and servers are owed, and not at how the guards
+A violation is a fault of the program. The rules are kept elsewhere (`upstream/sending.py`,
+`client_connections.TRANSITIONS`, `ResponseWriter.answer`); this module checks the outcome independently of how they
 decide. A count other than 0 in the log's `second` lines is to be reported with the lines around it.
 """
 
 from sprucegate.front.client_connections import ConnectionState
+from sprucegate.units import MILLISECOND as MS
 
-MS = 1_000_000
 GONE_LATE = 100 * MS  # an attempt that begins so long after its client went counts as a lost request
 ANSWER_LATE = 500 * MS  # an answer so long after its time counts as none
 WAIT_SLACK = 150 * MS  # by which the wait told to a server may be over what its client has left
@@ -16,20 +16,28 @@
 
 
 class Invariants:
-    """`count(name)` adds one to a counter; `log(event, **fields)` writes a line."""
+    """Checks what a front does. `count(name)` adds one to a counter; `log(event, **fields)` writes a line.
+
+    :ivar effects: the effect of a request that runs twice, by delivery service; "idempotent" where not set
+    :ivar most_attempts: most attempts of a request
+    :ivar logged: violations logged in this second
+    :ivar closed_to: ids of servers that drain or are gone, the latest last
+    """
 
     def __init__(self, settings, count, log):
         self.effects = settings.get("effect") or ()
         self.most_attempts = settings.get("max_forwards", 1 << 30)
-        self.count, self.log, self.logged = count, log, 0
-        self.closed_to = {}  # ids of servers that drain or have gone, the latest last
+        self.count = count
+        self.log = log
+        self.logged = 0
+        self.closed_to = {}
 
     def second(self):
-        """Called once a second."""
+        """Start another second, with a new allowance of logged violations; called once a second."""
         self.logged = 0
 
     def listed(self, serves, named, whole):
-        """Ids of servers that a list has as serving, and that it names at all."""
+        """Record an endpoint list: ids of the servers that serve, ids that it names, and whether it is complete."""
         closed = {} if whole else self.closed_to
         for at in serves:
             closed.pop(at, None)
@@ -39,6 +47,7 @@
         self.closed_to = closed
 
     def broken(self, rule, get, **fields):
+        """Count a violation of a rule by a request, and log it with the request's events."""
         self.count(f"invariant_violations {rule}")
         self.logged += 1
         if self.logged <= LOGGED:
@@ -53,7 +62,7 @@
     # What is checked.
 
     def began(self, out, now):
-        """The first byte of an attempt has just left."""
+        """Check an attempt whose first byte was just sent."""
         get = out.get
         get.story.append((now, f"attempt {out.number} sent"))
         attempt = {"attempt": out.number, "server": out.cache}
@@ -76,7 +85,7 @@
             self.broken("repeated_while_it_may_have_run", get, **attempt)
 
     def answered(self, get, status, named, now):
-        """A GET's one answer is about to be written; `named`: no 304, or one of the copy that its client has."""
+        """Check a response that is about to be written; `named`: not a 304, or one with the client's entity tag."""
         get.story.append((now, f"answered {status}"))
         if now - get.until > ANSWER_LATE:
             self.broken("answered_late", get, status=status, late_ms=(now - get.until) // MS)
@@ -84,12 +93,12 @@
             self.broken("not_modified_unnamed", get)
 
     def forgotten(self, get):
-        """Nothing more is kept of a GET."""
+        """Check a request that is no longer tracked."""
         if not get.answered:
             self.broken("never_answered", get)
 
     def closed(self, client, why):
-        """This side closes a client's connection for that reason ("peer": the client ended it)."""
+        """Check a client connection that this side closes for a reason ("peer": the client closed it)."""
         if (
             client.state is ConnectionState.REQUEST_IN_PROGRESS
             and why != "peer"
@@ -99,7 +108,7 @@
             self.broken("closed_over_request", client.get, why=why)
 
     def quiet(self, gets, ids, buffers):
-        """With no GET open nothing is left of those that were."""
+        """Check that without open requests no ids and no buffers are in use."""
         if not gets and (ids or buffers):
             self.count("invariant_violations left_over")
             self.log("invariant_broken", rule="left_over", ids=ids, buffers=buffers)
--- a/sprucegate/front/response_writer.py
+++ b/sprucegate/front/response_writer.py
@@ -1,4 +1,4 @@
-"""Relay: the one answer of each GET, written to its client."""
+"""Writes the one response of each request to its client."""
 
 import asyncio
 
@@ -8,29 +8,35 @@
 
 
 class ResponseWriter:
+    """Writes responses, at once as far as the socket takes them.
+
+    :ivar ending: the front is stopping: each response is the last one on its connection
+    """
+
     def __init__(self, driver):
-        self.driver, self.loop = driver, asyncio.get_running_loop()
-        self.ending = False  # the front stops: each answer is its connection's last
+        self.driver = driver
+        self.loop = asyncio.get_running_loop()
+        self.ending = False
 
     def answer(self, get, status, body=b"", headers=b""):
-        """At most one a GET, whatever is asked of this."""
+        """Write the response of a request; a second one for the same request is ignored."""
         if get.answered:
             return
-        named = status != 304 or bool(get.have) and headers == http.tagged(get.have)
+        named = status != http.NOT_MODIFIED or bool(get.have) and headers == http.tagged(get.have)
         self.driver.invariants.answered(get, status, named, self.driver.clock())
-        get.answered, client = True, get.client
+        get.answered = True
+        client = get.client
         client.get = None
         self.write(client, status, body, headers)
 
-    def refuse(self, client, said):
-        """The plain answer to what is no valid request; nothing more is read after it."""
+    def refuse(self, client, refusal):
+        """Write the plain response to an invalid request; nothing more is read after it."""
         client.last = True
-        self.write(
-            client, said.status, said.text.encode() + b"\n", b"Content-Type: text/plain\r\n" + said.headers
-        )
+        headers = b"Content-Type: text/plain\r\n" + refusal.headers
+        self.write(client, refusal.status, refusal.text.encode() + b"\n", headers)
 
     def write(self, client, status, body=b"", headers=b""):
-        """At once where the socket takes all of it; the rest as it takes more."""
+        """Write a response; what the socket doesn't take at once follows as it takes more."""
         if client.state is ConnectionState.CLOSED:
             return
         client.last = client.last or self.ending
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -451,8 +451,8 @@
         assert [box.heard.get(timeout=5)[1] for _ in range(3)] == [b"a" * 16, b"b" * 16, b"e" * 16]
 
 
-@pytest.mark.parametrize("stage", ["route", "admit"])
-def test_a_stage_that_breaks_still_gives_its_get_one_answer(stage, monkeypatch):
+@pytest.mark.parametrize("owner, stage", [(driver.Router, "start_request"), (driver, "admit")])
+def test_a_stage_that_breaks_still_gives_its_get_one_answer(owner, stage, monkeypatch):
     known = {"offset": 1, "batch": []}
     wanted = configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
     logged = []
@@ -464,7 +464,7 @@
         made = driver.Driver(wanted, BufferPool(4), lambda event, **_: logged.append(event))
         near, far = socket.socketpair()
         near.setblocking(False)
-        monkeypatch.setattr(driver, stage, breaks)
+        monkeypatch.setattr(owner, stage, breaks)
         client = ClientConnection(near, 0)
         client.on_request(0)
         made.request(client, *RequestReader().feed(get_text()), made.clock())
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -10,7 +10,7 @@
 from sprucegate.front.admission import admit
 from sprucegate.front.buffer_pool import BufferPool
 from sprucegate.front.protocol import bus
-from sprucegate.front.protocol.http import HEAD_MOST, RequestReader
+from sprucegate.front.protocol.http import HEAD_MOST_BYTES, RequestReader
 from sprucegate.routing.actions import SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
 from sprucegate.upstream.lines import codec
@@ -30,7 +30,7 @@
         (b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nX-Call-Id: a\r\nX-Call-Id: b\r\n\r\n", 400),
         (b"PUT / HTTP/1.1\r\nContent-Length: 48001\r\n\r\n", 413),
-        (b"GET / HTTP/1.1\r\nA: " + b"a" * HEAD_MOST, 431),
+        (b"GET / HTTP/1.1\r\nA: " + b"a" * HEAD_MOST_BYTES, 431),
     ],
 )
 def test_what_is_no_request_is_refused(text, status):
