--- a/sprucegate/upstream/hosts.py
+++ b/sprucegate/upstream/hosts.py
@@ -1,4 +1,4 @@
-"""A list of servers as it is handed over, and how a server's name becomes its id. Decides nothing."""
+"""The endpoint list that discovery passes to a front, and the id of a server by its name."""
 
 import re
 from typing import NamedTuple
@@ -6,15 +6,20 @@
 
 
 class EndpointList(NamedTuple):
-    """A list, whole or what changed of it, with each entry's name and address."""
+    """An endpoint list.
+
+    :ivar whole: it is complete; otherwise it holds only entries that changed
+    :ivar entries: `routing.events.Endpoint` of each server
+    :ivar names: name and address by id
+    """
 
     whole: bool
     entries: list
-    names: dict  # id -> (name, address)
+    names: dict
 
 
 def endpoint_id(name):
-    """A cache's id from its name: the same at all fronts, and the number in it where it has one."""
+    """Return the id of a server: the hexadecimal number in its name, or a hash of the name; equal at all fronts."""
     if match := re.fullmatch(r"[a-z]+-([0-9a-f]{1,15})", name):
         return int(match[1], 16)
     return crc32(name.encode()) << 32 | crc32(name[::-1].encode())
--- a/sprucegate/upstream/http2/evidence.py
+++ b/sprucegate/upstream/http2/evidence.py
@@ -10,7 +10,17 @@
 
 from sprucegate.routing.events import AttemptOutcome
 
-REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM, HTTP_1_1_REQUIRED = 0x7, 0x8, 0xB, 0xD
+# Error codes, RFC 9113 section 7.
+REFUSED_STREAM = 0x7
+CANCEL = 0x8
+ENHANCE_YOUR_CALM = 0xB
+HTTP_1_1_REQUIRED = 0xD
+
+# Status codes, RFC 9110 section 15 and RFC 6585.
+MISDIRECTED_REQUEST = 421
+TOO_MANY_REQUESTS = 429
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
 
 
 class Written(IntEnum):
@@ -66,12 +76,12 @@
 
 
 def of_reset(code):
-    """A stream that the peer reset with `code`."""
+    """Return what a reset of the stream by the peer with this error code proves."""
     return CODES.get(code, OTHER_RESET)
 
 
 def of_end(written, stream, last):
-    """A connection that has ended; `last` is the lowest last stream of its GOAWAYs, None without one.
+    """Return what the end of a connection proves; `last`: lowest last stream id of its GOAWAYs, None without one.
 
     Only for a connection closed on this side too: bytes that still lie in the front may go out otherwise.
     """
@@ -83,9 +93,9 @@
 
 
 def of_status(status, says_never_ran, only_if_cached):
-    """A row for an answer whose status tells of running, or None where it simply ran."""
-    if status == 421:
+    """Return what the status of a response proves, or None where the request was simply executed."""
+    if status == MISDIRECTED_REQUEST:
         return MISDIRECTED
-    if status in (429, 503):
+    if status in (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE):
         return BUSY_NEVER_RAN if says_never_ran else BUSY
-    return NOT_HELD if status == 504 and only_if_cached else None
+    return NOT_HELD if status == GATEWAY_TIMEOUT and only_if_cached else None
--- a/sprucegate/upstream/lines/__init__.py
+++ b/sprucegate/upstream/lines/__init__.py
@@ -0,0 +1,1 @@
+"""The line protocol to servers: codec, connections and transport."""
--- a/sprucegate/upstream/place.py
+++ b/sprucegate/upstream/place.py
@@ -1,28 +1,39 @@
-"""A server as the front reaches it, and what a transport hands on of an answer. Nothing is decided here."""
+"""The record of an upstream server, and of a response that a transport hands on."""
 
 from typing import NamedTuple
 
 
-class Place:
-    """A cache, parent or origin: by its id, since a new one may take the address of one that has gone.
+class UpstreamServer:
+    """A cache, parent or origin. Known by its id, since a new one may take the address of one that is gone.
 
-    `transport` speaks to it; `held` is whatever that transport keeps of it.
+    :ivar transport: the transport by which it is reached
+    :ivar held: state that this transport keeps for it
+    :ivar gone: it was removed from the list
     """
 
     __slots__ = ("id", "name", "address", "transport", "held", "gone")
 
     def __init__(self, number, name, address, transport):
-        self.id, self.name, self.address, self.transport = number, name, address, transport
-        self.held, self.gone = transport.kept(self), False
+        self.id = number
+        self.name = name
+        self.address = address
+        self.transport = transport
+        self.held = transport.kept(self)
+        self.gone = False
 
 
 class Returned(NamedTuple):
-    """What a server returned, whatever it speaks."""
+    """A response of a server, the same for all protocols.
 
-    still_good: bool  # the client's copy is the one: no bytes
+    :ivar still_good: the client's stored response is still valid (304): no body
+    :ivar tag: the entity tag, without quotes; "" where there is none
+    :ivar made: Unix time at which the origin generated it (ns); 0 where unknown
+    :ivar body: its content
+    :ivar age: its greatest age when it was requested (ns), of a protocol that gives ages; None otherwise
+    """
+
+    still_good: bool
     tag: str
-    made: int  # Unix time at which the origin gave it out, nanoseconds; 0 where it is not told
+    made: int
     body: bytes
-    age: int | None = (
-        None  # when it was asked for, at the most (ns), where a protocol tells ages and no stamps
-    )
+    age: int | None = None
--- a/sprucegate/upstream/progress.py
+++ b/sprucegate/upstream/progress.py
@@ -1,10 +1,15 @@
-"""How far a forward had come, as transports tell it: what proves that it never ran."""
+"""How much of an attempt was sent, as transports record it."""
 
 from enum import IntEnum
 
 
 class Progress(IntEnum):
-    """How far a forward had come: it tells 'never ran' from 'may have run'."""
+    """How much of an attempt was sent: it tells 'never executed' from 'may have been executed'.
+
+    :cvar NOT_SENT: nothing
+    :cvar PARTLY: a part
+    :cvar WHOLE: all of it
+    """
 
     NOT_SENT = 0
     PARTLY = 1
--- a/sprucegate/upstream/sending.py
+++ b/sprucegate/upstream/sending.py
@@ -1,19 +1,26 @@
-"""The guard that each forward passes when its first byte is about to leave, on every transport.
+"""The check that each attempt passes on every transport before its first byte is sent.
 
-What was decided earlier may have waited for a connection, for a stream or behind a peer that reads slowly. Decides
-nothing of where a forward goes; what it refuses has not left this front and is told as such.
+An attempt may have waited for a connection, for a stream or behind a peer that reads slowly. What is refused here has
+not left this front and is reported as not sent.
 """
 
-LOOKED = 1_000_000  # nanoseconds after a decision in which its client is not looked at again
+from sprucegate.units import MILLISECOND
+
+CLIENT_CHECK_VALID_NS = MILLISECOND
 
 
 class Sending:
+    """Checks attempts before they are sent.
+
+    `count(name)` counts a refusal by its reason; `began(attempt, now)` is called after the first byte was sent.
+    """
+
     def __init__(self, count, began=lambda out, now: None):
-        """`count` is told the reason of each refusal, `began` each forward whose first byte has left."""
-        self.count, self.began = count, began
+        self.count = count
+        self.began = began
 
     def left(self, out, now):
-        """Nanoseconds that the client still waits for this forward, or None where it must not be sent any more."""
+        """Return the time left for this attempt (ns), or None where it must not be sent any more."""
         get = out.get
         if out.ended or get.answered:
             self.count("sends_refused over")
@@ -21,8 +28,8 @@
         if (left := out.limit - now) <= 0:
             self.count("sends_refused late")
             return None
-        # One that was decided just now was looked at then.
-        if now - out.at > LOOKED and get.client is not None and get.client.peer_has_closed():
+        # The driver checked the client when it decided this attempt; for a short time that still holds.
+        if now - out.at > CLIENT_CHECK_VALID_NS and get.client is not None and get.client.peer_has_closed():
             self.count("sends_refused client_left")
             return None
         return left
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -8,7 +8,7 @@
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
 from sprucegate.upstream.lines.transport import Lines
-from sprucegate.upstream.place import Place
+from sprucegate.upstream.place import UpstreamServer
 
 
 class Servers:
@@ -31,7 +31,9 @@
             if place is None:
                 if not gone:
                     speaks = self.wanted.transport(name, address, entry.kind) if self.wanted else "lines"
-                    self.places[entry.id] = Place(entry.id, name, (host, int(port)), self.transports[speaks])
+                    self.places[entry.id] = UpstreamServer(
+                        entry.id, name, (host, int(port)), self.transports[speaks]
+                    )
             elif gone:
                 self.remove(place)
             else:
