--- a/sprucegate/front/configuration_checks.py
+++ b/sprucegate/front/configuration_checks.py
@@ -1,7 +1,7 @@
-"""Does a configuration describe one shape of deployment? Which one is in force follows from its settings alone.
+"""Checks that the settings describe one shape of deployment without contradictions.
 
-What may stand together is what the platform sends: a shed reply without a time to come back beside the longest such
-time, a link of no told size (0). Refused is what contradicts itself, as a front would run on one half of it unnoticed.
+Valid combinations are those that the platform sends, such as a rejection without a retry time beside the longest
+retry time, or a link of unknown size (0). A contradiction is refused, as a front would run on one half of it unnoticed.
 """
 
 from math import isfinite
@@ -36,7 +36,7 @@
 
 
 def fault(settings, locations):
-    """(key, text) of the first contradiction, the key as the platform writes it; None where there is none."""
+    """Return (key, text) of the first contradiction, the key as the platform writes it; None without one."""
     for name, words in WORDS.items():
         if settings.get(name, words[0]) not in words:
             return PATHS[name], f"is none of the known words: {str(settings[name])[:40]!r}"
@@ -50,7 +50,7 @@
             return PATHS[name], f"has {len(values)} values for {locations} failureDomains"
     if not 0 <= settings.get("my_location", 0) < locations:
         return PATHS["my_location"], f"is none of the {locations} failureDomains: {settings['my_location']}"
-    # Against a front that waits for loads that never come, or is thought to see them.
+    # A front would wait for loads that never come, or be believed to see them.
     if settings.get("load_by") == "none" and settings.get("load_fields"):
         return PATHS["load_fields"], f"lists fields, but {PATHS['load_by']} says that no loads are reported"
     return None
--- a/sprucegate/front/open_requests.py
+++ b/sprucegate/front/open_requests.py
@@ -1,9 +1,27 @@
-"""Open GETs and their forwards, as the front keeps them. Nothing is decided here."""
+"""Records of open requests and of their attempts."""
 
 from sprucegate.upstream.progress import Progress
 
 
 class OpenAttempt:
+    """One attempt of an open request.
+
+    :ivar get: its request
+    :ivar number: its number within the request, from 0
+    :ivar cache: id of the server that it is sent to
+    :ivar source: id of the server from which that one fills a miss
+    :ivar at: when it was decided (ns)
+    :ivar limit: when it times out (ns)
+    :ivar transport: the transport that sends it
+    :ivar connection: its connection, None before it has one
+    :ivar progress: how much of it was sent
+    :ivar ended: whether its outcome is known
+    :ivar place: its slot of the concurrency quota of fills, where there is one
+    :ivar said: what the transport needs to encode it once it is sent
+    :ivar may_have_run: True until its outcome proves that it was never executed
+    :ivar outcome: its AttemptOutcome, None before its end
+    """
+
     __slots__ = (
         "get",
         "number",
@@ -22,22 +40,44 @@
     )
 
     def __init__(self, get, number, cache, source, at, limit):
-        self.get, self.number, self.cache, self.source, self.at, self.limit = (
-            get,
-            number,
-            cache,
-            source,
-            at,
-            limit,
-        )
-        self.transport, self.connection, self.progress, self.ended = None, None, Progress.NOT_SENT, False
-        self.may_have_run = True  # until it ended in a way that proves it did not
-        self.outcome = None  # how it ended
-        self.said = None  # what a transport needs to word it once it is sent
-        self.place = None  # by which its fill may run, where places are shared out
+        self.get = get
+        self.number = number
+        self.cache = cache
+        self.source = source
+        self.at = at
+        self.limit = limit
+        self.transport = None
+        self.connection = None
+        self.progress = Progress.NOT_SENT
+        self.ended = False
+        self.may_have_run = True
+        self.outcome = None
+        self.said = None
+        self.place = None
 
 
 class OpenRequest:
+    """A request from its admission until nothing more is tracked of it.
+
+    :ivar client: its ClientConnection
+    :ivar id: the client's call id
+    :ivar ds: name of its delivery service
+    :ivar thing: its object's key, hexadecimal
+    :ivar part: number of the object's slice
+    :ivar have: entity tag of the client's stored response; "" where it has none
+    :ivar body: its content
+    :ivar asked: the request as the router's event
+    :ivar handle: the router's handle, None before the router has it
+    :ivar forwards: its attempts by number
+    :ivar left_on: connections on which an attempt was cancelled: a late response there bears the same id
+    :ivar answered: whether its response was given, or its client has gone
+    :ivar tenant: the tenant whose share of the fills' quota it uses
+    :ivar token: the key by which servers recognise a repeat of it; "" where it has none
+    :ivar until: when its client stops waiting (ns)
+    :ivar left_at: when its client was seen to have gone (ns), or None
+    :ivar story: (time, what happened), for the log
+    """
+
     __slots__ = (
         "client",
         "id",
@@ -59,11 +99,20 @@
     )
 
     def __init__(self, client, call_id, ds, thing, part, have, body, asked, token=""):
-        self.client, self.id, self.ds, self.thing, self.part = client, call_id, ds, thing, part
-        self.have, self.body, self.asked = have, body, asked
-        self.handle, self.forwards, self.answered, self.tenant = None, {}, False, 0
-        self.token = token  # by which servers know a repeat of it; "" where it bears none
-        self.until, self.left_at = 0, None  # when its client stops waiting; when it was seen to have gone
-        self.story = []  # (time, what happened), for the log where something is wrong
-        # Connections on which one of its forwards was given up: a late answer there bears the same id.
+        self.client = client
+        self.id = call_id
+        self.ds = ds
+        self.thing = thing
+        self.part = part
+        self.have = have
+        self.body = body
+        self.asked = asked
+        self.handle = None
+        self.forwards = {}
+        self.answered = False
+        self.tenant = 0
+        self.token = token
+        self.until = 0
+        self.left_at = None
+        self.story = []
         self.left_on = []
