--- a/sprucegate/routing/health_record.py
+++ b/sprucegate/routing/health_record.py
@@ -22,7 +22,7 @@
 EJECTION_TIME_MIN_NS = 2 * SECOND
 EJECTION_TIME_MAX_NS = 8 * EJECTION_TIME_MIN_NS
 CROWDED_SLOWNESS = 1.3  # below it a sample shows only its own noise
-CROWD_MIN = 3  # transfers; one or two are slow by another's fault more often than by the link
+CROWD_MIN = 3  # transfers; with fewer, only a slowness above SLOWNESS_RATIO_MAX is laid to the link
 LINK_CAPACITY_QUANTILE = 0.25  # a low one keeps the link's queue short
 ESTIMATE_AGE_MAX_NS = 20 * MILLISECOND
 
