--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -39,10 +39,14 @@
     ask = asked()
     made.slot_limited_sources = {PARENTS[0], PARENTS[1], ORIGIN}
     get = made.start_request(ask, NOW)
-    out = sum(n.out for n in made.nodes.values())
+    out = sum(n.in_flight for n in made.registry.servers.values())
     [said] = get.route(NOW)
-    assert isinstance(said, AwaitSlot) and said.fill_source in made.slot_limited_sources and not get.forwards
-    assert sum(n.out for n in made.nodes.values()) == out and not made.fills and not get.is_settled()
+    assert isinstance(said, AwaitSlot) and said.fill_source in made.slot_limited_sources and not get.attempts
+    assert (
+        sum(n.in_flight for n in made.registry.servers.values()) == out
+        and not made.sources.fills
+        and not get.is_settled()
+    )
     get.slot_source = said.fill_source
     [sent] = get.route(NOW)
     assert sent.fill_source == said.fill_source
