--- a/sprucegate/discovery/list_format.py
+++ b/sprucegate/discovery/list_format.py
@@ -35,9 +35,10 @@
     """What is wrong with one entry; `key` and `text` go into the message for the operator."""
 
     def __init__(self, key: str, text: str) -> None:
-        super().__init__(f"{key}: {text}")
-        self.key = key
-        self.text = text
+        message = f"{key}: {text}"
+        super().__init__(message)
+        # A misspelt name may hold a colon itself: the key ends at the first one.
+        self.key, _, self.text = message.partition(": ")
 
 
 class ServerNode(msgspec.Struct, forbid_unknown_fields=True):
--- a/sprucegate/fleet/consensus/storage.py
+++ b/sprucegate/fleet/consensus/storage.py
@@ -8,9 +8,9 @@
 A log begins with all that follows its snapshot, and is there before it: a crash between the two loses neither.
 """
 
+import os
 import re
 from collections.abc import Callable
-from pathlib import PurePath
 from typing import NamedTuple, TypeVar
 
 import msgspec
@@ -229,4 +229,4 @@
         return self._path(f"agreed-{number:016d}.log")
 
     def _path(self, name: str) -> str:
-        return str(PurePath(self.folder, name))
+        return os.path.join(self.folder, name)  # noqa: PTH118 - a folder such as ./x keeps its spelling in fault texts
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -228,6 +228,7 @@
         ('"127.0.0.1:4002"', '"127.0.0.1"', 3, "address"),
         ('"127.0.0.1:4002"', '"127.0.0.1:99999"', 3, "address"),
         ('    server "s-2"', '    box "s-2"', 3, "box"),
+        ('    server "s-2"', '    "box: b" "s-2"', 3, "box"),
         ('    server "s-2"', '    server "x" "s-2"', 3, "server"),
     ],
 )
