--- a/sprucegate/fleet/consensus/storage.py
+++ b/sprucegate/fleet/consensus/storage.py
@@ -2,8 +2,8 @@
 
     self                        [name, start]: who it is and how often it began
     known                       {voter: [start, incarnation]}: the latest start that others told this one of
-    agreed-NNNN.snap            state/snapshots: index, term, members and the machine's state
-    agreed-NNNN.log             state/log: what came since
+    agreed-NNNN.snap            storage/snapshots: index, term, members and the machine's state
+    agreed-NNNN.log             storage/log: what came since
 
 A log begins with all that follows its snapshot, and is there before it: a crash between the two loses neither.
 """
@@ -34,7 +34,7 @@
 LOG_MAX_BYTES = 64 << 20
 IDENTITY_FILE = "self"
 KNOWN_STARTS_FILE = "known"
-GENERATION_ANY = 1 << 62  # above every generation of a snapshot
+AGE_UNLIMITED = 1 << 62  # ns: no snapshot of a voter is too old
 
 
 class ConsensusStorageError(StorageError):
@@ -128,7 +128,7 @@
         as if it were whole.
         """
         names = self.disk.names(self.folder)
-        taken, refused_snapshots = self.snapshots.newest(now, GENERATION_ANY)
+        taken, refused_snapshots = self.snapshots.newest(now, AGE_UNLIMITED)
         refused = [f"{one.name} {one.why}" for one in refused_snapshots]
         snapshot = None
         if taken is not None:
@@ -162,7 +162,7 @@
             return f"{type(fault).__name__}: {fault}"
         if fault := self.snapshots.save(self.generation, now, _encode(state.snapshot)):
             return str(fault)
-        self.snapshots.logs_before(self.log_name)
+        self.snapshots.remove_logs_before(self.log_name)
         return None
 
     def close(self) -> None:
@@ -216,7 +216,7 @@
     def _is_own(self, name: str) -> bool:
         if name in (IDENTITY_FILE, KNOWN_STARTS_FILE):
             return True
-        return bool(self.log_name.fullmatch(name) or self.snapshots.named.fullmatch(name))
+        return bool(self.log_name.fullmatch(name) or self.snapshots.name_pattern.fullmatch(name))
 
     def _begin_next_log(self) -> None:
         log = AppendLog(self.disk, self._log_path(self.generation + 1), LOG_MAX_BYTES)
--- a/tests/fleet/test_fleet_agreement.py
+++ b/tests/fleet/test_fleet_agreement.py
@@ -254,6 +254,21 @@
     assert kept.entries == [*entries(4, 6, term=2), LogEntry(6, 2, "config", config)]
 
 
+def test_a_new_identity_puts_logs_and_snapshots_aside_and_so_does_the_next_one():
+    disk = FaultyDisk()
+    storage = RaftStorage(disk, "/k")
+    storage.count_start("k0")
+    storage.load(0)
+    config = ClusterConfiguration(("k0",), ())
+    assert written(storage, 1, 1, "k0", 3, entries(3, 5), (2, 1, config, b"state")) is None
+    for name in ("k0^1", "k0^2"):
+        assert any(one.startswith("agreed-") for one in disk.names("/k"))
+        storage.begin_new_identity(name)
+        assert not any(one.startswith("agreed-") for one in disk.names("/k"))
+        assert storage.load(0).entries == [] and storage.count_start("k7")[0] == name
+    assert any(one.startswith("put-back-") and one.endswith(".snap") for one in disk.names("/k"))
+
+
 def test_a_crash_at_any_call_of_the_disk_loses_nothing_that_was_synced():
     config, at = ClusterConfiguration(("k0",), ()), 0
     while True:
