--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -16,7 +16,7 @@
 from benchmarks.http2_closes import soak
 from sprucegate.routing.events import AttemptOutcome
 from sprucegate.upstream.http2.limits import Limits, S
-from sprucegate.upstream.http2.session import Session
+from sprucegate.upstream.http2.session import Http2Session
 from sprucegate.upstream.lines import transport as lines_transport
 from sprucegate.upstream.lines.connection import LineConnection
 from standins.driver import Recorder
@@ -120,7 +120,10 @@
 def memory_a_connection():
     """KB of one idle connection, without its socket."""
     made = {}
-    for name, make in (("lines", lambda: LineConnection(None, 0)), ("http2", lambda: Session(4 << 20, 0))):
+    for name, make in (
+        ("lines", lambda: LineConnection(None, 0)),
+        ("http2", lambda: Http2Session(4 << 20, 0)),
+    ):
         make()
         gc.collect()
         tracemalloc.start()
--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -22,9 +22,9 @@
 
 from benchmarks import exchange
 from sprucegate.fleet.random_source import RandomSource
-from sprucegate.fleet.replica.facts import Fact
+from sprucegate.fleet.replica.facts import ReplicatedRecord
 from sprucegate.fleet.replica.replica import Replica
-from sprucegate.fleet.replica_storage import PIECE, Keeping, packed
+from sprucegate.fleet.replica_storage import RECORDS_PER_PIECE, ReplicaStorage, encode_records
 from sprucegate.storage.disk import Disk
 from standins.fleet import checkers
 from standins.fleet.rig import Rig
@@ -176,15 +176,16 @@
 
 def filled(folder, count, now, later=0):
     """A front's folder with that many purges, as its own snapshot would be."""
-    keeping = Keeping(Disk(), str(folder))
+    keeping = ReplicaStorage(Disk(), str(folder))
     start = keeping.start()
     keeping.open(0)
     # Purges of just now, old ones the front would put by at once; the same at all, or each dot had several contents.
     facts = [
-        Fact(("purge", "object", n), (now - n + later,), ("n0", start << 32, n + 1)) for n in range(count)
+        ReplicatedRecord(("purge", "object", n), (now - n + later,), ("n0", start << 32, n + 1))
+        for n in range(count)
     ]
     assert keeping.begin_snapshot() is None
-    pieces = [packed(facts[at : at + PIECE]) for at in range(0, count, PIECE)]
+    pieces = [encode_records(facts[at : at + RECORDS_PER_PIECE]) for at in range(0, count, RECORDS_PER_PIECE)]
     assert keeping.finish_snapshot([("n0", start << 32, [1, count + 1])], pieces, time.time_ns()) is None
     keeping.close()
     return sum(map(len, pieces))
@@ -271,7 +272,7 @@
 
     made, before = Replica("n1", 1, RandomSource("n1", 1), 0), rss()
     for n in range(count):
-        made.facts.join(Fact(("purge", "object", n), (n + 1,), ("n0", 1 << 32, n + 1)))
+        made.facts.join(ReplicatedRecord(("purge", "object", n), (n + 1,), ("n0", 1 << 32, n + 1)))
     return (rss() - before) / count
 
 
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -48,10 +48,10 @@
         from sprucegate.fleet.service import FleetService
 
         if driver.membership is None:
-            from sprucegate.discovery.merged_endpoints import Merged
+            from sprucegate.discovery.merged_endpoints import MergedEndpoints
             from sprucegate.discovery.merged_view import View
 
-            driver.membership = Merged(driver, View(("bus",), 0, driver.clock()))
+            driver.membership = MergedEndpoints(driver, View(("bus",), 0, driver.clock()))
         driver.fleet = FleetService(
             driver,
             wanted.fleet,
--- a/sprucegate/discovery/merged_endpoints.py
+++ b/sprucegate/discovery/merged_endpoints.py
@@ -6,7 +6,7 @@
 from sprucegate.upstream.hosts import EndpointList
 
 
-class Merged:
+class MergedEndpoints:
     """Passes each change of the view on to `driver.apply`; `view.news` has what other fronts are to know of it."""
 
     def __init__(self, driver, view):
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -12,7 +12,7 @@
 from sprucegate import clock
 from sprucegate.config.source_locations import OperatorFileError
 from sprucegate.discovery import list_reader
-from sprucegate.discovery.merged_endpoints import Merged, endpoint_list_of
+from sprucegate.discovery.merged_endpoints import MergedEndpoints, endpoint_list_of
 from sprucegate.discovery.merged_view import STANDING_WORDS, View
 from sprucegate.discovery.safety_gate import SafetyGate
 from sprucegate.discovery.worker import flat, server_of
@@ -28,7 +28,7 @@
 S = 1_000_000_000
 
 
-class Membership(Merged):
+class Membership(MergedEndpoints):
     """Between the sources and the driver, with a list that is watched."""
 
     def __init__(self, driver, wanted, node, disk=None):
--- a/sprucegate/fleet/consensus/__init__.py
+++ b/sprucegate/fleet/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""One log among a few keepers, that all agree on. No I/O."""
+"""The replicated log (Raft). All but `component`, `driver`, `voter_driver` and `storage` have no I/O."""
--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -10,7 +10,7 @@
 
 
 class ConsensusComponent(FleetComponent):
-    """The agreed log in a front."""
+    """The replicated log in a front: starts its driver and passes events on."""
 
     name, message_types = "agreed", (ConsensusFrame,)
 
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -1,7 +1,7 @@
-"""The agreed log in a process: a keeper's disk and timers, a front's following, and the questions of operators.
+"""The replicated log in a process: its voter (if it is one), a front's log follower, and requests of operators.
 
-A front that has `agreement` in its file follows the log; one that the file names among the keepers votes as well.
-`sprucegate fleet keeper` does nothing else. No GET waits for any of it; the disk is written in one thread.
+A front whose file has `agreement` follows the log; one that the file names among the voters votes as well.
+`sprucegate fleet keeper` only votes. No client request waits for any of it; the disk is written in one thread.
 """
 
 import asyncio
@@ -32,10 +32,10 @@
 from sprucegate.fleet.links.codec import ConsensusFrame
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout import commands
-from sprucegate.fleet.rollout.follower import Words
+from sprucegate.fleet.rollout.follower import FrontReporter
 from sprucegate.fleet.rollout.leader import front_lease
-from sprucegate.fleet.rollout.permits import Step
-from sprucegate.fleet.rollout.rollout import Rollout
+from sprucegate.fleet.rollout.permits import PermitStep
+from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 
 S = 1_000_000_000
 TICK = 0.02  # seconds between two looks at what is due
@@ -45,7 +45,10 @@
 
 
 class ConsensusDriver:
-    """What a process has of the agreed log. `face` is a front's side (see `Face` in service.py), None for a keeper."""
+    """The replicated log in one process.
+
+    `face` is the front's MaintenanceAgent (`fleet/maintenance_agent.py`), None in a process that is only a voter.
+    """
 
     def __init__(self, name, life, node, seed, log, links, face=None, disk=None, **trusted):
         self.name, self.life, self.node, self.log, self.links, self.face = name, life, node, log, links, face
@@ -61,14 +64,14 @@
             if name in node.addresses
             else None
         )
-        self.machine = Rollout()
+        self.machine = RolloutStateMachine()
         chance = RandomSource(f"{name}/follows", seed ^ life)
         self.follower = (
             LogFollower(list(node.addresses), life, chance, time.monotonic_ns(), front_lease())
             if face is not None
             else None
         )
-        self.words, self.fenced, self.stale, self.report_at = Words(name, life), True, False, 0
+        self.words, self.fenced, self.stale, self.report_at = FrontReporter(name, life), True, False, 0
         self.compared, self.speaks = (
             None,
             True,
@@ -84,12 +87,12 @@
         if self.voting is None:
             self.name, self.face.name = name, name
         self.life = self.follower.incarnation = life
-        self.words = Words(self.name, life)
+        self.words = FrontReporter(self.name, life)
 
     def leaves(self):
         """SIGTERM at a front: obeyed with or without a permit; nobody waits for its lease."""
         permit = self.machine.permits.of_box.get(self.name)
-        if permit is None or permit.step not in (Step.DRAINED, Step.OUT):
+        if permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT):
             self.log("left_without_permit")
         self._do(self.follower.propose(["left", self.name, self.life], None, time.monotonic_ns(), PATIENCE))
 
@@ -136,7 +139,7 @@
 
     def _addressed(self, to, message):
         """A front knows keepers by the file's names; whom it means is whoever votes there now."""
-        own = self.voting.keeper.name if self.voting.keeper is not None else ""
+        own = self.voting.raft_node.name if self.voting.raft_node is not None else ""
         return (
             own
             if isinstance(message, FollowRequest | ProposeRequest) and base_name(to) == base_name(own)
@@ -188,7 +191,7 @@
                             self.log("agreed_newer", error=word)
                     self.face.holds(self.machine)
                 case ReplaceState():
-                    machine = Rollout()
+                    machine = RolloutStateMachine()
                     self.stale = not machine.loaded(action.state)
                     self.machine = machine if not self.stale else self.machine
                     self.face.holds(self.machine)
--- a/sprucegate/fleet/consensus/status.py
+++ b/sprucegate/fleet/consensus/status.py
@@ -2,9 +2,9 @@
 
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.consensus.raft_state import Role
-from sprucegate.fleet.rollout.permits import STEP_WORDS, Permit, Step
+from sprucegate.fleet.rollout.permits import STEP_WORDS, MaintenancePermit, PermitStep
 from sprucegate.fleet.rollout.releases import PHASE_WORDS, Release
-from sprucegate.fleet.rollout.rollout import Rollout
+from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 
 PERMITS_MAX = 500  # in one answer
 # The words of operators' answers for a voter's role.
@@ -31,12 +31,12 @@
     }
 
 
-def rollout_status(machine: Rollout) -> dict[str, object]:
+def rollout_status(machine: RolloutStateMachine) -> dict[str, object]:
     """Return what is told of permits and releases."""
     permits = machine.permits
     out = permits.out()
     waits = machine.waits()
-    open_permits = [permit for permit in permits.permits.values() if permit.step <= Step.COLD]
+    open_permits = [permit for permit in permits.permits.values() if permit.step <= PermitStep.COLD]
     return {
         "fronts": sorted(permits.fronts),
         "out": out,
@@ -51,7 +51,7 @@
     }
 
 
-def _permit_status(permit: Permit, wait: object) -> dict[str, object]:
+def _permit_status(permit: MaintenancePermit, wait: object) -> dict[str, object]:
     return {
         "id": permit.id,
         "box": permit.box,
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -12,7 +12,7 @@
 from sprucegate.fleet.failure_detector import messages as membership
 from sprucegate.fleet.failure_detector.member import Member
 from sprucegate.fleet.replica import replica
-from sprucegate.fleet.replica.facts import Fact, State
+from sprucegate.fleet.replica.facts import ReplicatedRecord, SourceState
 from sprucegate.routing.events import BeliefGossip, EjectionGossip
 from sprucegate.storage import records
 
@@ -43,15 +43,15 @@
     3: membership.PingRequest,
     4: membership.Nack,
     5: membership.FullState,
-    6: replica.Tell,
-    7: replica.Done,
-    8: replica.Held,
-    9: replica.Have,
-    10: replica.Mark,
-    11: replica.Ranges,
-    12: replica.Keys,
-    13: replica.Repair,
-    14: replica.Evidence,
+    6: replica.SpreadRecords,
+    7: replica.TransferEnd,
+    8: replica.DigestAnnouncement,
+    9: replica.SeenReport,
+    10: replica.CatchUpMark,
+    11: replica.RangeDigests,
+    12: replica.RangeKeys,
+    13: replica.RepairRecords,
+    14: replica.EvidenceMessage,
     15: ConsensusFrame,
     16: membership.ConnectionRefused,
     17: ComponentMessage,
@@ -64,15 +64,15 @@
     membership.PingRequest: "pingfor",
     membership.Nack: "nack",
     membership.FullState: "all",
-    replica.Tell: "tell",
-    replica.Done: "done",
-    replica.Held: "held",
-    replica.Have: "have",
-    replica.Mark: "mark",
-    replica.Ranges: "ranges",
-    replica.Keys: "keys",
-    replica.Repair: "repair",
-    replica.Evidence: "evidence",
+    replica.SpreadRecords: "tell",
+    replica.TransferEnd: "done",
+    replica.DigestAnnouncement: "held",
+    replica.SeenReport: "have",
+    replica.CatchUpMark: "mark",
+    replica.RangeDigests: "ranges",
+    replica.RangeKeys: "keys",
+    replica.RepairRecords: "repair",
+    replica.EvidenceMessage: "evidence",
     ConsensusFrame: "routed",
     membership.ConnectionRefused: "refused",
     ComponentMessage: "word",
@@ -110,15 +110,15 @@
     membership.PingRequest: tuple[int, str, list[Member]],
     membership.Nack: tuple[int],
     membership.FullState: tuple[list[Member], bool],
-    replica.Tell: tuple[list[Fact], int, int],
-    replica.Done: tuple[int, int, _Lives],
-    replica.Held: tuple[int],
-    replica.Have: tuple[_Lives, int, tuple[int, int], int],
-    replica.Mark: tuple[int, _Lives, bool],
-    replica.Ranges: tuple[list[int]],
-    replica.Keys: tuple[list[int], list[tuple[_Key, _Dot, int]], bool],
-    replica.Repair: tuple[list[Fact]],
-    replica.Evidence: tuple[int, list[BeliefGossip], list[EjectionGossip]],
+    replica.SpreadRecords: tuple[list[ReplicatedRecord], int, int],
+    replica.TransferEnd: tuple[int, int, _Lives],
+    replica.DigestAnnouncement: tuple[int],
+    replica.SeenReport: tuple[_Lives, int, tuple[int, int], int],
+    replica.CatchUpMark: tuple[int, _Lives, bool],
+    replica.RangeDigests: tuple[list[int]],
+    replica.RangeKeys: tuple[list[int], list[tuple[_Key, _Dot, int]], bool],
+    replica.RepairRecords: tuple[list[ReplicatedRecord]],
+    replica.EvidenceMessage: tuple[int, list[BeliefGossip], list[EjectionGossip]],
     ConsensusFrame: tuple[str, str, int, bytes],
     membership.ConnectionRefused: tuple[str, int],
     ComponentMessage: tuple[str, bytes],
@@ -128,8 +128,12 @@
 _decoders = {kind: msgspec.msgpack.Decoder(shape).decode for kind, shape in SHAPES.items()}
 _greeting = msgspec.msgpack.Decoder(Greeting).decode
 _question = msgspec.msgpack.Decoder(Question).decode
-KEYS = {replica.PURGE: (str, int), replica.WORD: (int, int, str, str), replica.HELD: (str,)}
-VALUES = {replica.PURGE: 1, replica.WORD: 3, replica.HELD: 1}
+KEYS = {
+    replica.INVALIDATION: (str, int),
+    replica.SERVER_STATE: (int, int, str, str),
+    replica.HELD_LIST: (str,),
+}
+VALUES = {replica.INVALIDATION: 1, replica.SERVER_STATE: 3, replica.HELD_LIST: 1}
 
 
 def frame(message):
@@ -153,11 +157,11 @@
         made = KINDS[number](*_decoders[KINDS[number]](raw))
     except msgspec.MsgspecError as fault:
         raise FrameError(f"a message that can't be read: {fault}") from None
-    if isinstance(made, replica.Tell | replica.Repair):
+    if isinstance(made, replica.SpreadRecords | replica.RepairRecords):
         for fact in made.facts:
             _checked(fact)
-    if isinstance(made, replica.Done | replica.Have | replica.Mark):
-        for _, _, ends in made.claims if isinstance(made, replica.Done) else made.lives:
+    if isinstance(made, replica.TransferEnd | replica.SeenReport | replica.CatchUpMark):
+        for _, _, ends in made.claims if isinstance(made, replica.TransferEnd) else made.lives:
             if len(ends) % 2 or any(a >= b for a, b in zip(ends, ends[1:], strict=False)):
                 raise FrameError("counters that are no intervals")
     return made
@@ -189,8 +193,8 @@
         or not all(type(part) is int for part in fact.value)
         or [type(part) for part in fact.dot] != [str, int, int]
         or fact.dot[2] < 1
-        or kind == replica.WORD
-        and fact.value[2] not in list(State)
+        or kind == replica.SERVER_STATE
+        and fact.value[2] not in list(SourceState)
     ):
         raise FrameError(f"a fact of no known kind: {str(fact.key)[:80]}")
 
--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -28,7 +28,7 @@
 SHORT = 1.0  # seconds until such a one is closed
 
 
-class Connection:
+class PeerConnection:
     def __init__(self, links, sock, address=""):
         self.links, self.sock, self.address = links, sock, address
         self.name, self.out, self.wake, self.used, self.bytes = (
@@ -102,7 +102,7 @@
         if connection is None:
             if not address or not self._room():
                 return
-            connection = self.dialled[address] = Connection(self, None, address)
+            connection = self.dialled[address] = PeerConnection(self, None, address)
             connection.task = self.loop.create_task(self._dial(connection))
         kind = codec.STATUS_WORDS[type(message)]
         self.sent[kind] = self.sent.get(kind, 0) + 1
@@ -160,7 +160,7 @@
                 self._turned_away(sock)
                 continue
             sock.setblocking(False)
-            connection = Connection(self, sock)
+            connection = PeerConnection(self, sock)
             self.taken.add(connection)
             connection.task = self.loop.create_task(self._serve(connection, taken=True))
 
--- a/sprucegate/fleet/links/send_queue.py
+++ b/sprucegate/fleet/links/send_queue.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict, deque
 
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.replica.replica import CHUNK, Evidence, Tell
+from sprucegate.fleet.replica.replica import CHUNK, EvidenceMessage, SpreadRecords
 
 CONTROL_BYTES_MAX = 512 << 10
 TRANSFER_BYTES_MAX = 4 << 20
@@ -35,9 +35,9 @@
 
     def put(self, message, is_transfer):
         """Queue a message; `is_transfer`: it carries records, and may be left out where too many wait."""
-        if isinstance(message, Tell) and not message.transfer:
+        if isinstance(message, SpreadRecords) and not message.transfer:
             self._put_records(message.facts)
-        elif isinstance(message, Evidence):
+        elif isinstance(message, EvidenceMessage):
             self._gossip = message
         elif is_transfer:
             self._put_transfer(codec.frame(message))
@@ -85,7 +85,7 @@
         if self.records:
             count = min(CHUNK, len(self.records))
             chosen = [self.records.popitem(last=False)[1] for _ in range(count)]
-            return codec.frame(Tell(chosen, 0, 0))
+            return codec.frame(SpreadRecords(chosen, 0, 0))
         if self._transfers:
             data = self._transfers.popleft()
             self.transfer_bytes -= len(data)
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -4,8 +4,8 @@
 
 from sprucegate.fleet.membership_view.degraded_mode import PeerAction, allows
 from sprucegate.fleet.membership_view.health_state import HEALTH_STATE_OF_MEMBER
-from sprucegate.fleet.rollout.gates import Limits
-from sprucegate.fleet.rollout.permits import Box, Step
+from sprucegate.fleet.rollout.gates import GateLimits
+from sprucegate.fleet.rollout.permits import ManagedServer, PermitStep
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 
 SOURCE = "permit"  # whose word a drain by permit is, in the view
@@ -20,7 +20,7 @@
     addresses: dict
     state: str
     limits: object
-    gate: Limits = Limits()
+    gate: GateLimits = GateLimits()
 
 
 class MaintenanceAgent:
@@ -62,7 +62,7 @@
 
     def boxes(self):
         found = {
-            name: Box(
+            name: ManagedServer(
                 name,
                 "cache",
                 self.places.get(row.server.entry.location, ""),
@@ -74,7 +74,7 @@
         }
         for name, member in self.members().items():
             if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.state]):
-                found[name] = Box(name, "front", "", "front", "", 1)
+                found[name] = ManagedServer(name, "front", "", "front", "", 1)
         return found
 
     def _weight(self, at):
@@ -110,7 +110,7 @@
                 self.placed[box] = which
                 self.merged.word(*which, SOURCE, True, now)
         for permit in machine.permits.of_box.values():
-            if permit.step is Step.COLD and self.cold.get(permit.box, ("",))[0] != permit.start:
+            if permit.step is PermitStep.COLD and self.cold.get(permit.box, ("",))[0] != permit.start:
                 self.cold[permit.box] = permit.start, now, self.counts.get(permit.box, [0])[0]
                 place = self._place(permit.box, rows)
                 if place is not None:
--- a/sprucegate/fleet/membership_view/degraded_mode.py
+++ b/sprucegate/fleet/membership_view/degraded_mode.py
@@ -12,7 +12,11 @@
 
 
 class PeerAction(Enum):
-    """What this front may do with regard to another front."""
+    """What this front may do with regard to another front.
+
+    AWAITED, LEND, HOLDS and COUNTED state what the replicated log and the quotas do by their own leases; no code
+    asks for them here.
+    """
 
     TELL = auto()  # send it invalidations, drains and removals at once
     BELIEVE = auto()  # take its gossip on caches and ejections
@@ -21,7 +25,7 @@
     LEND = auto()  # grant it slots anew
     HOLDS = auto()  # count the slots granted to it as in use until their lease ends
     COUNTED = auto()  # reserve its minimum of slots
-    LENDS = auto()  # accept it as lease holder of a source's slots
+    LEASE_HOLDER = auto()  # accept it as lease holder of a source's slots
 
 
 # The safer choice is: to send (a superfluous invalidation is harmless); not to believe, list, or grant; to wait (the
@@ -35,12 +39,12 @@
     PeerAction.LEND: {LIVE, CUT_OFF},
     PeerAction.HOLDS: set(HealthState),
     PeerAction.COUNTED: set(HealthState),
-    PeerAction.LENDS: {LIVE, SUSPECT},
+    PeerAction.LEASE_HOLDER: {LIVE, SUSPECT},
 }
 
 
 class OwnAction(Enum):
-    """What this front may do by its own state."""
+    """What this front may do by its own state; TELL is stated for completeness, no code asks for it."""
 
     TELL = auto()  # send the invalidations and drains that it receives
     BELIEVE = auto()  # take other fronts' gossip
--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -13,7 +13,7 @@
 from sprucegate.fleet.membership_view.tracker import ViewTracker
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import replica
-from sprucegate.fleet.replica.replica import Live, Phase, Replica
+from sprucegate.fleet.replica.replica import CatchUpPhase, CaughtUp, Replica
 
 MEMBERSHIP_MESSAGES = (
     messages.Ping,
@@ -38,7 +38,7 @@
 
     def starts(self, now):
         """From here on others are looked for, and asked once one is there."""
-        self.replica.phase, self.replica.ask_until = Phase.ASKING, now + self.replica.alone_after
+        self.replica.phase, self.replica.ask_until = CatchUpPhase.ASKING, now + self.replica.alone_after
         self.replica.moved = now
         self.replica.unmet = bool(self.members.unmet_seeds())
         return self.due(now)
@@ -67,7 +67,9 @@
             self.members.set_digest(self.replica.digest())
             done = self._followed(self.members.on_timer(now), now)
         if self.replica.next_due() <= now:
-            self.replica.unmet = self.replica.phase is Phase.ASKING and bool(self.members.unmet_seeds())
+            self.replica.unmet = self.replica.phase is CatchUpPhase.ASKING and bool(
+                self.members.unmet_seeds()
+            )
             done += self.replica.due(now)
         return self._lives(done, now) + self.views.on_timer(now)
 
@@ -88,7 +90,7 @@
         return self.members.leave()
 
     def _lives(self, actions, now):
-        if any(isinstance(action, Live) for action in actions):
+        if any(isinstance(action, CaughtUp) for action in actions):
             self.views.on_caught_up(now)
         return actions
 
@@ -115,7 +117,7 @@
                     self.replica.gone.pop(before.name, None)
                 if there != (action.member.name in self.replica.peers):
                     done += self.replica.stands(action.member.name, there, now)
-                    first = self.replica.phase is Phase.ASKING and not self.replica.meet_at
+                    first = self.replica.phase is CatchUpPhase.ASKING and not self.replica.meet_at
                     done += self.replica.asks(now) if there and first else []
             elif isinstance(action, membership_actions.DeclaredDead):
                 done += self.replica.fenced(now)
@@ -126,6 +128,6 @@
     """(name, address, message, whether it is facts) of a Send of either module; None of any other action."""
     if isinstance(action, membership_actions.Send):
         return action.to, action.address, action.message, False
-    if isinstance(action, replica.Send):
+    if isinstance(action, replica.SendMessage):
         return action.to, "", action.message, action.guard
     return None
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -125,7 +125,9 @@
         """Tell the coordinator who may lend, and whether this front may borrow or use its floors."""
         own = self.fleet.peer.members.own
         candidates = [
-            (name, row.incarnation) for name, row in view.rows.items() if view.allows(PeerAction.LENDS, name)
+            (name, row.incarnation)
+            for name, row in view.rows.items()
+            if view.allows(PeerAction.LEASE_HOLDER, name)
         ]
         if view.allows_own(OwnAction.LEND):
             candidates.append((own.name, own.incarnation))
--- a/sprucegate/fleet/replica/facts.py
+++ b/sprucegate/fleet/replica/facts.py
@@ -23,22 +23,22 @@
 from sprucegate.fleet.replica.version_vector import VersionVector
 
 BUCKETS = 256  # ranges of keys that are compared by digest
-FACTS_MOST = 250_000  # a snapshot of as many stays within its bound in bytes
+RECORDS_MAX = 250_000  # a snapshot of as many stays within its bound in bytes
 
 
-class State(IntEnum):
+class SourceState(IntEnum):
     DRAINING = 0
     GONE = 1
     LIFTED = 2
 
 
-class Fact(NamedTuple):
+class ReplicatedRecord(NamedTuple):
     key: tuple
     value: tuple
     dot: tuple
 
 
-class Joined(Enum):
+class JoinResult(Enum):
     NEW = auto()  # it holds from here on
     OLD = auto()  # seen before, or what is held stands against it
     OTHER = auto()  # another content under a dot that was seen: a twin of its owner, or a disk put back
@@ -56,10 +56,10 @@
     return xxhash.xxh64_intdigest(_packed(fact))
 
 
-class Facts:
+class RecordStore:
     """Facts, what was seen, and digests of ranges of keys, kept in step."""
 
-    def __init__(self, most=FACTS_MOST):
+    def __init__(self, most=RECORDS_MAX):
         self.most, self.held, self.seen = most, {}, VersionVector()
         self.kinds = {}  # how many are held, by kind
         self.counters, self.at = {}, {}  # (owner, life) -> counters, sorted; -> {counter: key}
@@ -77,17 +77,17 @@
         if self.seen.contains(fact.dot):
             there = self.at.get(fact.dot[:2], {}).get(fact.dot[2])
             if there is None or there == fact.key and mine.value == fact.value:
-                return Joined.OLD, mine  # let go, replaced, or the same once more
-            return Joined.OTHER, mine
+                return JoinResult.OLD, mine  # let go, replaced, or the same once more
+            return JoinResult.OTHER, mine
         if mine is None and len(self.held) >= self.most:
-            return Joined.FULL, None  # not seen either: it may come again once there is room
+            return JoinResult.FULL, None  # not seen either: it may come again once there is room
         self.seen.add(fact.dot)
         if mine is not None and (mine.value, mine.dot) >= (fact.value, fact.dot):
-            return Joined.OLD, mine
+            return JoinResult.OLD, mine
         if mine is not None:
             self._out(mine)
         self.put(fact)
-        return Joined.NEW, mine
+        return JoinResult.NEW, mine
 
     def let_go(self, key):
         """The fact is forgotten, its dot stays seen: it never comes back under it."""
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -14,7 +14,14 @@
 import msgspec
 import xxhash
 
-from sprucegate.fleet.replica.facts import BUCKETS, FACTS_MOST, Fact, Facts, Joined, State
+from sprucegate.fleet.replica.facts import (
+    BUCKETS,
+    RECORDS_MAX,
+    JoinResult,
+    RecordStore,
+    ReplicatedRecord,
+    SourceState,
+)
 from sprucegate.fleet.replica.version_vector import VersionVector
 
 MS, S = 1_000_000, 1_000_000_000
@@ -36,10 +43,10 @@
 LET_GO_EVERY = 2 * S
 RANGES_AGAIN = 500 * MS
 KEYS_MOST = 1500  # facts whose keys are compared in one go: one turn of the loop on either side
-PURGE, WORD, HELD = "purge", "word", "held"
+INVALIDATION, SERVER_STATE, HELD_LIST = "purge", "word", "held"
 
 
-class Tell(NamedTuple):
+class SpreadRecords(NamedTuple):
     """New facts that spread (`transfer` 0), or the piece `at` of what one peer lacks."""
 
     facts: list
@@ -47,7 +54,7 @@
     at: int
 
 
-class Done(NamedTuple):
+class TransferEnd(NamedTuple):
     """The end of a transfer: once all its pieces are there, `claims` (lives, as of `VersionVector`) has been seen.
 
     Not before: what replaced one of them, and so is not among its facts, may stand in any piece.
@@ -58,11 +65,11 @@
     claims: list
 
 
-class Held(NamedTuple):
+class DigestAnnouncement(NamedTuple):
     digest: int
 
 
-class Have(NamedTuple):
+class SeenReport(NamedTuple):
     """What the sender has seen, on its disk; with `number` it asks for a share of the rest, `part` (which of how
     many)."""
 
@@ -72,7 +79,7 @@
     number: int
 
 
-class Evidence(NamedTuple):
+class EvidenceMessage(NamedTuple):
     """What one front has seen of caches and parents, told at `at` (Unix ns): worth less as it ages, never kept."""
 
     at: int
@@ -80,7 +87,7 @@
     resting: list
 
 
-class Mark(NamedTuple):
+class CatchUpMark(NamedTuple):
     """What the answering front had seen when it was asked: who asked is as new as that once it has seen it all.
 
     `live`: it has itself caught up with others, or went on alone.
@@ -91,11 +98,11 @@
     live: bool
 
 
-class Ranges(NamedTuple):
+class RangeDigests(NamedTuple):
     digests: list
 
 
-class Keys(NamedTuple):
+class RangeKeys(NamedTuple):
     """The sender's facts of some ranges, by key, dot and digest."""
 
     ranges: list
@@ -103,72 +110,72 @@
     answer: bool
 
 
-class Repair(NamedTuple):
+class RepairRecords(NamedTuple):
     """Facts that differ under one key between fronts that have seen the same."""
 
     facts: list
 
 
-class Send(NamedTuple):
+class SendMessage(NamedTuple):
     to: str
     message: tuple
     guard: bool = False  # facts: bounded apart from what the protocol itself says
 
 
-class Write(NamedTuple):
+class PersistRecords(NamedTuple):
     """To be kept and synced; then `synced(number)` is called, or `not_kept` with the fault."""
 
     number: int
     record: tuple  # (facts, claims, keys let go)
 
 
-class Act(NamedTuple):
+class RecordInForce(NamedTuple):
     """A fact that others told and that holds from here on."""
 
-    fact: Fact
+    fact: ReplicatedRecord
 
 
-class LetGo(NamedTuple):
+class RecordDiscarded(NamedTuple):
     """A fact that is held no more: of no use any longer, or lifted and let go elsewhere."""
 
-    fact: Fact
+    fact: ReplicatedRecord
 
 
-class Live(NamedTuple):
+class CaughtUp(NamedTuple):
     """As new as the peers asked were ("caught-up"), or "alone"; what it took."""
 
     how: str
     asked: list
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """An event for the log."""
 
     event: str
     said: dict
 
 
-class Doubted(NamedTuple):
+class VersionConflict(NamedTuple):
     """A dot of this front's own life has another content elsewhere: it has to be another life."""
 
     by: str
 
 
-class Plan:
+class TransferPlan:
     """What one peer is to get, and what it may then take as seen."""
 
     def __init__(self, number, spans, claims):
         self.number, self.spans, self.claims, self.pieces = number, spans, claims, 0
 
 
-class Transfer:
+class IncomingTransfer:
     """What comes from one peer: the pieces that are there, and its end where that came first."""
 
     def __init__(self, number):
         self.number, self.pieces, self.done = number, set(), None
 
 
-class Phase(Enum):
+class CatchUpPhase(Enum):
     IDLE = auto()
     ASKING = auto()
     TOGETHER = auto()
@@ -189,14 +196,14 @@
         purge_life=60 * S,
         word_life=86_400 * S,
         alone_after=5 * S,
-        most=FACTS_MOST,
+        most=RECORDS_MAX,
     ):
         """`rate`: bytes a second for all that catch up from here; lives: ns after which a purge, and the word of a
         server that is gone, may be let go."""
         self.name, self.life, self.chance = name, life, chance
         self.rate, self.alone_after = rate, alone_after
-        self.lives = {PURGE: purge_life, WORD: word_life}
-        self.facts, self.counter, self.phase = Facts(most), 0, Phase.IDLE
+        self.lives = {INVALIDATION: purge_life, SERVER_STATE: word_life}
+        self.facts, self.counter, self.phase = RecordStore(most), 0, CatchUpPhase.IDLE
         self.ageing, self.order, self.transfers = (
             [],
             count(),
@@ -248,7 +255,7 @@
                 else CHUNK * FACT_BYTES * S // self.rate
             )
             due = min(due, self.tokens_at + wait)
-        return min(due, self.ask_at) if self.phase is Phase.ASKING else due
+        return min(due, self.ask_at) if self.phase is CatchUpPhase.ASKING else due
 
     def to(self, now):
         """Whom new facts go to: those chosen and those that chose this front."""
@@ -273,40 +280,40 @@
 
     def told(self, key, value, now):
         """A fact of this front's own. Nothing is made of what is known already."""
-        if key[0] == WORD:
+        if key[0] == SERVER_STATE:
             state = value[0]
             mine = self.facts.held.get(key)
-            if mine is not None and mine.value[2] == state or mine is None and state == State.LIFTED:
-                return self._orphans(key, now) if state == State.LIFTED else []
+            if mine is not None and mine.value[2] == state or mine is None and state == SourceState.LIFTED:
+                return self._orphans(key, now) if state == SourceState.LIFTED else []
             value = self.life, self.counter + 1, state
         elif (mine := self.facts.held.get(key)) is not None and mine.value >= value:
             return []
         done = self._own(key, value, now)
-        if key[0] == WORD and value[2] == State.LIFTED:
+        if key[0] == SERVER_STATE and value[2] == SourceState.LIFTED:
             done += self._orphans(key, now)
         return done + self._saved() + self._unkept(now)
 
     def heard(self, sender, message, now):
         match message:
-            case Tell():
+            case SpreadRecords():
                 return _together(self._tell(sender, message, now))
-            case Done():
+            case TransferEnd():
                 return self._done(sender, message, now)
-            case Held():
+            case DigestAnnouncement():
                 self.callers[sender] = now
                 return self.compared(sender, message.digest, now)
-            case Have():
+            case SeenReport():
                 return self._have(sender, message, now)
-            case Mark():
-                if message.number == self.ask_number and self.phase is Phase.ASKING:
+            case CatchUpMark():
+                if message.number == self.ask_number and self.phase is CatchUpPhase.ASKING:
                     self.marks[sender], self.moved = VersionVector(message.lives), now
                     self.waiting_too[sender] = not message.live
                 return self._caught_up(now)
-            case Ranges():
+            case RangeDigests():
                 return self._ranges(sender, message)
-            case Keys():
+            case RangeKeys():
                 return self._keys(sender, message, now)
-            case Repair():
+            case RepairRecords():
                 done = [a for fact in message.facts for a in self._joined(sender, fact, now, repair=True)]
                 return _together(done + self._saved())
         return []
@@ -316,7 +323,7 @@
         if there and name not in self.peers and name != self.name:
             self.peers[name] = self.gone.pop(name, None) or VersionVector()
             self._choose(now)
-            if self.phase is Phase.ALONE:
+            if self.phase is CatchUpPhase.ALONE:
                 return self.asks(now)
         elif not there and name in self.peers:
             self.gone[name] = self.peers.pop(name)
@@ -331,7 +338,8 @@
     def fenced(self, now):
         """The others went on without this front: what they let go is learnt before anything is told."""
         return [
-            Send(peer, self._have_message()) for peer in self.chance.pick("fenced", sorted(self.peers), ASKED)
+            SendMessage(peer, self._have_message())
+            for peer in self.chance.pick("fenced", sorted(self.peers), ASKED)
         ]
 
     def renewed(self, name, life):
@@ -355,7 +363,7 @@
             False,
         )
         self.waiting = released + self.waiting
-        note = [Note("fleet_not_kept", {"error": fault})] if was else []
+        note = [LogEvent("fleet_not_kept", {"error": fault})] if was else []
         return note + self._unkept(now) + self._caught_up(now)
 
     def _unkept(self, now):
@@ -373,19 +381,19 @@
             done
             + self._unkept(now)
             + self._feed(now)
-            + (self._asking(now) if self.phase is Phase.ASKING else [])
+            + (self._asking(now) if self.phase is CatchUpPhase.ASKING else [])
         )
 
     # Own facts and the disk.
 
     def _own(self, key, value, now):
         self.counter += 1
-        fact = Fact(key, value, (self.name, self.life, self.counter))
+        fact = ReplicatedRecord(key, value, (self.name, self.life, self.counter))
         joined, _ = self.facts.join(fact)
-        if joined is Joined.FULL:
+        if joined is JoinResult.FULL:
             self.counter -= 1
             return self._no_room(fact)
-        if joined is Joined.NEW:
+        if joined is JoinResult.NEW:
             self._keep(fact, now)
             self.waiting.append(fact)
         return []
@@ -394,8 +402,8 @@
         """This front heard its source lift it: so falls the word of one who heard the same and is there no more."""
         for owner in sorted(self.gone):
             theirs = self.facts.held.get((*key[:4], owner))
-            if theirs is not None and theirs.value[2] != State.LIFTED:
-                self._own(theirs.key, (*theirs.value[:2], int(State.LIFTED)), now)
+            if theirs is not None and theirs.value[2] != SourceState.LIFTED:
+                self._own(theirs.key, (*theirs.value[:2], int(SourceState.LIFTED)), now)
         return self._saved()
 
     def _keep(self, fact, now):
@@ -418,7 +426,7 @@
         self.number += 1
         record, self.unsaved = self.unsaved, ([], [], [])
         self.writing, self.waiting = (self.number, self.facts.seen.copy(), self.waiting), []
-        return [Write(self.number, record)]
+        return [PersistRecords(self.number, record)]
 
     def captured(self):
         """(facts, what was seen) for a snapshot; where the disk failed, what comes from here on follows it."""
@@ -434,15 +442,17 @@
 
     def _no_room(self, fact):
         first, self.full = not self.full, True
-        return [Note("fleet_full", {"facts": len(self.facts.held), "key": list(fact.key)})] if first else []
+        return (
+            [LogEvent("fleet_full", {"facts": len(self.facts.held), "key": list(fact.key)})] if first else []
+        )
 
     # Spread.
 
     def _spread(self, facts, sender, now):
         if not facts:
             return []
-        message = Tell(facts, 0, 0)
-        return [Send(peer, message, True) for peer in self.to(now) if peer != sender]
+        message = SpreadRecords(facts, 0, 0)
+        return [SendMessage(peer, message, True) for peer in self.to(now) if peer != sender]
 
     def _tell(self, sender, message, now):
         done = [a for fact in message.facts for a in self._joined(sender, fact, now)]
@@ -451,7 +461,7 @@
             coming.pieces.add(message.at)
             return done + self._whole(sender, coming) + self._saved()  # who else lacks it asks as well
         # What a full table has no room for is obeyed and not passed on: it would go round for ever.
-        new = [a.fact for a in done if isinstance(a, Act) and a.fact.key in self.facts.held]
+        new = [a.fact for a in done if isinstance(a, RecordInForce) and a.fact.key in self.facts.held]
         return done + self._spread(new, sender, now) + self._saved()
 
     def _done(self, sender, message, now):
@@ -463,7 +473,7 @@
     def _coming(self, sender, number, now):
         self.moved = self.repaired_at = now
         if sender not in self.coming or self.coming[sender].number != number:
-            self.coming[sender] = Transfer(number)
+            self.coming[sender] = IncomingTransfer(number)
         return self.coming[sender]
 
     def _whole(self, sender, coming):
@@ -480,12 +490,12 @@
     def _joined(self, sender, fact, now, repair=False):
         mine = self.facts.held.get(fact.key)
         joined, _ = self.facts.join(fact)
-        if joined is Joined.NEW:
+        if joined is JoinResult.NEW:
             self._keep(fact, now)
-            return [Act(fact)]
-        if joined is Joined.FULL:
-            return [*self._no_room(fact), Act(fact)]
-        if joined is Joined.OLD:
+            return [RecordInForce(fact)]
+        if joined is JoinResult.FULL:
+            return [*self._no_room(fact), RecordInForce(fact)]
+        if joined is JoinResult.OLD:
             if mine is None or fact.dot != mine.dot:
                 self.unsaved[1].append((*fact.dot[:2], fact.dot[2], fact.dot[2] + 1))
                 self.changes += 1
@@ -495,22 +505,22 @@
 
     def _twice(self, sender, fact, now):
         """One dot, two contents. Neither may be lost, others have seen the dot: both go on under dots of this front."""
-        done = [Note("fleet_dot_twice", {"dot": list(fact.dot), "key": list(fact.key), "by": sender})]
+        done = [LogEvent("fleet_dot_twice", {"dot": list(fact.dot), "key": list(fact.key), "by": sender})]
         mine, there = self.facts.held.get(fact.key), self.facts.at.get(fact.dot[:2], {}).get(fact.dot[2])
         if there is not None and (there != fact.key or mine.value > fact.value):
             if fact.dot[0] not in (self.name, sender) and fact.dot[0] in self.peers:
-                done.append(Send(fact.dot[0], Repair([self.facts.held[there], fact]), True))
+                done.append(SendMessage(fact.dot[0], RepairRecords([self.facts.held[there], fact]), True))
             self._out_under_own(self.facts.held[there], now)
         if mine is None or mine.value < fact.value:
-            done += [*self._own(fact.key, fact.value, now), Act(fact)]
+            done += [*self._own(fact.key, fact.value, now), RecordInForce(fact)]
         if fact.dot[:2] == (self.name, self.life):
-            done.append(Doubted(sender))
+            done.append(VersionConflict(sender))
         return done + self._saved()
 
     def _out_under_own(self, fact, now):
         """The same fact under a dot of this front's own, which no one has seen yet."""
         self.counter += 1
-        fresh = Fact(fact.key, fact.value, (self.name, self.life, self.counter))
+        fresh = ReplicatedRecord(fact.key, fact.value, (self.name, self.life, self.counter))
         self.facts.let_go(fact.key)
         self.facts.join(fresh)
         self._keep(fresh, now)
@@ -521,11 +531,11 @@
     def _have_message(self, part=(0, 1), number=0):
         # To ask for the rest, what is here: by what is on disk all that is being written would be sent once more.
         seen = self.facts.seen if number else self.on_disk
-        return Have(seen.as_ranges(), self.facts.root(), part, number)
+        return SeenReport(seen.as_ranges(), self.facts.root(), part, number)
 
     def _due_held(self, now):
         self.timers["held"] = now + HELD_EVERY
-        return [Send(peer, Held(self.digest())) for peer in self.to(now)]
+        return [SendMessage(peer, DigestAnnouncement(self.digest())) for peer in self.to(now)]
 
     def compared(self, sender, theirs, now):
         """A peer's digest, from a neighbour or with a probe."""
@@ -535,43 +545,49 @@
         # What is just spreading differs as well: only what differs twice is asked after, and from one peer at a time.
         first = sender not in self.differs
         self.differs[sender] = now
-        if first or self.phase is Phase.ASKING or now - self.repaired_at < HELD_EVERY:
+        if first or self.phase is CatchUpPhase.ASKING or now - self.repaired_at < HELD_EVERY:
             return []
         if now - self.have_at.get(sender, -S) < HAVE_AGAIN:
             return []
         self.have_at[sender] = self.repaired_at = now
-        return [Send(sender, self._have_message())]
+        return [SendMessage(sender, self._have_message())]
 
     def _due_seen(self, now):
         self.timers["seen"] = now + SEEN_EVERY
-        return [Send(peer, self._have_message()) for peer in self.chance.pick("seen", sorted(self.peers))]
+        return [
+            SendMessage(peer, self._have_message()) for peer in self.chance.pick("seen", sorted(self.peers))
+        ]
 
     def _have(self, sender, message, now):
         theirs = VersionVector(message.lives)
         if sender in self.peers and not message.number:
             self.peers[sender] = theirs
-        live = self.phase in (Phase.TOGETHER, Phase.ALONE)
-        done = [Send(sender, Mark(message.number, self.on_disk.as_ranges(), live))] if message.number else []
+        live = self.phase in (CatchUpPhase.TOGETHER, CatchUpPhase.ALONE)
+        done = (
+            [SendMessage(sender, CatchUpMark(message.number, self.on_disk.as_ranges(), live))]
+            if message.number
+            else []
+        )
         lacks = _share(theirs.missing(self.on_disk), message.part)
         if lacks:
             # A share makes no claims: what replaced one of its facts may come with another peer's share.
             claims = VersionVector()
             for span in lacks if message.part[1] <= 1 else ():
                 claims.add_range(*span)
-            self.plans[sender] = Plan(next(self.transfers), lacks, claims.as_ranges())
+            self.plans[sender] = TransferPlan(next(self.transfers), lacks, claims.as_ranges())
             return done + self._feed(now)
         self.plans.pop(sender, None)
         if message.number:
-            return [*done, Send(sender, Done(next(self.transfers), 0, []), True)]
+            return [*done, SendMessage(sender, TransferEnd(next(self.transfers), 0, []), True)]
         if not self.facts.seen.covers(theirs):
             # While it catches up, or a transfer comes, one more list would have all of it sent twice.
-            under_way = self.phase is Phase.ASKING or now - self.repaired_at < HAVE_AGAIN
+            under_way = self.phase is CatchUpPhase.ASKING or now - self.repaired_at < HAVE_AGAIN
             if not under_way and now - self.have_at.get(sender, -S) >= HAVE_AGAIN:
                 self.have_at[sender] = now
-                done.append(Send(sender, self._have_message()))
+                done.append(SendMessage(sender, self._have_message()))
         elif message.root != self.facts.root() and now - self.ranges_at.get(sender, -S) >= RANGES_AGAIN:
             self.ranges_at[sender] = now
-            done.append(Send(sender, Ranges(list(self.facts.ranges))))
+            done.append(SendMessage(sender, RangeDigests(list(self.facts.ranges))))
         return done
 
     def _feed(self, now):
@@ -598,12 +614,12 @@
                     plan.spans.append((owner, life, upto, past))
             cost = len(facts) * FACT_BYTES
             if facts:
-                done.append(Send(peer, Tell(facts, plan.number, plan.pieces), True))
+                done.append(SendMessage(peer, SpreadRecords(facts, plan.number, plan.pieces), True))
                 plan.pieces += 1
             if plan.spans:
                 self.plans[peer] = plan  # at the end: the next one's turn
             else:
-                done.append(Send(peer, Done(plan.number, plan.pieces, plan.claims), True))
+                done.append(SendMessage(peer, TransferEnd(plan.number, plan.pieces, plan.claims), True))
                 cost += len(plan.claims) * SPAN_BYTES
             self.tokens -= cost
             self.bytes_out += cost
@@ -617,11 +633,11 @@
             size += len(own.in_range[at])
             if size <= KEYS_MOST or not chosen:
                 chosen.append(at)
-        return [Send(sender, self._keys_of(chosen, True))] if chosen else []
+        return [SendMessage(sender, self._keys_of(chosen, True))] if chosen else []
 
     def _keys_of(self, ranges, answer):
         facts = [(f.key, f.dot, hashed) for f, hashed in self.facts.keys_in(set(ranges))]
-        return Keys(ranges, facts, answer)
+        return RangeKeys(ranges, facts, answer)
 
     def _keys(self, sender, message, now):
         """What differs goes there; a word that the other has seen and let go is let go here as well."""
@@ -632,17 +648,20 @@
         differ, done, seen = [], [], self.peers.get(sender) or VersionVector()
         for fact, hashed in self.facts.keys_in(chosen):
             if fact.key not in theirs:
-                if fact.key[0] == WORD and seen.contains(fact.dot):
+                if fact.key[0] == SERVER_STATE and seen.contains(fact.dot):
                     done += [
                         *self._forget(fact.key),
-                        Act(fact._replace(value=(*fact.value[:2], int(State.LIFTED)))),
+                        RecordInForce(fact._replace(value=(*fact.value[:2], int(SourceState.LIFTED)))),
                     ]
             elif theirs[fact.key] != hashed:
                 differ.append(fact)
         # In pieces: each fact takes a new dot over there, and thousands in one turn would hold up its GETs.
-        done += [Send(sender, Repair(differ[at : at + TWINS]), True) for at in range(0, len(differ), TWINS)]
+        done += [
+            SendMessage(sender, RepairRecords(differ[at : at + TWINS]), True)
+            for at in range(0, len(differ), TWINS)
+        ]
         if message.answer:
-            done.append(Send(sender, self._keys_of(sorted(chosen), False)))
+            done.append(SendMessage(sender, self._keys_of(sorted(chosen), False)))
         return done + self._saved()
 
     # Letting go.
@@ -665,9 +684,13 @@
 
     def _life(self, fact):
         """How long it is of use (ns); None where that has no end: a drain that stands, a removal that is held."""
-        if fact.key[0] == PURGE or fact.key[0] == WORD and fact.value[2] == State.LIFTED:
-            return self.lives[PURGE]
-        return self.lives[WORD] if fact.key[0] == WORD and fact.value[2] == State.GONE else None
+        if fact.key[0] == INVALIDATION or fact.key[0] == SERVER_STATE and fact.value[2] == SourceState.LIFTED:
+            return self.lives[INVALIDATION]
+        return (
+            self.lives[SERVER_STATE]
+            if fact.key[0] == SERVER_STATE and fact.value[2] == SourceState.GONE
+            else None
+        )
 
     def _ages(self, fact, now):
         if (life := self._life(fact)) is not None:
@@ -679,7 +702,7 @@
         self.unsaved[2].append(key)
         self.changes += 1
         self.full = False
-        return [LetGo(fact)]
+        return [RecordDiscarded(fact)]
 
     # Neighbours.
 
@@ -701,7 +724,7 @@
 
     def asks(self, now):
         """This front returns: it is live once it has seen what those that it asks had seen when they were asked."""
-        self.phase, self.ask_until, self.moved = Phase.ASKING, now + self.alone_after, now
+        self.phase, self.ask_until, self.moved = CatchUpPhase.ASKING, now + self.alone_after, now
         # Not at once: all that return together would ask the first that any of them hears of.
         self.asked, self.marks, self.meet_at = {}, {}, now + MEET
         return []
@@ -715,7 +738,8 @@
         self.asked, self.marks, self.moved = dict.fromkeys(names), {}, now
         self.sharing = dict.fromkeys(names)
         return [
-            Send(name, self._have_message((at, len(names)), self.ask_number)) for at, name in enumerate(names)
+            SendMessage(name, self._have_message((at, len(names)), self.ask_number))
+            for at, name in enumerate(names)
         ]
 
     def _asking(self, now):
@@ -724,8 +748,8 @@
         if done := self._caught_up(now):
             return done
         if now >= self.ask_until and not (self.marks and now - self.moved < self.alone_after):
-            self.phase = Phase.ALONE
-            return [Live("alone", [])]
+            self.phase = CatchUpPhase.ALONE
+            return [CaughtUp("alone", [])]
         if not self.asked:
             return self._ask(now) if self.peers and now >= self.meet_at else []
         # On a busy machine a transfer that has begun only stands still: asked for anew, all on the way comes twice.
@@ -742,12 +766,12 @@
         if uncovered:
             # Shares overlap where peers had seen different things: the rest from each that still has some.
             self.moved, self.sharing = now, dict.fromkeys(uncovered[:1])
-            return [Send(uncovered[0], self._have_message((0, 1), self.ask_number))]
+            return [SendMessage(uncovered[0], self._have_message((0, 1), self.ask_number))]
         return self._ask(now)
 
     def _caught_up(self, now):
         """Live once it covers every mark of those asked that are still there, and one at least; on disk as well."""
-        if self.phase is not Phase.ASKING or not self.marks:
+        if self.phase is not CatchUpPhase.ASKING or not self.marks:
             return []
         there = [name for name in self.asked if name in self.peers]
         if now >= self.ask_until:
@@ -767,23 +791,27 @@
         seen = self.on_disk if self.kept else self.facts.seen
         if not all(seen.covers(self.marks[name]) for name in there):
             return []
-        self.phase = Phase.TOGETHER
-        return [Live("caught-up", there)]
+        self.phase = CatchUpPhase.TOGETHER
+        return [CaughtUp("caught-up", there)]
 
 
 def _together(actions):
     """Of many twins in one message one note and one repair to each owner: a copied disk has thousands."""
-    notes = [a for a in actions if isinstance(a, Note) and a.event == "fleet_dot_twice"]
+    notes = [a for a in actions if isinstance(a, LogEvent) and a.event == "fleet_dot_twice"]
     if len(notes) < 2:
         return actions
     repairs, rest = {}, []
     for action in actions:
-        if isinstance(action, Send) and isinstance(action.message, Repair):
+        if isinstance(action, SendMessage) and isinstance(action.message, RepairRecords):
             repairs.setdefault(action.to, []).extend(action.message.facts)
         elif action not in notes:
             rest.append(action)
     note = notes[0]._replace(said={**notes[0].said, "count": len(notes)})
-    return [note, *rest, *[Send(to, Repair(facts[:CHUNK]), True) for to, facts in repairs.items()]]
+    return [
+        note,
+        *rest,
+        *[SendMessage(to, RepairRecords(facts[:CHUNK]), True) for to, facts in repairs.items()],
+    ]
 
 
 def _share(spans, part):
--- a/sprucegate/fleet/replica_storage.py
+++ b/sprucegate/fleet/replica_storage.py
@@ -1,8 +1,8 @@
 """What of the replica lasts: a snapshot, the logs written since, and the count of starts. Blocking: called in a thread.
 
     start                       the count of starts, replaced whole
-    facts-NNNN.snap             state/snapshots: all facts and what was seen, as of the beginning of log NNNN
-    facts-NNNN.log              state/log: what came since
+    facts-NNNN.snap             storage/snapshots: all facts and what was seen, as of the beginning of log NNNN
+    facts-NNNN.log              storage/log: what came since
 
 A snapshot begins with its log, so that a crash between the two leaves the former snapshot and both logs.
 """
@@ -13,7 +13,7 @@
 import msgspec
 
 from sprucegate.errors import StorageError
-from sprucegate.fleet.replica.facts import Fact
+from sprucegate.fleet.replica.facts import ReplicatedRecord
 from sprucegate.storage.disk import replace_file
 from sprucegate.storage.log import AppendLog
 from sprucegate.storage.snapshots import SnapshotStore
@@ -21,10 +21,10 @@
 Span = tuple[str, int, int, int]
 Life = tuple[str, int, list[int]]
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(tuple[list[Fact], list[Span], list[tuple]]).decode
+_record = msgspec.msgpack.Decoder(tuple[list[ReplicatedRecord], list[Span], list[tuple]]).decode
 _head = msgspec.msgpack.Decoder(tuple[list[Life], list[bytes]]).decode
-_facts = msgspec.msgpack.Decoder(list[Fact]).decode
-PIECE = 500  # facts packed in one turn of a loop
+_facts = msgspec.msgpack.Decoder(list[ReplicatedRecord]).decode
+RECORDS_PER_PIECE = 500  # facts packed in one turn of a loop
 START_MOST = 1 << 30
 
 
@@ -32,7 +32,7 @@
     """The folder can't be used; the text says why."""
 
 
-class Kept:
+class StoredRecords:
     """What was there: facts in the order in which they were written, all that was seen, and what was passed over."""
 
     def __init__(self):
@@ -47,7 +47,7 @@
             self.facts.pop(key, None)
 
 
-class Keeping:
+class ReplicaStorage:
     def __init__(self, disk, folder):
         self.disk, self.folder, self.log, self.generation = disk, folder, None, 0
         self.snapshots = SnapshotStore(disk, folder, "facts", keep=2)
@@ -71,7 +71,7 @@
     def open(self, now):
         """Kept: the newest whole snapshot and the logs since; a new log takes what comes from here on."""
         self.disk.make_folder(self.folder)
-        kept, names = Kept(), self.disk.names(self.folder)
+        kept, names = StoredRecords(), self.disk.names(self.folder)
         taken, refused = self.snapshots.newest(now, 1 << 62)
         kept.refused = [f"{one.name} {one.why}" for one in refused]
         if taken is not None:
@@ -111,7 +111,7 @@
         """`lives` and the packed pieces as they were when it began; logs before it go once it is there."""
         fault = self.snapshots.save(self.generation, at, _encode((lives, pieces)))
         if fault is None:
-            self.snapshots.logs_before(self.named)
+            self.snapshots.remove_logs_before(self.named)
         return fault
 
     def close(self):
@@ -129,5 +129,5 @@
         return os.path.join(self.folder, f"facts-{number:016d}.log")
 
 
-def packed(facts):
+def encode_records(facts):
     return _encode(facts)
--- a/sprucegate/fleet/rollout/follower.py
+++ b/sprucegate/fleet/rollout/follower.py
@@ -1,12 +1,12 @@
 """What a front says to the log about boxes that go out and come back. No I/O, no clock."""
 
-from sprucegate.fleet.rollout.permits import Step
+from sprucegate.fleet.rollout.permits import PermitStep
 
 S = 1_000_000_000
 AGAIN = S  # until a word that is not in the log is said anew
 
 
-class Words:
+class FrontReporter:
     def __init__(self, name, life):
         self.name, self.life, self.said, self.same = name, life, {}, False
 
@@ -15,9 +15,17 @@
         `warm(box, start)`: whether it sees that start answer and sends it its part."""
         found = []
         for permit in machine.permits.of_box.values():
-            if permit.step is Step.GRANTED and permit.box in drained and self.name not in permit.drained:
+            if (
+                permit.step is PermitStep.GRANTED
+                and permit.box in drained
+                and self.name not in permit.drained
+            ):
                 found.append(["drained", permit.id, self.name, self.life])
-            elif permit.step is Step.COLD and self.name not in permit.warm and warm(permit.box, permit.start):
+            elif (
+                permit.step is PermitStep.COLD
+                and self.name not in permit.warm
+                and warm(permit.box, permit.start)
+            ):
                 found.append(["warm", permit.id, permit.start, self.name, self.life])
         return self._fresh(found, now)
 
--- a/sprucegate/fleet/rollout/gates.py
+++ b/sprucegate/fleet/rollout/gates.py
@@ -14,13 +14,13 @@
 MEASURES = ("errors", "sheds", "late", "misses", "crashes")
 
 
-class Verdict(IntEnum):
+class GateVerdict(IntEnum):
     FEW = 0  # not enough seen to say: not a pass
     PASS = 1
     FAIL = 2
 
 
-class Limits(NamedTuple):
+class GateLimits(NamedTuple):
     """How much worse a share may be (thousandths), for each of MEASURES; and how sure a fail has to be."""
 
     worse: tuple = (5, 20, 50, 100, 0)
@@ -29,7 +29,7 @@
     starts: int = 2  # of one box within a wave: past that it is taken for one that does not live
 
 
-class Seen(NamedTuple):
+class AnalysisSample(NamedTuple):
     """Counts since the wave began; each of MEASURES in order, of `gets`."""
 
     gets: int
@@ -57,11 +57,11 @@
 def verdict(released, others, starts, baked, limits):
     """(Verdict, by which measure, figures). `starts`: the most that one released box has made; `baked`: long enough."""
     if starts > limits.starts:
-        return Verdict.FAIL, "starts", (starts, limits.starts)
+        return GateVerdict.FAIL, "starts", (starts, limits.starts)
     if released.counts[MEASURES.index("crashes")]:
-        return Verdict.FAIL, "crashes", (released.counts[MEASURES.index("crashes")], 0)
+        return GateVerdict.FAIL, "crashes", (released.counts[MEASURES.index("crashes")], 0)
     if not released.gets or not others.gets:
-        return Verdict.FEW, "gets", (released.gets, others.gets)
+        return GateVerdict.FEW, "gets", (released.gets, others.gets)
     unsure = ""
     for name, bad, fine, worse in zip(
         MEASURES[:-1], released.counts, others.counts, limits.worse, strict=False
@@ -74,10 +74,10 @@
             limits.risk / (LOOKS * (len(MEASURES) - 1)),
         )
         if least * 1000 > worse:
-            return Verdict.FAIL, name, (bad / released.gets, fine / others.gets)
+            return GateVerdict.FAIL, name, (bad / released.gets, fine / others.gets)
         # A pass is no proof that it is as good: what was seen must not be past the limit, and enough was seen.
         if bad / released.gets - fine / others.gets > worse / 1000:
             unsure = unsure or name
     if released.gets < limits.least or unsure or not baked:
-        return Verdict.FEW, unsure or "gets", (released.gets, limits.least)
-    return Verdict.PASS, "", (released.gets, others.gets)
+        return GateVerdict.FEW, unsure or "gets", (released.gets, limits.least)
+    return GateVerdict.PASS, "", (released.gets, others.gets)
--- a/sprucegate/fleet/rollout/leader.py
+++ b/sprucegate/fleet/rollout/leader.py
@@ -8,9 +8,9 @@
 """
 
 from sprucegate.fleet.rollout import gates
-from sprucegate.fleet.rollout.gates import Seen, Verdict
-from sprucegate.fleet.rollout.permits import TAKES, Step
-from sprucegate.fleet.rollout.releases import Phase
+from sprucegate.fleet.rollout.gates import AnalysisSample, GateVerdict
+from sprucegate.fleet.rollout.permits import TAKES, PermitStep
+from sprucegate.fleet.rollout.releases import ReleasePhase
 
 MS, S = 1_000_000, 1_000_000_000
 FRONT_LEASE = 6 * S  # from the last question of a front to its being counted out
@@ -25,11 +25,11 @@
     return FRONT_LEASE - MARGIN
 
 
-class Leading:
+class RolloutLeader:
     """Made when a keeper begins to lead."""
 
     def __init__(self, machine, now, gate=None):
-        self.machine, self.since, self.gate = machine, now, gate or gates.Limits()
+        self.machine, self.since, self.gate = machine, now, gate or gates.GateLimits()
         self.under_way = {}  # command as text -> when proposed
         self.renewed_at, self.away, self.waves, self.looked = {}, {}, {}, {}
         self.told, self.totals, self.starts = (
@@ -71,7 +71,7 @@
         return [
             ["halt", name, "fleet", why]
             for name, one in self.machine.releases.releases.items()
-            if one.phase is Phase.RUNNING and release in (None, name)
+            if one.phase is ReleasePhase.RUNNING and release in (None, name)
         ]
 
     def _permits(self, now):
@@ -82,7 +82,11 @@
             seen = self.renewed_at[permit.id]
             if seen is None or seen[0] != (permit.renewed, permit.step):
                 seen = self.renewed_at[permit.id] = (permit.renewed, permit.step), now
-            since = self.away.setdefault(permit.id, now) if permit.step in (Step.OUT, Step.COLD) else now
+            since = (
+                self.away.setdefault(permit.id, now)
+                if permit.step in (PermitStep.OUT, PermitStep.COLD)
+                else now
+            )
             if now - since >= LIVE_MOST:
                 found += self._halts(f"{permit.box} does not come back", permit.release)
             if not permit.overdue and now - seen[1] >= PERMIT_LEASE:
@@ -176,7 +180,7 @@
         found = []
         self._takes(heard)
         for name, release in self.machine.releases.releases.items():
-            if release.phase is not Phase.RUNNING or release.passed:
+            if release.phase is not ReleasePhase.RUNNING or release.passed:
                 self.waves.pop(name, None)
                 continue
             at, wave = (release.turn, release.wave), release.plan.waves[release.wave]
@@ -215,9 +219,9 @@
                     self._sum(older, begun),
                 )
             said, by, figures = gates.verdict(released, rest, starts, baked, self.gate)
-            if said is not Verdict.FEW:
+            if said is not GateVerdict.FEW:
                 text = f"{by}: {figures[0]:.3g} beside {figures[1]:.3g}" if by else ""
-                found.append(["gate", name, *at, said is Verdict.PASS, text])
+                found.append(["gate", name, *at, said is GateVerdict.PASS, text])
         return found
 
     def _of(self, box):
@@ -228,4 +232,4 @@
         for box in boxes:
             begun = since.get(box, [0] * 6)
             total = [t + now - then for t, now, then in zip(total, self._of(box), begun, strict=False)]
-        return Seen(total[0], (*total[1:], 0))
+        return AnalysisSample(total[0], (*total[1:], 0))
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -18,7 +18,7 @@
 SCOPES = (FLEET, LOCATION, KIND, GROUP)
 
 
-class Step(IntEnum):
+class PermitStep(IntEnum):
     ASKED = 0
     GRANTED = 1
     DRAINED = 2
@@ -31,20 +31,20 @@
 
 # A step's word in answers to commands, in reasons and in operators' answers.
 STEP_WORDS = {
-    Step.ASKED: "asked",
-    Step.GRANTED: "granted",
-    Step.DRAINED: "drained",
-    Step.OUT: "out",
-    Step.COLD: "cold",
-    Step.BACK: "back",
-    Step.WITHDRAWN: "withdrawn",
-    Step.GIVEN_UP: "given_up",
+    PermitStep.ASKED: "asked",
+    PermitStep.GRANTED: "granted",
+    PermitStep.DRAINED: "drained",
+    PermitStep.OUT: "out",
+    PermitStep.COLD: "cold",
+    PermitStep.BACK: "back",
+    PermitStep.WITHDRAWN: "withdrawn",
+    PermitStep.GIVEN_UP: "given_up",
 }
-OPEN = (Step.ASKED, Step.GRANTED, Step.DRAINED, Step.OUT, Step.COLD)
-TAKES = (Step.GRANTED, Step.DRAINED, Step.OUT, Step.COLD)  # a place
+OPEN = (PermitStep.ASKED, PermitStep.GRANTED, PermitStep.DRAINED, PermitStep.OUT, PermitStep.COLD)
+TAKES = (PermitStep.GRANTED, PermitStep.DRAINED, PermitStep.OUT, PermitStep.COLD)  # a place
 
 
-class Box(NamedTuple):
+class ManagedServer(NamedTuple):
     """A cache, a parent or a front. `weight`: its part of what its kind carries there."""
 
     name: str
@@ -64,7 +64,7 @@
 }
 
 
-class Budget(NamedTuple):
+class DisruptionBudget(NamedTuple):
     """So many may be out at once, and so much of the weight (thousandths), of each one of the scope, or of `of` alone.
 
     `role`: of caches or of fronts; "" of both together.
@@ -91,7 +91,7 @@
     spare: int
 
 
-class Permit:
+class MaintenancePermit:
     def __init__(
         self,
         id,
@@ -100,7 +100,7 @@
         why,
         release,
         version,
-        step=Step.ASKED,
+        step=PermitStep.ASKED,
         index=0,
         drained=(),
         warm=(),
@@ -109,7 +109,14 @@
         renewed=0,
         overdue=False,
     ):
-        self.id, self.box, self.by, self.why, self.release, self.step = id, box, by, why, release, Step(step)
+        self.id, self.box, self.by, self.why, self.release, self.step = (
+            id,
+            box,
+            by,
+            why,
+            release,
+            PermitStep(step),
+        )
         self.version = version  # to be put there; "" as it is
         self.index = index  # of the entry that granted it: the later one is the newer
         self.drained, self.warm = list(drained), list(warm)  # fronts that said so
@@ -135,7 +142,7 @@
         ]
 
 
-class Permits:
+class PermitTable:
     def __init__(self):
         self.budgets, self.warmth = [], Warmth(0, 1000)
         self.boxes, self.down = {}, {}  # name -> Box; -> why it is out by itself
@@ -159,11 +166,11 @@
 
     def loaded(self, told):
         budgets, warmth, boxes, down, fronts, permits, ended, self.without, gone = told
-        self.budgets, self.warmth = [Budget(*b) for b in budgets], Warmth(*warmth)
-        self.boxes = {b[0]: Box(*b) for b in boxes}
+        self.budgets, self.warmth = [DisruptionBudget(*b) for b in budgets], Warmth(*warmth)
+        self.boxes = {b[0]: ManagedServer(*b) for b in boxes}
         self.down, self.fronts, self.ended = dict(down), dict(fronts), list(ended)
         self.gone = dict(gone)
-        self.permits = {p[0]: Permit(*p) for p in permits}
+        self.permits = {p[0]: MaintenancePermit(*p) for p in permits}
         self.of_box = {p.box: p for p in self.permits.values() if p.step in OPEN}
 
     # What is so.
@@ -210,7 +217,7 @@
         """{id: why} of all that ask, those that are behind an earlier one of the same place included; what may not go
         at all (a halted release) is in nobody's way."""
         found, taken = {}, []
-        asked = [p for p in self.of_box.values() if p.step is Step.ASKED and may(p)]
+        asked = [p for p in self.of_box.values() if p.step is PermitStep.ASKED and may(p)]
         out = self.out() if asked else {}
         for permit in asked:
             why, box = self.wait(permit, out), self.boxes.get(permit.box)
@@ -240,7 +247,7 @@
             return f"asked for already, as {other.id}"
         if len(self.of_box) >= OPEN_MOST:
             return "too many requests"
-        permit = self.permits[id] = self.of_box[box] = Permit(id, box, by, why, release, version)
+        permit = self.permits[id] = self.of_box[box] = MaintenancePermit(id, box, by, why, release, version)
         return STEP_WORDS[permit.step]
 
     def grants(self, index, may=lambda permit: True):
@@ -250,18 +257,22 @@
             # Anew after each: what is granted takes a place that the next one may have wanted.
             waits = self.waits(may)
             free = next(
-                (p for p in self.of_box.values() if p.step is Step.ASKED and p.id not in waits and may(p)),
+                (
+                    p
+                    for p in self.of_box.values()
+                    if p.step is PermitStep.ASKED and p.id not in waits and may(p)
+                ),
                 None,
             )
             if free is None:
                 return granted
-            free.step, free.index = Step.GRANTED, index
+            free.step, free.index = PermitStep.GRANTED, index
             granted.append(free)
 
     def said_drained(self, id, front, life):
         """That front sends it nothing new and names it no more as source. All live fronts have to."""
         permit = self.permits.get(id)
-        if permit is None or permit.step is not Step.GRANTED or self.fronts.get(front) != life:
+        if permit is None or permit.step is not PermitStep.GRANTED or self.fronts.get(front) != life:
             return
         if front not in permit.drained:
             permit.drained.append(front)
@@ -273,14 +284,18 @@
         # Nobody sends to a front but clients: it says by itself that it takes none any more, or serves again.
         asked = [n for n in self.fronts if n == permit.box] if of_front else list(self.fronts)
         if (
-            permit.step is Step.GRANTED
+            permit.step is PermitStep.GRANTED
             and (asked or of_front)
             and all(name in permit.drained for name in asked)
         ):
-            permit.step = Step.DRAINED
+            permit.step = PermitStep.DRAINED
         # Not of all: one that sees few GETs would take an hour to earn its part of a cold one's warmth.
-        if permit.step is Step.COLD and asked and 2 * sum(name in permit.warm for name in asked) > len(asked):
-            self._end(permit, Step.BACK)
+        if (
+            permit.step is PermitStep.COLD
+            and asked
+            and 2 * sum(name in permit.warm for name in asked) > len(asked)
+        ):
+            self._end(permit, PermitStep.BACK)
 
     def settled(self):
         """What may have come true without a word of its own: one that was waited for is fenced. With no front at all
@@ -291,16 +306,16 @@
     def went(self, id, holder):
         """Whoever holds the permit is about to stop it: only once it is drained."""
         permit = self.permits.get(id)
-        if permit is None or permit.step not in (Step.DRAINED, Step.OUT):
+        if permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT):
             return "not drained" if permit is not None else "no such permit"
         if (
-            permit.step is Step.DRAINED
+            permit.step is PermitStep.DRAINED
             and self._free(permit.box)
             and (why := self.wait(permit, self._charged(permit)))
         ):
             # It may be there again by now, and nobody here knows yet. The permit stands, and goes out in its turn.
             return f"held back: {why[0]}"
-        permit.step, permit.holder = Step.OUT, holder
+        permit.step, permit.holder = PermitStep.OUT, holder
         return "out"
 
     def renew(self, id, holder):
@@ -317,10 +332,10 @@
     def started(self, id, start):
         """It runs again, by the word of who replaced it; what it earns since another start counts no more."""
         permit = self.permits.get(id)
-        if permit is None or permit.step not in (Step.OUT, Step.COLD):
+        if permit is None or permit.step not in (PermitStep.OUT, PermitStep.COLD):
             return "not out" if permit is not None else "no such permit"
         if permit.start != start:
-            permit.step, permit.start, permit.warm = Step.COLD, start, []
+            permit.step, permit.start, permit.warm = PermitStep.COLD, start, []
         return "cold"
 
     def said_warm(self, id, start, front, life):
@@ -328,7 +343,7 @@
         permit = self.permits.get(id)
         if (
             permit is None
-            or permit.step is not Step.COLD
+            or permit.step is not PermitStep.COLD
             or permit.start != start
             or not start
             or self.fronts.get(front) != life
@@ -340,9 +355,9 @@
 
     def withdraw(self, id):
         permit = self.permits.get(id)
-        if permit is None or permit.step not in (Step.ASKED, Step.GRANTED, Step.DRAINED):
+        if permit is None or permit.step not in (PermitStep.ASKED, PermitStep.GRANTED, PermitStep.DRAINED):
             return "can't be withdrawn" if permit is not None else "no such permit"
-        self._end(permit, Step.WITHDRAWN)
+        self._end(permit, PermitStep.WITHDRAWN)
         return "withdrawn"
 
     def give_up(self, box):
@@ -353,7 +368,7 @@
         del self.boxes[box]
         self.down.pop(box, None)
         if permit is not None:
-            self._end(permit, Step.GIVEN_UP)
+            self._end(permit, PermitStep.GIVEN_UP)
         return "given up"
 
     def listed(self, boxes):
@@ -392,7 +407,8 @@
         return {
             p.box: STEP_WORDS[p.step]
             for p in self.of_box.values()
-            if p is not but and (p.step in (Step.OUT, Step.COLD) or p.step in TAKES and not self._free(p.box))
+            if p is not but
+            and (p.step in (PermitStep.OUT, PermitStep.COLD) or p.step in TAKES and not self._free(p.box))
         }
 
     def _charge(self, name):
@@ -401,17 +417,17 @@
         Where the budgets have no place for it now the permit waits like any other; one that is out stays so.
         """
         permit = self.of_box.get(name)
-        if permit is None or permit.step not in (Step.GRANTED, Step.DRAINED):
+        if permit is None or permit.step not in (PermitStep.GRANTED, PermitStep.DRAINED):
             return
         others = {box: why for box, why in self.out().items() if box != name}
         if self.wait(permit, others) is not None:
-            permit.step, permit.index, permit.drained = Step.ASKED, 0, []
+            permit.step, permit.index, permit.drained = PermitStep.ASKED, 0, []
 
     def left(self, name, life):
         """A front that ends by SIGTERM: nobody has to wait for its lease. Without a permit it is obeyed and counted."""
         if self.fronts.get(name) == life:
             permit = self.of_box.get(name)
-            self.without += permit is None or permit.step not in (Step.DRAINED, Step.OUT)
+            self.without += permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT)
             del self.fronts[name]
             self.gone[name] = life
             while len(self.gone) > ENDED_MOST:
--- a/sprucegate/fleet/rollout/releases.py
+++ b/sprucegate/fleet/rollout/releases.py
@@ -6,12 +6,12 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from sprucegate.fleet.rollout.permits import Step
+from sprucegate.fleet.rollout.permits import PermitStep
 
 HISTORY_MOST = 500  # events of releases that are told of
 
 
-class Phase(IntEnum):
+class ReleasePhase(IntEnum):
     RUNNING = 0
     HALTED = 1
     BACK = 2  # the released go back, in waves under the same budgets
@@ -21,15 +21,15 @@
 
 # A phase's word in reasons and in operators' answers.
 PHASE_WORDS = {
-    Phase.RUNNING: "running",
-    Phase.HALTED: "halted",
-    Phase.BACK: "back",
-    Phase.DONE: "done",
-    Phase.RETURNED: "returned",
+    ReleasePhase.RUNNING: "running",
+    ReleasePhase.HALTED: "halted",
+    ReleasePhase.BACK: "back",
+    ReleasePhase.DONE: "done",
+    ReleasePhase.RETURNED: "returned",
 }
 
 
-class Plan(NamedTuple):
+class ReleasePlan(NamedTuple):
     """`waves`: boxes by name, the canary first. `bake`: ns for which a whole wave is watched before its gate passes."""
 
     name: str
@@ -42,9 +42,9 @@
 
 class Release:
     def __init__(
-        self, plan, by, phase=Phase.RUNNING, wave=0, why="", done=(), turn=0, passed=False, ahead=()
+        self, plan, by, phase=ReleasePhase.RUNNING, wave=0, why="", done=(), turn=0, passed=False, ahead=()
     ):
-        self.plan, self.by, self.phase, self.wave, self.why = plan, by, Phase(phase), wave, why
+        self.plan, self.by, self.phase, self.wave, self.why = plan, by, ReleasePhase(phase), wave, why
         self.done, self.turn, self.passed = (
             list(done),
             turn,
@@ -69,20 +69,20 @@
     @classmethod
     def of(cls, told):
         plan, *rest = told
-        return cls(Plan(*plan[:4], tuple(map(tuple, plan[4])), plan[5]), *rest)
+        return cls(ReleasePlan(*plan[:4], tuple(map(tuple, plan[4])), plan[5]), *rest)
 
     def over(self):
-        return self.phase in (Phase.DONE, Phase.RETURNED)
+        return self.phase in (ReleasePhase.DONE, ReleasePhase.RETURNED)
 
     def request(self, box):
         """One id a box and direction, so that the same request given by two leaders is one."""
         return f"{self.plan.name}/{self.turn}/{box}"
 
     def version(self):
-        return self.plan.former if self.phase is Phase.BACK else self.plan.version
+        return self.plan.former if self.phase is ReleasePhase.BACK else self.plan.version
 
 
-class Releases:
+class ReleaseTable:
     def __init__(self, permits):
         self.permits, self.releases = permits, {}
         self.troubles = {}  # what -> why: while there is one, releases wait by themselves
@@ -127,18 +127,18 @@
         release = self.releases.get(name)
         if release is None or release.over():
             return "no such release is under way"
-        if release.phase is not Phase.HALTED:
-            release.phase, release.why = Phase.HALTED, f"{by}: {why}"
+        if release.phase is not ReleasePhase.HALTED:
+            release.phase, release.why = ReleasePhase.HALTED, f"{by}: {why}"
             self._withdraw(release)
             self._note(name, "halted", release.why)
         return "halted"
 
     def resume(self, name, by):
         release = self.releases.get(name)
-        if release is None or release.phase is not Phase.HALTED:
+        if release is None or release.phase is not ReleasePhase.HALTED:
             return "is not halted"
         release.phase, release.why, release.passed = (
-            (Phase.BACK if release.ahead else Phase.RUNNING),
+            (ReleasePhase.BACK if release.ahead else ReleasePhase.RUNNING),
             "",
             False,
         )
@@ -149,9 +149,9 @@
     def back(self, name, by):
         """All that were released, the last one first. From a halt, from a run, and after the end."""
         release = self.releases.get(name)
-        if release is None or release.phase is Phase.RETURNED:
+        if release is None or release.phase is ReleasePhase.RETURNED:
             return "no such release"
-        if release.phase is Phase.BACK:
+        if release.phase is ReleasePhase.BACK:
             return "goes back"
         self._withdraw(release)
         # What is out for it has the new version, or may have; it goes back once it is back from this one.
@@ -161,7 +161,7 @@
             if p.release == name and p.version == release.plan.version
         ]
         release.ahead = [*reversed(release.done), *[box for box in out if box not in release.done]]
-        release.phase, release.why = Phase.BACK, f"{by} turned it back"
+        release.phase, release.why = ReleasePhase.BACK, f"{by} turned it back"
         self._note(name, "goes back", by)
         release.turn += 1
         return "goes back"
@@ -171,7 +171,7 @@
         release = self.releases.get(name)
         if (
             release is None
-            or release.phase is not Phase.RUNNING
+            or release.phase is not ReleasePhase.RUNNING
             or (release.turn, release.wave) != (turn, wave)
         ):
             return
@@ -186,8 +186,8 @@
         release = self.releases.get(permit.release)
         return (
             release is None
-            or release.phase is Phase.BACK
-            or release.phase is Phase.RUNNING
+            or release.phase is ReleasePhase.BACK
+            or release.phase is ReleasePhase.RUNNING
             and not self.troubles
         )
 
@@ -201,8 +201,10 @@
         """After each command: what follows of it. Deterministic, in the order of the releases."""
         over, self.permits.over = self.permits.over, []
         for release in self.releases.values():
-            self._taken(release, [p for p in over if p.release == release.plan.name and p.step is Step.BACK])
-            if release.phase is Phase.RUNNING:
+            self._taken(
+                release, [p for p in over if p.release == release.plan.name and p.step is PermitStep.BACK]
+            )
+            if release.phase is ReleasePhase.RUNNING:
                 wave = release.plan.waves[release.wave]
                 for box in wave:
                     if box not in release.done:
@@ -213,16 +215,16 @@
                 ):
                     release.wave, release.passed = release.wave + 1, False
                     if release.wave == len(release.plan.waves):
-                        release.wave, release.phase = release.wave - 1, Phase.DONE
+                        release.wave, release.phase = release.wave - 1, ReleasePhase.DONE
                         self._note(release.plan.name, "done")
                     else:
                         for box in release.plan.waves[release.wave]:
                             self._ask(release, box)
-            elif release.phase is Phase.BACK:
+            elif release.phase is ReleasePhase.BACK:
                 for box in release.ahead:
                     self._ask(release, box)
                 if not release.ahead:
-                    release.phase = Phase.RETURNED
+                    release.phase = ReleasePhase.RETURNED
                     self._note(release.plan.name, "returned")
 
     def _ask(self, release, box):
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -4,17 +4,17 @@
 newer build's command) changes nothing and is said so.
 """
 
-from sprucegate.fleet.rollout.permits import Box, Budget, Permits, Step, Warmth
-from sprucegate.fleet.rollout.releases import PHASE_WORDS, Plan, Releases
+from sprucegate.fleet.rollout.permits import DisruptionBudget, ManagedServer, PermitStep, PermitTable, Warmth
+from sprucegate.fleet.rollout.releases import PHASE_WORDS, ReleasePlan, ReleaseTable
 
 FORMAT = 1
 ONCE_MOST = 1000  # requests of operators whose words are kept
 
 
-class Rollout:
+class RolloutStateMachine:
     def __init__(self):
-        self.index, self.permits, self.once = 0, Permits(), {}
-        self.releases = Releases(self.permits)
+        self.index, self.permits, self.once = 0, PermitTable(), {}
+        self.releases = ReleaseTable(self.permits)
         permits, releases = self.permits, self.releases
         self.commands = {
             "ask": permits.ask,
@@ -29,10 +29,10 @@
             "stands": permits.stands,
             "front": permits.front,
             "left": permits.left,
-            "boxes": lambda boxes: permits.listed([Box(*box) for box in boxes]),
+            "boxes": lambda boxes: permits.listed([ManagedServer(*box) for box in boxes]),
             "limits": self._limits,
             "release": lambda plan, by: releases.start(
-                Plan(*plan[:4], tuple(map(tuple, plan[4])), plan[5]), by
+                ReleasePlan(*plan[:4], tuple(map(tuple, plan[4])), plan[5]), by
             ),
             "halt": releases.halt,
             "resume": releases.resume,
@@ -78,17 +78,24 @@
         return word, self.permits.grants(index, self.releases.may)
 
     def _limits(self, budgets, warmth):
-        self.permits.budgets, self.permits.warmth = [Budget(*one) for one in budgets], Warmth(*warmth)
+        self.permits.budgets, self.permits.warmth = (
+            [DisruptionBudget(*one) for one in budgets],
+            Warmth(*warmth),
+        )
 
     def drained(self):
         """{box: index of its permit}: nothing new goes there, and it is named no more as source."""
-        return {p.box: p.index for p in self.permits.of_box.values() if Step.GRANTED <= p.step <= Step.OUT}
+        return {
+            p.box: p.index
+            for p in self.permits.of_box.values()
+            if PermitStep.GRANTED <= p.step <= PermitStep.OUT
+        }
 
     def waits(self):
         """{id: why} of all that ask."""
         found = self.permits.waits(self.releases.may)
         for permit in self.permits.of_box.values():
-            if permit.step is Step.ASKED and not self.releases.may(permit):
+            if permit.step is PermitStep.ASKED and not self.releases.may(permit):
                 release = self.releases.releases[permit.release]
                 found[permit.id] = (
                     "trouble",
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -22,22 +22,27 @@
 from sprucegate.fleet.membership_view.health_state import HEALTH_STATE_LOG_WORDS, HEALTH_STATE_WORDS
 from sprucegate.fleet.membership_view.tracker import ViewChanged
 from sprucegate.fleet.node import FleetNode, outgoing
-from sprucegate.fleet.replica.facts import State
+from sprucegate.fleet.replica.facts import SourceState
 from sprucegate.fleet.replica.replica import (
-    HELD,
-    PURGE,
-    WORD,
-    Act,
-    Doubted,
-    Evidence,
-    LetGo,
-    Live,
-    Note,
-    Phase,
-    Send,
-    Write,
+    HELD_LIST,
+    INVALIDATION,
+    SERVER_STATE,
+    CatchUpPhase,
+    CaughtUp,
+    EvidenceMessage,
+    LogEvent,
+    PersistRecords,
+    RecordDiscarded,
+    RecordInForce,
+    SendMessage,
+    VersionConflict,
+)
+from sprucegate.fleet.replica_storage import (
+    RECORDS_PER_PIECE,
+    ReplicaStorage,
+    ReplicaStorageError,
+    encode_records,
 )
-from sprucegate.fleet.replica_storage import PIECE, Keeping, ReplicaStorageError, packed
 from sprucegate.routing.events import BeliefGossip, EjectionGossip
 from sprucegate.routing.events import EndpointState as Listed
 from sprucegate.storage.disk import Disk
@@ -51,7 +56,11 @@
 EVIDENCE_BYTES = 45  # of one row on the way, about
 EVIDENCE_OLD = 2 * S  # past it, or that far ahead: a front that stood still, or clocks apart, tell nothing
 SHOWN_MOST = 1000  # facts in one answer to an operator
-STATES = {Listed.DRAINING: State.DRAINING, Listed.SERVING: State.LIFTED, Listed.GONE: State.GONE}
+STATES = {
+    Listed.DRAINING: SourceState.DRAINING,
+    Listed.SERVING: SourceState.LIFTED,
+    Listed.GONE: SourceState.GONE,
+}
 
 
 class FleetService:
@@ -60,7 +69,10 @@
     def __init__(self, driver, node, name, seed, merged, agreement=None, disk=None, shares=None):
         self.driver, self.node, self.log, self.merged = driver, node, driver.log, merged
         self.name, self.seed, self.loop = name, seed, asyncio.get_running_loop()
-        self.keeping, self.pool = Keeping(disk or Disk(), node.state), ThreadPoolExecutor(1, "fleet-disk")
+        self.keeping, self.pool = (
+            ReplicaStorage(disk or Disk(), node.state),
+            ThreadPoolExecutor(1, "fleet-disk"),
+        )
         self.peer, self.links, self.timer, self.up = None, None, None, asyncio.Event()
         self.agreement, self.shares = agreement, shares  # nodes of the file, for the parts
         self.tasks, self.snapping, self.stopped, self.waiting = set(), False, False, []
@@ -100,7 +112,7 @@
         self.peer.loaded(facts, kept.lives, now)
         for at, fact in enumerate(facts):
             self._in_force(fact, loaded=True)
-            if at % PIECE == 0:
+            if at % RECORDS_PER_PIECE == 0:
                 await asyncio.sleep(0)
         # What was loaded stays: the collector need not walk it, which would hold up the loop for a tenth of a second.
         gc.freeze()
@@ -166,7 +178,7 @@
     # What the front hears.
 
     def purged(self, obj, group, at):
-        self._told((PURGE, "object", obj) if obj >= 0 else (PURGE, "group", group), (at,))
+        self._told((INVALIDATION, "object", obj) if obj >= 0 else (INVALIDATION, "group", group), (at,))
 
     def listed(self):
         """Drains and removals that a source of this front's own told since the last call."""
@@ -180,14 +192,14 @@
             # A removal by a file may be meant for this front alone; the bus is everybody's.
             if state is Listed.GONE and source != "bus":
                 continue
-            key = (WORD, server, started, source, self.peer.replica.name)
+            key = (SERVER_STATE, server, started, source, self.peer.replica.name)
             if state is not Listed.SERVING or key in held:
                 self._told(key, (int(STATES[state]),))
 
     def held(self, digest, confirmed):
         """A list that takes away too much, by its digest: held by this front's gate, or confirmed at it."""
         if digest:
-            self._told((HELD, digest), (int(confirmed),))
+            self._told((HELD_LIST, digest), (int(confirmed),))
 
     def holds(self, digest):
         """Whether some front holds that list and none has been told to let it through."""
@@ -197,7 +209,7 @@
         return self._removal(digest) == (1,)
 
     def _removal(self, digest):
-        fact = self.peer.replica.facts.held.get((HELD, digest)) if self.peer is not None else None
+        fact = self.peer.replica.facts.held.get((HELD_LIST, digest)) if self.peer is not None else None
         return None if fact is None else fact.value
 
     def _told(self, key, value):
@@ -211,7 +223,7 @@
     # What is decided.
 
     def do(self, actions):
-        told = sum(isinstance(action, Act) for action in actions)
+        told = sum(isinstance(action, RecordInForce) for action in actions)
         if told > TOLD_EACH:  # a transfer: a line for each would be a log of the whole table
             self.log("fleet_told", kind="several", key=[], count=told)
         self.fresh += told
@@ -227,11 +239,11 @@
                 self.links.send(name, address or (member.address if member else ""), message, guard)
                 continue
             match action:
-                case Write():
+                case PersistRecords():
                     self._later(self._writes(action))
-                case Act():
+                case RecordInForce():
                     self._in_force(action.fact, quiet=told > TOLD_EACH)
-                case Live():
+                case CaughtUp():
                     self.log(
                         "fleet_" + action.how.replace("-", "_"),
                         asked=action.asked,
@@ -239,7 +251,7 @@
                     )
                     gc.freeze()  # as after the loading
                     self.up.set()
-                case Note():
+                case LogEvent():
                     self.log(action.event, **action.said)
                 case CheckPort(name, address, life):
                     self.links.look(address, lambda name=name, life=life: self._refused(name, life))
@@ -266,9 +278,9 @@
                         alias=action.alias,
                     )
                     self._later(self._renew(action.start_above, action.alias))
-                case Doubted():
+                case VersionConflict():
                     self._later(self._renew(0, ""))
-                case LetGo():
+                case RecordDiscarded():
                     pass  # the front's own table forgets by age as well
         if not self.stopped and self.peer is not None:
             self._arm()
@@ -295,13 +307,13 @@
                 self.node.evidence // EVIDENCE_BYTES, self.driver.clock()
             )
             if said:
-                message = Evidence(
+                message = EvidenceMessage(
                     clock.unix(),
                     [one for one in said if isinstance(one, BeliefGossip)],
                     [one for one in said if isinstance(one, EjectionGossip)],
                 )
                 self.rows_out += len(said)
-                self.do([Send(name, message) for name in self.peer.replica.to(time.monotonic_ns())])
+                self.do([SendMessage(name, message) for name in self.peer.replica.to(time.monotonic_ns())])
 
     def _reset(self, name):
         self.do(self.peer.reset(name, time.monotonic_ns()))
@@ -343,7 +355,7 @@
 
     def _heard(self, name, message):
         try:
-            if isinstance(message, Evidence):
+            if isinstance(message, EvidenceMessage):
                 self.peer.views.on_frame(name, time.monotonic_ns())
                 return self._hears(name, message)
             if isinstance(message, codec.ComponentMessage):
@@ -363,19 +375,23 @@
     def _in_force(self, fact, loaded=False, quiet=False):
         """A guard fact that holds from here on, whoever said it."""
         now = self.driver.clock()
-        if not loaded and not quiet and self.peer.replica.phase is not Phase.ASKING:
+        if not loaded and not quiet and self.peer.replica.phase is not CatchUpPhase.ASKING:
             self.log("fleet_told", kind=fact.key[0], key=fact.key[1:], by=fact.dot[0])
-        if fact.key[0] == PURGE:
+        if fact.key[0] == INVALIDATION:
             _, kind, at = fact.key
             obj, group = (at, -1) if kind == "object" else (-1, at)
             self.driver.router.invalidate(obj, group, self.driver.platform.age(fact.value[0], now), now)
-        elif fact.key[0] == WORD:
+        elif fact.key[0] == SERVER_STATE:
             _, server, started, source, owner = fact.key
             own = owner == self.peer.replica.name
             if own and not loaded:
                 return  # its own sources say here what holds
             self.merged.word(
-                server, started, source if own else f"{source}@{owner}", fact.value[2] != State.LIFTED, now
+                server,
+                started,
+                source if own else f"{source}@{owner}",
+                fact.value[2] != SourceState.LIFTED,
+                now,
             )
 
     # The disk.
@@ -403,8 +419,8 @@
             fault = await self._disk(self.keeping.begin_snapshot)
             pieces, repairing = [], not replica.kept
             held, lives = replica.captured()
-            for at in range(0, len(held), PIECE):
-                pieces.append(packed(held[at : at + PIECE]))
+            for at in range(0, len(held), RECORDS_PER_PIECE):
+                pieces.append(encode_records(held[at : at + RECORDS_PER_PIECE]))
                 await asyncio.sleep(0)
             if fault is None:
                 fault = await self._disk(self.keeping.finish_snapshot, lives, pieces, clock.unix())
@@ -474,7 +490,7 @@
         kinds = {kind: count for kind, count in replica.facts.kinds.items() if count}
         return {
             "fleet": self.node.name,
-            "phase": "caught up" if replica.phase is Phase.TOGETHER else replica.phase.name.lower(),
+            "phase": "caught up" if replica.phase is CatchUpPhase.TOGETHER else replica.phase.name.lower(),
             "root": f"{replica.facts.root():016x}",
             "kept": replica.kept,
             "health": members.local_health,
@@ -550,6 +566,6 @@
 def _shown(fact):
     kind, *rest = fact.key
     said = {"kind": kind, "key": rest, "by": fact.dot[0], "life": f"{fact.dot[1]:x}", "counter": fact.dot[2]}
-    if kind == WORD:
-        return {**said, "state": State(fact.value[2]).name.lower()}
+    if kind == SERVER_STATE:
+        return {**said, "state": SourceState(fact.value[2]).name.lower()}
     return {**said, "value": fact.value[0]}
--- a/sprucegate/front/admission.py
+++ b/sprucegate/front/admission.py
@@ -3,7 +3,7 @@
 import re
 
 from sprucegate.front.open_requests import OpenRequest
-from sprucegate.front.protocol.http import Refusal
+from sprucegate.front.protocol.http import RejectedRequest
 from sprucegate.routing.events import Request
 
 MS = 1_000_000
@@ -38,39 +38,39 @@
     """
     headers, found = request.headers, TARGET.fullmatch(request.target)
     if not found:
-        return Refusal(404, "no such path")
+        return RejectedRequest(404, "no such path")
     ds_name, thing, part = found.groups()
     ds = ds_names.get(ds_name.decode("latin-1"))
     if ds is None:
-        return Refusal(404, "no such delivery service")
+        return RejectedRequest(404, "no such delivery service")
     wanted = b"PUT" if _of(settings, "runs_at_origin", ds, False) else b"GET"
     if request.method != wanted or request.body and wanted == b"GET":
-        return Refusal(
+        return RejectedRequest(
             405,
             f"this delivery service takes {wanted.decode()}, a GET without a body",
             b"Allow: %b\r\n" % wanted,
         )
     call_id = headers.get(b"x-call-id", b"")
     if not CALL_ID.fullmatch(call_id):
-        return Refusal(400, "X-Call-Id: 16 hex digits are wanted")
+        return RejectedRequest(400, "X-Call-Id: 16 hex digits are wanted")
     if call_id in open_ids:
-        return Refusal(409, "X-Call-Id: this one is open already")
+        return RejectedRequest(409, "X-Call-Id: this one is open already")
     patience = _number(headers, b"x-patience-ms", 3_600_000)
     if not patience:
-        return Refusal(400, "X-Patience-Ms: milliseconds above 0 are wanted")
+        return RejectedRequest(400, "X-Patience-Ms: milliseconds above 0 are wanted")
     group = _number(headers, b"x-set", 255, -1)
     if group is None or group != int(group):
-        return Refusal(400, "X-Set: a whole number from 0 to 255 is wanted")
+        return RejectedRequest(400, "X-Set: a whole number from 0 to 255 is wanted")
     size = _number(headers, b"x-heap-kb", 1e9, 0.0)
     if size is None:
-        return Refusal(400, "X-Heap-Kb: a number of KB is wanted")
+        return RejectedRequest(400, "X-Heap-Kb: a number of KB is wanted")
     longest = _of(settings, "viewer_timeout", ds, 3_600_000 * MS)
     if size * 1000 * MS > longest * settings.get("client_kb_per_s", 0) > 0:
-        return Refusal(400, "X-Heap-Kb: more than can be sent while a client waits")
+        return RejectedRequest(400, "X-Heap-Kb: more than can be sent while a client waits")
     # Dropped on the way, a tokened GET would run as often as its client repeats it.
     token = headers.get(b"x-dedupe-key", b"")
     if token and not TOKEN.fullmatch(token):
-        return Refusal(400, "X-Dedupe-Key: up to 64 letters, digits and _.- are wanted")
+        return RejectedRequest(400, "X-Dedupe-Key: up to 64 letters, digits and _.- are wanted")
     have = headers.get(b"if-none-match")
     have = have and TAG.fullmatch(have)
     asked = Request(
--- a/sprucegate/front/configuration.py
+++ b/sprucegate/front/configuration.py
@@ -35,7 +35,7 @@
 )  # kept free before SIGKILL may come, for answers that have to be written on a busy core
 
 
-class Times(NamedTuple):
+class ConnectionTimes(NamedTuple):
     """Bounds of connections to clients and of a front's end, nanoseconds; from the settings but for the page's own."""
 
     unfinished: int  # for a first request, or one begun, to be whole
@@ -50,7 +50,7 @@
 def times_from(settings):
     longest = max([given for given in settings.get("viewer_timeout") or () if given], default=LONGEST_COUNTED)
     counted = min(longest, LONGEST_COUNTED)
-    return Times(
+    return ConnectionTimes(
         # A request's time is counted from its last byte: short viewer timeouts make no client write faster. Within
         # this, though, all that was begun before SIGKILL may come can still be whole and answered.
         unfinished=LONGEST_COUNTED * 7 // 10,
@@ -64,7 +64,7 @@
     )
 
 
-class Wanted(NamedTuple):
+class FrontConfiguration(NamedTuple):
     """What the operators want of one front."""
 
     name: str
@@ -81,7 +81,7 @@
     locations: dict
     kinds: dict
     settings: dict  # for the module, under its own names
-    times: Times
+    times: ConnectionTimes
     servers: object = None  # what the operator's file says of them; None: all speak lines
     membership: object = None  # and of sources of the list; None: the bus alone
     fleet: object = None  # and of other fronts; None: this one is alone
@@ -202,7 +202,7 @@
             raise FrontConfigurationError(f"settings.{path}: is missing")
     if found := configuration_checks.fault(settings, len(locations)):
         raise FrontConfigurationError(f"settings.{found[0]}: {found[1]}")
-    return Wanted(
+    return FrontConfiguration(
         name=_pick(data, "name", str),
         listen=_address(_pick(data, "listen", str), "listen"),
         seed=seed,
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -10,16 +10,17 @@
 from sprucegate.front.counters import Counters
 from sprucegate.front.invariants import Invariants
 from sprucegate.front.open_requests import OpenAttempt
-from sprucegate.front.protocol.http import Refusal, tagged
+from sprucegate.front.protocol.http import RejectedRequest, tagged
 from sprucegate.front.response_cache import CachedResponse, ResponseCache
 from sprucegate.front.response_writer import ResponseWriter
 from sprucegate.routing.actions import AwaitSlot, CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
-from sprucegate.routing.router import OWN_BYTES, Router
+from sprucegate.routing.response_cache import OWN_COPIES_BYTES
+from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.upstream.hosts import EndpointList
 from sprucegate.upstream.sending import Sending
-from sprucegate.upstream.servers import Servers
+from sprucegate.upstream.servers import UpstreamServers
 
 MS = 1_000_000
 COMPACTED = 128  # entries of the heap of time-outs from which those that are over are let go
@@ -34,13 +35,13 @@
         self.relay, self.book, self.ready, self.aside = ResponseWriter(self), Counters(), False, False
         self.invariants = Invariants(wanted.settings, self.book.count, log)
         self.sending = Sending(self.book.count, self.invariants.began)
-        self.servers = Servers(self, pool, wanted.settings, wanted.descriptors // 3, wanted.servers)
+        self.servers = UpstreamServers(self, pool, wanted.settings, wanted.descriptors // 3, wanted.servers)
         self.most = wanted.settings.get("max_open", 1 << 30)
         self.open, self.ids, self.limits, self.order = {}, {}, [], count()
         self.compacts_at = COMPACTED
         self.timer, self.armed, self.membership, self.fleet = None, None, None, None
         self.places = None  # who shares out places for slow fills; None: each starts at once
-        self.copies = ResponseCache(min(OWN_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link)
+        self.copies = ResponseCache(min(OWN_COPIES_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link)
 
     # What happens.
 
@@ -54,8 +55,8 @@
             get = admit(client, request, self.wanted.ds_names, self.wanted.settings, self.ids, now - at)
         except Exception as fault:
             self.fault(fault)
-            get = Refusal(500, "this request could not be read")
-        if isinstance(get, Refusal):
+            get = RejectedRequest(500, "this request could not be read")
+        if isinstance(get, RejectedRequest):
             self.book.count("bad_requests")
             self.relay.refuse(client, get)
             return
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -21,7 +21,8 @@
     :ivar effects: the effect of a request that runs twice, by delivery service; "idempotent" where not set
     :ivar most_attempts: most attempts of a request
     :ivar logged: violations logged in this second
-    :ivar closed_to: ids of servers that drain or are gone, the latest last
+    :ivar closed_to: ids of servers that the last lists named as draining or gone, the latest last; one that a
+        complete list omits isn't among them
     """
 
     def __init__(self, settings, count, log):
--- a/sprucegate/front/protocol/bus.py
+++ b/sprucegate/front/protocol/bus.py
@@ -20,7 +20,7 @@
     """An event that lacks what it needs."""
 
 
-class Purge(NamedTuple):
+class InvalidationEvent(NamedTuple):
     object: int
     group: int
     at: int  # Unix time, nanoseconds
@@ -88,7 +88,9 @@
         if "ban" in event:
             said = event["ban"]
             obj = int(said["url"], 16) if "url" in said else -1
-            return offset, Purge(obj, int(said.get("tag", -1)) if obj < 0 else -1, int(said["ts"]) * MS)
+            return offset, InvalidationEvent(
+                obj, int(said.get("tag", -1)) if obj < 0 else -1, int(said["ts"]) * MS
+            )
         return offset, None
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError, OverflowError) as fault:
         raise MalformedEventError(f"event that can't be read ({type(fault).__name__}: {fault})") from None
--- a/sprucegate/front/protocol/http.py
+++ b/sprucegate/front/protocol/http.py
@@ -32,7 +32,7 @@
     keep_alive: bool
 
 
-class Refusal(NamedTuple):
+class RejectedRequest(NamedTuple):
     """The response to an invalid request: its status, a plain text and further header lines."""
 
     status: int
@@ -84,7 +84,9 @@
             if name in self.repeatable:
                 value = b""
             else:
-                self.fault = self.fault or Refusal(400, f"header {name.decode('latin-1')} stands twice")
+                self.fault = self.fault or RejectedRequest(
+                    400, f"header {name.decode('latin-1')} stands twice"
+                )
         self.headers[name] = value
 
     def on_headers_complete(self):
@@ -92,13 +94,13 @@
         self.in_head = False
         length = self.headers.get(b"content-length", b"0")
         if length.isdigit() and int(length) > BODY_MOST_BYTES:
-            self.fault = self.fault or Refusal(413, f"a body holds at most {BODY_MOST_BYTES} bytes")
+            self.fault = self.fault or RejectedRequest(413, f"a body holds at most {BODY_MOST_BYTES} bytes")
 
     def on_body(self, body):
         """Handle a part of the body, within the bound."""
         self.body += body
         if len(self.body) > BODY_MOST_BYTES:
-            self.fault = self.fault or Refusal(413, f"a body holds at most {BODY_MOST_BYTES} bytes")
+            self.fault = self.fault or RejectedRequest(413, f"a body holds at most {BODY_MOST_BYTES} bytes")
             self.body = b""
 
     def on_message_complete(self):
@@ -124,12 +126,12 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.fault = Refusal(400, "no other protocol is spoken here")
+            self.fault = RejectedRequest(400, "no other protocol is spoken here")
         except httptools.HttpParserError:
-            self.fault = self.fault or Refusal(400, "not a readable HTTP/1.1 request")
+            self.fault = self.fault or RejectedRequest(400, "not a readable HTTP/1.1 request")
         if self.in_head and self.head_size > HEAD_MOST_BYTES:
             # httptools keeps an unfinished header itself: without a bound a client could fill the memory.
-            self.fault = self.fault or Refusal(431, f"a head holds at most {HEAD_MOST_BYTES} bytes")
+            self.fault = self.fault or RejectedRequest(431, f"a head holds at most {HEAD_MOST_BYTES} bytes")
         whole, self.whole = self.whole, []
         return whole
 
--- a/sprucegate/routing/attempt_results.py
+++ b/sprucegate/routing/attempt_results.py
@@ -221,7 +221,7 @@
         elif result.status is CacheStatus.ORIGIN_FAILED:
             # Another way to the same origin asks more of it: only a stale copy is worth a look.
             grace_time = self.settings.of_service("grace_time", state.request.delivery_service, 0)
-            state.hopeless = not grace_time
+            state.no_retry = not grace_time
         else:
             source.as_source.record(result.now, False, 0)
 
--- a/sprucegate/routing/events.py
+++ b/sprucegate/routing/events.py
@@ -17,7 +17,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How one attempt ended. The members after the blank line prove that the request was not executed."""
+    """How one attempt ended. The members of NEVER_EXECUTED prove that the request was not executed."""
 
     RETURNED = auto()
     ERROR = auto()
@@ -116,8 +116,9 @@
 class EjectionGossip(NamedTuple):
     """A server that another router finds slow or has ejected.
 
-    `slowness` is in thousandths of the server's usual pace, 0 if unknown; `remaining` is how long the
-    ejection still lasts and `age` the time since the last sample of its pace, in nanoseconds.
+    `slowness` is the median ratio of actual to expected sending time, in thousandths, 0 if unknown;
+    `remaining` is how long the ejection still lasts and `age` the time since the last sample of its pace, in
+    nanoseconds.
     """
 
     cache: int
--- a/sprucegate/routing/health_record.py
+++ b/sprucegate/routing/health_record.py
@@ -1,8 +1,9 @@
 """Health record: the last results of a server, and the rules by which they make it an outlier.
 
 A server is ejected for its ejection time if it fails or is far slower than its peers. The time doubles with
-each ejection, up to a maximum, and falls with each success. Afterwards the server is on probation: it gets
-one request at a time until one of them succeeds. The terms are those of Envoy's outlier detection.
+each ejection, up to a maximum, and falls with each success. Afterwards a cache is on probation: it gets one
+request at a time until one succeeds. A source of fills is used again at once. The terms are those of Envoy's
+outlier detection.
 """
 
 from collections import deque
@@ -105,10 +106,10 @@
     ) -> None:
         """Eject the server if it is an outlier.
 
-        It is one if it is SLOWNESS_RATIO_MAX times slower than the median of its peers, or if it fails: more
-        than half of the time where a failure can only be its own fault (`own_fault`), else always while at
-        least half of its peers fail less than half of the time. `silent_peers` have no recent result and
-        count as healthy.
+        It is one if it is SLOWNESS_RATIO_MAX times slower than the median of its peers, or if it fails: in
+        more than half of its last results if the last failure can only be its own fault (`own_fault`),
+        otherwise in all of them while the median failure ratio of its peers is below one half.
+        `silent_peers` have no recent result and count as healthy.
         """
         if not self.needs_judging(now):
             return
--- a/sprucegate/routing/request.py
+++ b/sprucegate/routing/request.py
@@ -49,14 +49,14 @@
     :ivar finished: whether its final answer is decided.
     :ivar streaming: whether the response has begun; nothing is decided from then on.
     :ivar missed: whether the last attempt was a plain miss or never left.
-    :ivar hopeless: whether no attempt may follow.
+    :ivar no_retry: whether no further attempt may follow the one under way.
     :ivar failed_servers: indices of servers that did not serve or fill it.
     :ivar slot_source: source at which it holds a concurrency slot, if another module hands these out.
     """
 
     __slots__ = (
         "router", "request", "objective_at", "deadline", "attempts", "finished", "streaming", "missed",
-        "hopeless", "failed_servers", "slot_source",
+        "no_retry", "failed_servers", "slot_source",
     )  # fmt: skip
 
     def __init__(self, router: "Router", request: Request, now: int) -> None:
@@ -68,7 +68,7 @@
         self.finished = False
         self.streaming = False
         self.missed = False
-        self.hopeless = False
+        self.no_retry = False
         self.failed_servers: set[int] = set()
         self.slot_source: int | None = None
 
--- a/sprucegate/routing/retry.py
+++ b/sprucegate/routing/retry.py
@@ -44,7 +44,7 @@
         """
         sent = len(state.attempts)
         service = state.request.delivery_service
-        if state.hopeless or now >= state.deadline or sent >= self.settings.max_forwards:
+        if state.no_retry or now >= state.deadline or sent >= self.settings.max_forwards:
             return False
         if state.possibly_executed() and not self.is_idempotent(service):
             return False
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -19,7 +19,7 @@
 from sprucegate.routing.load_shedding import DeadlineQueue
 from sprucegate.routing.outlier_detection import OutlierDetector
 from sprucegate.routing.request import Action, Attempt, RequestState
-from sprucegate.routing.response_cache import OWN_COPIES_BYTES, ResponseCachePolicy
+from sprucegate.routing.response_cache import ResponseCachePolicy
 from sprucegate.routing.retry import RetryPolicy
 from sprucegate.routing.server import Server
 from sprucegate.routing.server_registry import ServerRegistry
@@ -27,7 +27,7 @@
 from sprucegate.routing.slow_start import SlowStart
 from sprucegate.units import MILLISECOND, SECOND
 
-OWN_BYTES = OWN_COPIES_BYTES
+# Limits of the line transport, which imports them.
 CONNECTIONS = 4  # to one cache: each more is read on its own, which costs CPU where requests are many
 STALLED = 150 * MILLISECOND  # a response begun and then silent so long won't be finished
 ENDPOINT_RETRY_NS = SECOND  # so that a busy discovery can recover
@@ -97,7 +97,7 @@
         elif cache is None:
             cache = self.sources.parent_or_origin(state, now)[0] if self.settings.direct else None
             source = self._first_origin()
-            # Past the caches it is as long on the link as a fill.
+            # An answer straight from the origin occupies the inbound link as long as a fill does.
             if self.link.fill_would_be_late(request, state.objective_at, now):
                 return None
         elif not in_time and self.draws.chance(request.id) >= TRIAL_SHARE:
@@ -129,8 +129,8 @@
         ):
             source = cache
             may_fetch = False
-        # Hits go on: a look at cache and parent costs next to nothing, and a miss is then given up.
-        state.hopeless = not may_fetch
+        # Still sent, though without a fetch: asking cache and parent is cheap, and a hit can be served.
+        state.no_retry = not may_fetch
         return source, not may_fetch
 
     def _needs_slot(
@@ -176,12 +176,12 @@
             cache.id,
             source.id,
             rank=rank,
-            max_age=self.invalidations.max_age(request, number > 0 or state.hopeless, now),
+            max_age=self.invalidations.max_age(request, number > 0 or state.no_retry, now),
             timeout=max(TIMEOUT_MIN_NS, state.deadline - now),
             collapse=bool(self.settings.joins),
             only_if_cached=only_if_cached,
             bypass_parent=False,
-            revalidate=bool(self.settings.of_service("fresh_time", service, 0)) and not state.hopeless,
+            revalidate=bool(self.settings.of_service("fresh_time", service, 0)) and not state.no_retry,
         )
 
     def _count_fill(self, attempt: Attempt, request: Request, only_if_cached: bool, now: int) -> None:
--- a/sprucegate/routing/server.py
+++ b/sprucegate/routing/server.py
@@ -26,12 +26,14 @@
     :ivar replaced_at: when this router saw it come back after being out of reach, None if the list told its
         start.
     :ivar load: its last load report; `load_at` is when it came.
-    :ivar credit: slow start's budget left (ns of sending time), None before the first use; as of `credit_at`.
+    :ivar slow_start_budget: sending time that slow start still allows (ns), None before its first use, as of
+        `slow_start_budget_at`.
     """
 
     __slots__ = (
         "index", "id", "entry", "role", "label", "lane", "unreachable_until", "in_flight", "fills_in_flight",
-        "as_cache", "as_source", "load", "load_at", "started", "replaced_at", "credit", "credit_at",
+        "as_cache", "as_source", "load", "load_at", "started", "replaced_at", "slow_start_budget",
+        "slow_start_budget_at",
     )  # fmt: skip
 
     def __init__(self, index: int, entry: Endpoint, role: str) -> None:
@@ -54,8 +56,8 @@
         self.load_at = LONG_AGO
         self.started = started
         self.replaced_at = replaced_at
-        self.credit: float | None = None
-        self.credit_at = LONG_AGO
+        self.slow_start_budget: float | None = None
+        self.slow_start_budget_at = LONG_AGO
 
     def reached(self, success: bool, now: int, platform_now: int) -> None:
         """Note whether it could be reached.
--- a/sprucegate/routing/slow_start.py
+++ b/sprucegate/routing/slow_start.py
@@ -2,7 +2,9 @@
 
 Each router has a token bucket for each server that is warming up. It fills by a share, growing linearly with
 the server's age, of what warm servers return, and every request takes its expected sending time. Capacity
-itself is never told, so that the work returned is the guide.
+itself is never told, so that the work returned is the guide. The quotas have a ramp of their own
+(`fleet/quotas/slots.py`), and maintenance permits wait for the same warm times
+(`fleet/maintenance_agent.py`).
 """
 
 from collections import deque
@@ -53,8 +55,8 @@
 
     def spend(self, server: Server, delivery_service: int) -> None:
         """Take one request of this service out of the server's budget."""
-        if server.credit is not None:
-            server.credit -= self.load.mean_sending_time(delivery_service)
+        if server.slow_start_budget is not None:
+            server.slow_start_budget -= self.load.mean_sending_time(delivery_service)
 
     def has_budget(self, server: Server, delivery_service: int, now: int) -> bool:
         """Whether the server's budget allows one more request of this service; a warm one's always does."""
@@ -72,13 +74,13 @@
         if not self.load.returns:  # among cold servers alone nothing would ever be earned
             budget = savings = cost * window / ramp.warm_time
         self._refill(server, budget, cost, savings, now)
-        return server.credit is not None and server.credit >= cost
+        return server.slow_start_budget is not None and server.slow_start_budget >= cost
 
     def _full_rate(self, server: Server, now: int) -> float:
         """Work that a warm server of this weight returns, as the mean number of transfers.
 
-        Its part is that of all servers that ever stood: one that is left did not carry alone what is still
-        counted.
+        It is divided by the largest weight that the group has ever had: `rate` still counts returns of
+        servers that have left since.
         """
         rate = self.load.rate(now) * server.entry.weight / (self.registry.largest_weight[server.role] or 1)
         if server.role != "parent":
@@ -87,19 +89,20 @@
         return rate * (fills / (ASSUMED_FILLS + len(self.statuses)))
 
     def _refill(self, server: Server, budget: float, cost: int, savings: float, now: int) -> None:
-        """Add to the server's credit (ns of sending time) what it earned since the last call.
+        """Add to the server's slow-start budget (ns of sending time) what it earned since the last call.
 
         :param budget: what it earns in one window of `fall_time`.
         :param cost: expected sending time of the request at hand.
         :param savings: most that it keeps beyond that request.
         """
-        if server.credit is None:
+        if server.slow_start_budget is None:
             # A part of a request by chance: the first requests of many routers together would overload it.
-            server.credit = self.draws.chance(server.label.hex()) * cost
-            server.credit_at = now
-        credit = server.credit + budget * (now - server.credit_at) / self.settings.fall_time
+            server.slow_start_budget = self.draws.chance(server.label.hex()) * cost
+            server.slow_start_budget_at = now
+        elapsed = now - server.slow_start_budget_at
+        earned = server.slow_start_budget + budget * elapsed / self.settings.fall_time
         # Capped, or what routers saved up in a quiet time would come from all of them at once. By whole
         # requests: capped alike, all routers would hold one ready at any time.
-        credit -= cost * max(0, ceil((credit - cost - savings) / cost))
-        server.credit = credit
-        server.credit_at = now
+        earned -= cost * max(0, ceil((earned - cost - savings) / cost))
+        server.slow_start_budget = earned
+        server.slow_start_budget_at = now
--- a/sprucegate/storage/snapshots.py
+++ b/sprucegate/storage/snapshots.py
@@ -85,7 +85,7 @@
         with contextlib.suppress(OSError):
             self.disk.remove(str(Path(self.folder) / name))
 
-    def logs_before(self, log_pattern: re.Pattern[str]) -> None:
+    def remove_logs_before(self, log_pattern: re.Pattern[str]) -> None:
         """Remove the logs that no kept snapshot needs; `log_pattern` matches a log's name and groups its generation.
 
         Logs from the oldest kept snapshot on stay, as the newer snapshots may turn out to be torn.
--- a/sprucegate/upstream/http2/evidence.py
+++ b/sprucegate/upstream/http2/evidence.py
@@ -23,7 +23,7 @@
 GATEWAY_TIMEOUT = 504
 
 
-class Written(IntEnum):
+class WriteProgress(IntEnum):
     """How much of a request the socket took before the connection was closed for good."""
 
     NOTHING = 0
@@ -85,8 +85,8 @@
 
     Only for a connection closed on this side too: bytes that still lie in the front may go out otherwise.
     """
-    if written is not Written.WHOLE:
-        return NOT_WRITTEN if written is Written.NOTHING else IN_PART
+    if written is not WriteProgress.WHOLE:
+        return NOT_WRITTEN if written is WriteProgress.NOTHING else IN_PART
     if last is None:
         return ENDED
     return ABOVE_LAST if stream > last else ENDED_AFTER_GOAWAY
--- a/sprucegate/upstream/http2/guard.py
+++ b/sprucegate/upstream/http2/guard.py
@@ -20,7 +20,7 @@
 S = 1_000_000_000
 
 
-class Fault(NamedTuple):
+class FrameFault(NamedTuple):
     """The connection can't go on: the code for our GOAWAY, and a text for the log."""
 
     code: int
@@ -34,7 +34,7 @@
     data: bytes  # header and payload
 
 
-class Guard:
+class FrameGuard:
     def __init__(self, now):
         self.held, self.fault, self.begun = bytearray(), None, False
         self.allowed, self.at, self.block, self.parts = ALLOWED, now, 0, 0
@@ -51,7 +51,7 @@
         while self.fault is None and len(held) - at >= 9:
             length = held[at] << 16 | held[at + 1] << 8 | held[at + 2]
             if length > FRAME_MOST:
-                self.fault = Fault(FRAME_SIZE_ERROR, f"a frame of {length} bytes")
+                self.fault = FrameFault(FRAME_SIZE_ERROR, f"a frame of {length} bytes")
             elif len(held) - at < 9 + length:
                 break
             else:
@@ -74,7 +74,7 @@
             # RFC 9113 section 3.4: without it the peer speaks something else.
             self.begun = kind == SETTINGS and not flags & ACK
             if not self.begun:
-                self.fault = Fault(PROTOCOL_ERROR, "does not begin with SETTINGS")
+                self.fault = FrameFault(PROTOCOL_ERROR, "does not begin with SETTINGS")
         if kind == DATA:
             if length >= SMALL or flags & END_STREAM:
                 return
@@ -82,15 +82,15 @@
             self.block = length if kind == HEADERS else self.block + length
             self.parts = 0 if kind == HEADERS else self.parts + 1
             if self.block > BLOCK_MOST or self.parts > PARTS_MOST:
-                self.fault = Fault(ENHANCE_YOUR_CALM, "a header block without end")
+                self.fault = FrameFault(ENHANCE_YOUR_CALM, "a header block without end")
         self.allowed -= 1
         if self.allowed < 0:
-            self.fault = Fault(ENHANCE_YOUR_CALM, "a flood of frames that carry nothing")
+            self.fault = FrameFault(ENHANCE_YOUR_CALM, "a flood of frames that carry nothing")
 
 
 def goaway(frame):
     """(last stream, error code) of a GOAWAY, or a Fault: RFC 9113 section 6.8."""
     payload = frame.data[9:]
     if frame.stream or len(payload) < 8:
-        return Fault(PROTOCOL_ERROR if frame.stream else FRAME_SIZE_ERROR, "a GOAWAY that can't be read")
+        return FrameFault(PROTOCOL_ERROR if frame.stream else FRAME_SIZE_ERROR, "a GOAWAY that can't be read")
     return int.from_bytes(payload[:4], "big") & 0x7FFFFFFF, int.from_bytes(payload[4:8], "big")
--- a/sprucegate/upstream/http2/mapping.py
+++ b/sprucegate/upstream/http2/mapping.py
@@ -14,7 +14,7 @@
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.upstream.http2 import evidence
-from sprucegate.upstream.place import Returned
+from sprucegate.upstream.place import ServerResponse
 
 MS, S = 1_000_000, 1_000_000_000
 BODY_MOST = 240_000  # bytes of an object
@@ -44,7 +44,7 @@
     found: CacheStatus
     waited: int  # for the source, nanoseconds
     load: dict
-    returned: Returned | None
+    returned: ServerResponse | None
     row: evidence.Row | None
 
 
@@ -184,6 +184,6 @@
     tag = _tag(fields.get(b"etag", b""))
     # A 304 that names no copy of the client's is not passed on: it would be shown one that no cache has named.
     if status == 200 or status == 304 and have and tag == have:
-        returned = Returned(status == 304, tag, 0, body if status == 200 else b"", _age(fields))
+        returned = ServerResponse(status == 304, tag, 0, body if status == 200 else b"", _age(fields))
         return Meaning(AttemptOutcome.RETURNED, found, waited, load, returned, None)
     return Meaning(row.outcome if row else AttemptOutcome.ERROR, found, waited, load, None, row)
--- a/sprucegate/upstream/http2/pool.py
+++ b/sprucegate/upstream/http2/pool.py
@@ -14,7 +14,7 @@
 LACKING = 10_000_000  # nanoseconds until a connection is tried again that this side could not begin
 
 
-class Phase(IntEnum):
+class ConnectionPhase(IntEnum):
     OPENING = 0  # dialled, or up without the peer's SETTINGS
     UP = 1
     RETIRING = 2  # old: takes streams until its successor is up, against a hole at each change
@@ -22,18 +22,18 @@
 
 
 @dataclass(slots=True)
-class Send:
+class SendOnConnection:
     forward: object
     connection: int
 
 
 @dataclass(slots=True)
-class Open:
+class OpenConnection:
     connection: int
 
 
 @dataclass(slots=True)
-class Refuse:
+class RefuseRequest:
     """The forward never left the front: FULL where no stream was to be had, UNREACHABLE where the server could
     not be connected to, NOT_SENT where the cause lies here or a connection was lost."""
 
@@ -42,12 +42,12 @@
 
 
 @dataclass(slots=True)
-class Ping:
+class SendPing:
     connection: int
 
 
 @dataclass(slots=True)
-class Close:
+class CloseConnection:
     """To be closed now; `why` is for the log. What is open on it ends by its evidence."""
 
     connection: int
@@ -71,13 +71,13 @@
     )
 
     def __init__(self, number, now):
-        self.number, self.phase, self.limit = number, Phase.OPENING, 0
+        self.number, self.phase, self.limit = number, ConnectionPhase.OPENING, 0
         self.open = self.given = self.served = 0
         self.used = self.quiet = now  # a stream's begin or end; the last byte, or begin after rest
         self.pinged, self.retires, self.settled, self.blocked = None, None, None, False
 
 
-class Pool:
+class ConnectionPool:
     def __init__(self, limits, server, instance):
         self.limits, self.label = limits, f"{instance}/{server}"
         self.connections, self.waiting, self.number, self.draws = {}, OrderedDict(), 0, 0
@@ -92,15 +92,15 @@
     def ask(self, forward, now):
         """A forward wants a stream."""
         if self.left_for_good:
-            return [Refuse(forward, AttemptOutcome.NOT_SENT)]
-        serving = any(c.phase is not Phase.DRAINING for c in self.connections.values())
+            return [RefuseRequest(forward, AttemptOutcome.NOT_SENT)]
+        serving = any(c.phase is not ConnectionPhase.DRAINING for c in self.connections.values())
         if not serving and now < self.again and not self.lacking:
             # At once: a server that is known not to be had is not waited for.
-            return [Refuse(forward, self._away())]
+            return [RefuseRequest(forward, self._away())]
         if not self.waiting and (best := self._best()) is not None:
             return [self._give(best, forward, now), *self._grow(now)]
         if len(self.waiting) >= self.limits.waiting:
-            return [Refuse(forward, AttemptOutcome.FULL)]
+            return [RefuseRequest(forward, AttemptOutcome.FULL)]
         self.waiting[forward] = now + self.limits.wait
         return self._grow(now)
 
@@ -111,11 +111,11 @@
     def opened(self, number, limit, now):
         """The peer's SETTINGS are there."""
         at, spread = self.connections[number], self.limits.age_spread * self._chance()
-        at.phase, at.limit, at.quiet = Phase.UP, limit, now
+        at.phase, at.limit, at.quiet = ConnectionPhase.UP, limit, now
         self.in_reach, self.lacking = True, False
         at.retires, at.settled = now + int(self.limits.age * (1 - spread)), now + self.limits.connect
         said = []
-        for old in [c for c in self.connections.values() if c.phase is Phase.RETIRING]:
+        for old in [c for c in self.connections.values() if c.phase is ConnectionPhase.RETIRING]:
             said += self._drain(old, now)
         return [*said, *self._fill(now)]
 
@@ -139,7 +139,7 @@
         at.open, at.used = at.open - 1, now
         if well:
             at.served, self.failures = at.served + 1, 0
-        if at.phase is Phase.DRAINING and not at.open:
+        if at.phase is ConnectionPhase.DRAINING and not at.open:
             if not at.served and not self.left_for_good:
                 self._failed(now)
             return [self._close(at, "drained"), *self._grow(now)]
@@ -152,7 +152,7 @@
     def goaway(self, number, calm, now):
         """GOAWAY, the first or a further one: no new streams there. `calm` is False where the peer complains."""
         at = self.connections[number]
-        if at.phase is Phase.DRAINING:
+        if at.phase is ConnectionPhase.DRAINING:
             return []  # its successor is there, or on its way, already
         if not calm or not at.served and not at.open:
             self._failed(now)  # or one that lets nobody in would be dialled without end
@@ -165,7 +165,7 @@
         """The connection has ended, or never came up; `reached` where the server showed that it is there."""
         at = self.connections.pop(number)
         # One that was up and broke shows a server in reach, unlike one that can't be connected to.
-        self.in_reach = reached or at.phase is not Phase.OPENING
+        self.in_reach = reached or at.phase is not ConnectionPhase.OPENING
         if not at.served:
             self._failed(now)
         return self._after_loss(now)
@@ -180,7 +180,7 @@
         """The server has gone from the list: what is open there may yet be answered."""
         self.left_for_good, said = (
             True,
-            [Refuse(forward, AttemptOutcome.NOT_SENT) for forward in self.waiting],
+            [RefuseRequest(forward, AttemptOutcome.NOT_SENT) for forward in self.waiting],
         )
         self.waiting.clear()
         for at in list(self.connections.values()):
@@ -194,19 +194,19 @@
     def due(self, now):
         said, limits = [], self.limits
         while self.waiting and next(iter(self.waiting.values())) <= now:
-            said.append(Refuse(self.waiting.popitem(last=False)[0], AttemptOutcome.FULL))
+            said.append(RefuseRequest(self.waiting.popitem(last=False)[0], AttemptOutcome.FULL))
         for at in list(self.connections.values()):
-            if at.phase is Phase.OPENING:
+            if at.phase is ConnectionPhase.OPENING:
                 continue  # the transport bounds its time
-            if at.phase is Phase.UP and at.retires <= now:
-                at.phase = Phase.RETIRING
+            if at.phase is ConnectionPhase.UP and at.retires <= now:
+                at.phase = ConnectionPhase.RETIRING
             if at.settled is not None and at.settled <= now:
                 said += self._broken(at, "settings not acknowledged", now)  # RFC 9113 section 6.5.3
             elif at.pinged is not None and at.pinged + limits.ping_wait <= now:
                 said += self._broken(at, "silent", now)
             elif at.pinged is None and at.open and at.quiet + limits.ping_after <= now:
                 at.pinged = now
-                said.append(Ping(at.number))
+                said.append(SendPing(at.number))
             elif not at.open and at.used + limits.idle <= now:
                 said.append(self._close(at, "idle"))
         return said + self._grow(now)
@@ -218,7 +218,7 @@
         if self.waiting and self.lacking and not self._opening():
             times.append(self.again)
         for at in self.connections.values():
-            if at.phase is Phase.OPENING:
+            if at.phase is ConnectionPhase.OPENING:
                 continue
             times.append(
                 at.used + limits.idle
@@ -229,9 +229,9 @@
             )
             if at.settled is not None:
                 times.append(at.settled)
-            if at.phase is Phase.UP:
+            if at.phase is ConnectionPhase.UP:
                 times.append(at.retires)
-            elif at.phase is Phase.RETIRING and not self._opening():
+            elif at.phase is ConnectionPhase.RETIRING and not self._opening():
                 times.append(self.again)
         return min(times, default=None)
 
@@ -243,7 +243,12 @@
 
     def _room(self, at):
         most = min(at.limit, self.limits.streams)
-        return at.phase in (Phase.UP, Phase.RETIRING) and not at.blocked and at.open < most and most
+        return (
+            at.phase in (ConnectionPhase.UP, ConnectionPhase.RETIRING)
+            and not at.blocked
+            and at.open < most
+            and most
+        )
 
     def _best(self):
         """The least full one that takes another stream: what ends one connection should end few GETs."""
@@ -253,15 +258,15 @@
         return min(found)[2] if found else None
 
     def _opening(self):
-        return any(at.phase is Phase.OPENING for at in self.connections.values())
+        return any(at.phase is ConnectionPhase.OPENING for at in self.connections.values())
 
     def _give(self, at, forward, now):
         if not at.open:
             at.quiet = now
         at.open, at.given, at.used = at.open + 1, at.given + 1, now
-        if at.given >= self.limits.ids and at.phase is Phase.UP:
-            at.phase = Phase.RETIRING  # numbers of streams run out (RFC 9113 section 5.1.1)
-        return Send(forward, at.number)
+        if at.given >= self.limits.ids and at.phase is ConnectionPhase.UP:
+            at.phase = ConnectionPhase.RETIRING  # numbers of streams run out (RFC 9113 section 5.1.1)
+        return SendOnConnection(forward, at.number)
 
     def _fill(self, now):
         said = []
@@ -271,12 +276,12 @@
 
     def _grow(self, now, wanted=False):
         """Another connection, one at a time, where those that are there are full enough."""
-        serving = [at for at in self.connections.values() if at.phase is not Phase.DRAINING]
+        serving = [at for at in self.connections.values() if at.phase is not ConnectionPhase.DRAINING]
         if self.left_for_good or self._opening() or now < self.again:
             return []
         if len(self.connections) >= 2 * self.limits.connections:
             return []  # a peer that sends each one away must not be dialled without end
-        retiring = any(at.phase is Phase.RETIRING for at in serving)
+        retiring = any(at.phase is ConnectionPhase.RETIRING for at in serving)
         if len(serving) >= self.limits.connections + retiring:
             return []
         if not wanted and not self.waiting and not retiring:
@@ -288,16 +293,16 @@
     def _open(self, now):
         self.number += 1
         self.connections[self.number] = Connection(self.number, now)
-        return [Open(self.number)]
+        return [OpenConnection(self.number)]
 
     def _close(self, at, why):
         del self.connections[at.number]
-        return Close(at.number, why)
+        return CloseConnection(at.number, why)
 
     def _drain(self, at, now):
-        if at.phase is Phase.OPENING:
+        if at.phase is ConnectionPhase.OPENING:
             return [self._close(at, "no longer wanted")] if self.left_for_good else []
-        at.phase = Phase.DRAINING
+        at.phase = ConnectionPhase.DRAINING
         return [] if at.open else [self._close(at, "drained")]
 
     def _broken(self, at, why, now):
@@ -316,7 +321,7 @@
 
     def _after_loss(self, now):
         said = self._grow(now) if self.waiting else []
-        if not any(at.phase is not Phase.DRAINING for at in self.connections.values()):
-            said += [Refuse(forward, self._away()) for forward in self.waiting]
+        if not any(at.phase is not ConnectionPhase.DRAINING for at in self.connections.values()):
+            said += [RefuseRequest(forward, self._away()) for forward in self.waiting]
             self.waiting.clear()
         return said
--- a/sprucegate/upstream/http2/session.py
+++ b/sprucegate/upstream/http2/session.py
@@ -26,8 +26,8 @@
 from hpack import Encoder
 
 from sprucegate.upstream.http2 import guard
-from sprucegate.upstream.http2.evidence import CANCEL, Written
-from sprucegate.upstream.http2.guard import Fault, Guard
+from sprucegate.upstream.http2.evidence import CANCEL, WriteProgress
+from sprucegate.upstream.http2.guard import FrameFault, FrameGuard
 from sprucegate.upstream.http2.mapping import BODY_MOST
 
 STREAM_WINDOW = 262_144  # above BODY_MOST: a whole answer fits without a window update of its own
@@ -133,7 +133,7 @@
         return super().encode(headers, huffman)
 
 
-class Session:
+class Http2Session:
     def __init__(self, held_most, now):
         self.h2 = Counted(
             H2Configuration(
@@ -155,7 +155,7 @@
             },
         )
         self.h2.decoder.max_header_list_size = LIST_MOST
-        self.guard, self.fault, self.streams, self.uploads, self.answers = Guard(now), None, {}, {}, {}
+        self.guard, self.fault, self.streams, self.uploads, self.answers = FrameGuard(now), None, {}, {}, {}
         self.outgoing, self.made, self.gone = bytearray(), 0, 0
         self.held, self.held_most, self.taken = 0, held_most, 0
         self.last, self.ready, self.heard = None, False, now
@@ -216,8 +216,8 @@
 
     def written(self, stream):
         if self.gone >= stream.head_end:
-            return Written.WHOLE
-        return Written.PART if self.gone > stream.first else Written.NOTHING
+            return WriteProgress.WHOLE
+        return WriteProgress.PART if self.gone > stream.first else WriteProgress.NOTHING
 
     def stalled(self, limit, now):
         """Streams whose answer was begun and has had no byte: the peer may serve others first, but not for long."""
@@ -236,7 +236,7 @@
                 try:
                     events = self.h2.receive_data(frame.data)
                 except H2Error as fault:
-                    self.fault = Fault(
+                    self.fault = FrameFault(
                         getattr(fault, "error_code", 1), f"{type(fault).__name__}: {fault}"[:200]
                     )
                     self._collect()
@@ -254,7 +254,7 @@
 
     def _goaway(self, frame, said):
         read = guard.goaway(frame)
-        if isinstance(read, Fault):
+        if isinstance(read, FrameFault):
             self.fault = read
             return
         last, code = read
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -10,16 +10,23 @@
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.upstream.http2 import evidence, mapping
-from sprucegate.upstream.http2.pool import Close, Open, Ping, Pool, Refuse, Send
+from sprucegate.upstream.http2.pool import (
+    CloseConnection,
+    ConnectionPool,
+    OpenConnection,
+    RefuseRequest,
+    SendOnConnection,
+    SendPing,
+)
 from sprucegate.upstream.http2.session import (
     Acknowledged,
     Answered,
     GoneAway,
+    Http2Session,
     Limited,
     Ponged,
     Ready,
     Reset,
-    Session,
     Spoilt,
 )
 from sprucegate.upstream.progress import Progress
@@ -71,7 +78,7 @@
         self.out, self.said, self.source, self.connection, self.stream = out, said, source, None, None
 
 
-class Http2:
+class Http2Transport:
     def __init__(self, servers, driver, pool, settings, limits):
         self.servers, self.driver, self.buffers, self.limits = servers, driver, pool, limits
         self.loop, self.instance = asyncio.get_running_loop(), getattr(driver.wanted, "name", "")
@@ -83,7 +90,7 @@
 
     def kept(self, place):
         authority = "{}:{}".format(*place.address).encode()
-        return Held(Pool(self.limits, place.id, self.instance), authority)
+        return Held(ConnectionPool(self.limits, place.id, self.instance), authority)
 
     def open_connections(self, place):
         return len(place.held.connections)
@@ -171,19 +178,19 @@
         self.active[place.id] = place
         for one in said:
             match one:
-                case Send():
+                case SendOnConnection():
                     self._send(place, one)
-                case Open():
+                case OpenConnection():
                     self._open(place, one.connection)
-                case Refuse():
+                case RefuseRequest():
                     self.loop.call_soon(
                         self.driver.ended, one.forward.out, one.outcome, CacheStatus.UNKNOWN, 0, {}
                     )
-                case Ping():
+                case SendPing():
                     connection = place.held.connections[one.connection]
                     connection.session.ping()
                     self._want_flush(connection)
-                case Close():
+                case CloseConnection():
                     if (connection := place.held.connections.get(one.connection)) is not None:
                         # Later, as the caller may stand in the middle of this connection's events.
                         self.loop.call_soon(self.close, connection, one.why)
@@ -210,7 +217,7 @@
         self._want_flush(connection)
 
     def _open(self, place, number):
-        session = Session(self.limits.held, self.driver.clock())
+        session = Http2Session(self.limits.held, self.driver.clock())
         connection = place.held.connections[number] = H2Connection(place, number, session)
         if not self.servers.room():
             connection.lacking = True  # nothing is known of the server
--- a/sprucegate/upstream/lines/codec.py
+++ b/sprucegate/upstream/lines/codec.py
@@ -5,7 +5,7 @@
 
 from sprucegate.errors import ProtocolError
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
-from sprucegate.upstream.place import Returned
+from sprucegate.upstream.place import ServerResponse
 
 LINE_MOST = 4096  # bytes of an answer's line
 BODY_MOST = 240_000  # bytes of an object
@@ -181,7 +181,7 @@
 def returned(answer):
     """What goes on to the client of an answer whose outcome is RETURNED."""
     made = answer.fields.get("made", "")
-    return Returned(
+    return ServerResponse(
         answer.word == b"still_good",
         answer.fields.get("etag", ""),
         int(made) * MS if made.isdecimal() else 0,
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -14,7 +14,7 @@
 LOOKS = 8  # reads of what stands on resting connections before one is taken
 
 
-class Lines:
+class LineTransport:
     def __init__(self, servers, driver, pool, settings):
         self.servers, self.driver, self.pool = servers, driver, pool
         self.connect_timeout = settings.get("connect_timeout", 400_000_000)
--- a/sprucegate/upstream/place.py
+++ b/sprucegate/upstream/place.py
@@ -22,7 +22,7 @@
         self.gone = False
 
 
-class Returned(NamedTuple):
+class ServerResponse(NamedTuple):
     """A response of a server, the same for all protocols.
 
     :ivar still_good: the client's stored response is still valid (304): no body
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -7,20 +7,20 @@
 """
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
-from sprucegate.upstream.lines.transport import Lines
+from sprucegate.upstream.lines.transport import LineTransport
 from sprucegate.upstream.place import UpstreamServer
 
 
-class Servers:
+class UpstreamServers:
     def __init__(self, driver, pool, settings, most, wanted=None):
         """`wanted` is what the operator's file says of servers; without it all of them speak lines."""
         self.driver, self.most, self.connections, self.places = driver, most, 0, {}
-        self.wanted, self.transports = wanted, {"lines": Lines(self, driver, pool, settings)}
+        self.wanted, self.transports = wanted, {"lines": LineTransport(self, driver, pool, settings)}
         if wanted is not None and wanted.speaks("http2"):
             # Here and not above: a front without it loads none of its libraries.
-            from sprucegate.upstream.http2.transport import Http2
+            from sprucegate.upstream.http2.transport import Http2Transport
 
-            self.transports["http2"] = Http2(self, driver, pool, settings, wanted.http2)
+            self.transports["http2"] = Http2Transport(self, driver, pool, settings, wanted.http2)
 
     def listed(self, hosts):
         for entry in hosts.entries:
--- a/standins/driver.py
+++ b/standins/driver.py
@@ -14,7 +14,7 @@
 from sprucegate.routing.events import Endpoint, EndpointState, Request
 from sprucegate.upstream.hosts import EndpointList
 from sprucegate.upstream.sending import Sending
-from sprucegate.upstream.servers import Servers
+from sprucegate.upstream.servers import UpstreamServers
 
 
 class Recorder:
@@ -25,7 +25,9 @@
         wanted = SimpleNamespace(
             http2=limits, speaks=lambda name: name == speaks, transport=lambda *_: speaks
         )
-        self.servers = Servers(self, BufferPool(256), settings, most, wanted if speaks != "lines" else None)
+        self.servers = UpstreamServers(
+            self, BufferPool(256), settings, most, wanted if speaks != "lines" else None
+        )
         self.list(addresses)
 
     def list(self, addresses, whole=True, state=EndpointState.SERVING):
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -16,12 +16,12 @@
 import time
 
 from sprucegate.fleet.random_source import RandomSource
-from sprucegate.fleet.replica.facts import State
-from sprucegate.fleet.replica.replica import Have, Replica, Send, Write
+from sprucegate.fleet.replica.facts import SourceState
+from sprucegate.fleet.replica.replica import PersistRecords, Replica, SeenReport, SendMessage
 
 KEY, WORD = ("purge", "object", 1), ("word", 16, 0, "bus", "a")
 TELLS = {
-    "a": [(KEY, (1,)), (KEY, (3,)), (WORD, (int(State.DRAINING),)), (WORD, (int(State.LIFTED),))],
+    "a": [(KEY, (1,)), (KEY, (3,)), (WORD, (int(SourceState.DRAINING),)), (WORD, (int(SourceState.LIFTED),))],
     "b": [(KEY, (2,))],
     "c": [],
 }
@@ -60,15 +60,19 @@
 
     def done(self, name, actions):
         for action in actions:
-            if isinstance(action, Send) and isinstance(action.message, Have) and self.asked(name, action.to):
+            if (
+                isinstance(action, SendMessage)
+                and isinstance(action.message, SeenReport)
+                and self.asked(name, action.to)
+            ):
                 continue  # the same once more leads nowhere new
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self.flying.append((name, action.to, action.message))
-            elif isinstance(action, Write):
+            elif isinstance(action, PersistRecords):
                 self.writes[name].append(action)
 
     def asked(self, name, to):
-        return any((a, b) == (name, to) and isinstance(m, Have) for a, b, m in self.flying)
+        return any((a, b) == (name, to) and isinstance(m, SeenReport) for a, b, m in self.flying)
 
     def possible(self):
         found = [("tell", name) for name in self.names if self.tells[name]]
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -17,11 +17,11 @@
 from sprucegate.fleet.consensus.log_follower import ApplyCommands, LogFollower, ReplaceState
 from sprucegate.fleet.consensus.log_server import LogServer
 from sprucegate.fleet.random_source import RandomSource
-from sprucegate.fleet.rollout.follower import Words
-from sprucegate.fleet.rollout.leader import Leading, front_lease
-from sprucegate.fleet.rollout.permits import Box as Listed
-from sprucegate.fleet.rollout.permits import Step
-from sprucegate.fleet.rollout.rollout import Rollout
+from sprucegate.fleet.rollout.follower import FrontReporter
+from sprucegate.fleet.rollout.leader import RolloutLeader, front_lease
+from sprucegate.fleet.rollout.permits import ManagedServer as Listed
+from sprucegate.fleet.rollout.permits import PermitStep
+from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 from standins.fleet import keepers
 from standins.fleet.keepers import MS, S, World
 from standins.fleet.schedules import reported
@@ -37,7 +37,7 @@
 
 class KeeperBox(keepers.Box):
     def installs(self, index, state):
-        machine = Rollout()
+        machine = RolloutStateMachine()
         if state:
             machine.loaded(msgspec.msgpack.decode(state))
         self.serving = LogServer(self.keeper, machine)
@@ -56,7 +56,7 @@
         self.done(sends)
 
     def leads(self, on):
-        self.leading = Leading(self.serving.machine, self.clock(), self.world.gate) if on else None
+        self.leading = RolloutLeader(self.serving.machine, self.clock(), self.world.gate) if on else None
         if on:
             generation = self.generation
             self.world.later(1, self, self._duties, generation, self.leading)
@@ -102,7 +102,7 @@
     def start(self):
         self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
         life = self.generation if isinstance(self, Front) else 0
-        self.machine = Rollout()
+        self.machine = RolloutStateMachine()
         self.follower = LogFollower(
             self.world.keepers,
             life,
@@ -110,7 +110,7 @@
             self.clock(),
             front_lease(),
         )
-        self.words = Words(self.name, life)
+        self.words = FrontReporter(self.name, life)
         self.begins()
         self.world.later(1, self, self._due, self.generation)
 
@@ -140,7 +140,7 @@
                 for index, command in action.entries:
                     self.machine.apply(index, command)
             elif isinstance(action, ReplaceState):
-                self.machine = Rollout()
+                self.machine = RolloutStateMachine()
                 self.machine.loaded(msgspec.msgpack.decode(action.state))
 
     def _due(self, generation):
@@ -196,18 +196,18 @@
         for permit in [p for p in self.machine.permits.of_box.values() if p.box in self.boxes]:
             cache, id = world.caches[permit.box], permit.id
             if now - self.renewed.get(id, -10 * S) > 5 * S and permit.step in (
-                Step.GRANTED,
-                Step.OUT,
-                Step.COLD,
+                PermitStep.GRANTED,
+                PermitStep.OUT,
+                PermitStep.COLD,
             ):
                 self.renewed[id] = now
                 found.append(["renew", id, self.name])
             if now < self.busy.get(id, 0):
                 continue
-            if permit.step is Step.DRAINED:
+            if permit.step is PermitStep.DRAINED:
                 self.busy[id] = now + 500 * MS
                 found.append(["out", id, self.name])
-            elif permit.step is Step.OUT:
+            elif permit.step is PermitStep.OUT:
                 self.busy[id] = now + 500 * MS
                 if cache.out_for != id:
                     cache.stops(id)
@@ -220,11 +220,11 @@
                     found.append(["started", id, str(cache.started)])
                 else:
                     found.append(["started", id, str(cache.started)])
-            elif permit.step is Step.COLD and cache.state == "down":
+            elif permit.step is PermitStep.COLD and cache.state == "down":
                 cache.starts_again(permit.version)
                 found.append(["started", id, str(cache.started)])
                 self.busy[id] = now + 500 * MS
-            elif permit.step is Step.COLD and str(cache.started) != permit.start:
+            elif permit.step is PermitStep.COLD and str(cache.started) != permit.start:
                 found.append(["started", id, str(cache.started)])
                 self.busy[id] = now + 500 * MS
         return found
--- a/standins/fleet/schedules.py
+++ b/standins/fleet/schedules.py
@@ -10,13 +10,30 @@
 import time
 
 from sprucegate.fleet.failure_detector.messages import Ack, FullState, Ping
-from sprucegate.fleet.replica.facts import State
-from sprucegate.fleet.replica.replica import Done, Have, Held, Keys, Ranges, Tell
+from sprucegate.fleet.replica.facts import SourceState
+from sprucegate.fleet.replica.replica import (
+    DigestAnnouncement,
+    RangeDigests,
+    RangeKeys,
+    SeenReport,
+    SpreadRecords,
+    TransferEnd,
+)
 from standins.fleet import checkers
 from standins.fleet.simulated import MS, Fleet, S
 
 TROUBLES = ("kill", "pause", "split", "one-way", "kind", "disk-full", "crash-at", "put-back", "lift-gone")
-KINDS = (Tell, Done, Have, Held, Ping, Ack, FullState, Keys, Ranges)
+KINDS = (
+    SpreadRecords,
+    TransferEnd,
+    SeenReport,
+    DigestAnnouncement,
+    Ping,
+    Ack,
+    FullState,
+    RangeKeys,
+    RangeDigests,
+)
 
 
 def played(seed, size, loss=0.0, span=12 * S, settle=25 * S, facts=30, quiet=False, make=Fleet):
@@ -38,11 +55,23 @@
         else:
             server, source = chance.choice(servers), chance.choice(("bus", "file"))
             fleet.at(
-                when, fleet.drained, name, server, State.DRAINING if what < 0.9 else State.GONE, 0, source
+                when,
+                fleet.drained,
+                name,
+                server,
+                SourceState.DRAINING if what < 0.9 else SourceState.GONE,
+                0,
+                source,
             )
             if chance.random() < 0.7:
                 fleet.at(
-                    when + int(chance.random() * 4 * S), fleet.drained, name, server, State.LIFTED, 0, source
+                    when + int(chance.random() * 4 * S),
+                    fleet.drained,
+                    name,
+                    server,
+                    SourceState.LIFTED,
+                    0,
+                    source,
                 )
     for _ in range(0 if quiet else chance.randrange(1, 6)):
         _trouble(fleet, chance, names, 2 * S + int(chance.random() * span), span)
@@ -115,10 +144,10 @@
     elif what == "lift-gone":
         # One that drained goes for long; another hears the same source lift it.
         other = chance.choice(names)
-        fleet.at(when, fleet.drained, name, 0x20, State.DRAINING)
-        fleet.at(when, fleet.drained, other, 0x20, State.DRAINING)
+        fleet.at(when, fleet.drained, name, 0x20, SourceState.DRAINING)
+        fleet.at(when, fleet.drained, other, 0x20, SourceState.DRAINING)
         fleet.at(when + 200 * MS, fleet.kill, name)
-        fleet.at(when + 8 * S, fleet.drained, other, 0x20, State.LIFTED)
+        fleet.at(when + 8 * S, fleet.drained, other, 0x20, SourceState.LIFTED)
         fleet.at(when + 8 * S + lasts, restart)
 
 
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -10,9 +10,20 @@
 from sprucegate.fleet.failure_detector.actions import CheckPort, MemberChanged, NameConflict
 from sprucegate.fleet.membership_view.tracker import ViewChanged
 from sprucegate.fleet.node import FleetNode, outgoing
-from sprucegate.fleet.replica.facts import State
-from sprucegate.fleet.replica.replica import Act, Done, Doubted, Have, LetGo, Live, Mark, Note, Tell, Write
-from sprucegate.fleet.replica_storage import PIECE, Keeping, packed
+from sprucegate.fleet.replica.facts import SourceState
+from sprucegate.fleet.replica.replica import (
+    CatchUpMark,
+    CaughtUp,
+    LogEvent,
+    PersistRecords,
+    RecordDiscarded,
+    RecordInForce,
+    SeenReport,
+    SpreadRecords,
+    TransferEnd,
+    VersionConflict,
+)
+from sprucegate.fleet.replica_storage import RECORDS_PER_PIECE, ReplicaStorage, encode_records
 from standins.disk import Crashed, FaultyDisk
 
 MS, S = 1_000_000, 1_000_000_000
@@ -60,7 +71,7 @@
     def start(self):
         fleet, now = self.fleet, self.fleet.now
         self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
-        self.keeping = Keeping(self.disk, "/f")
+        self.keeping = ReplicaStorage(self.disk, "/f")
         try:
             life = self.keeping.start() << 32 | fleet.chance.randrange(1 << 32)
             kept = self.keeping.open(now)
@@ -116,16 +127,16 @@
         if (sent := outgoing(action)) is not None:
             name, address, message, _ = sent
             to = name if name in fleet.fronts else fleet.by_address.get(address or self._address(name))
-            if isinstance(message, Mark) or isinstance(message, Have) and not message.number:
+            if isinstance(message, CatchUpMark) or isinstance(message, SeenReport) and not message.number:
                 fleet.note(self.name, "says-seen", message.lives)
-            if isinstance(message, Tell | Done):
+            if isinstance(message, SpreadRecords | TransferEnd):
                 fleet.bytes += sum(
-                    20 + len(str(f)) for f in (message.facts if isinstance(message, Tell) else [])
+                    20 + len(str(f)) for f in (message.facts if isinstance(message, SpreadRecords) else [])
                 )
             if to is not None:
                 fleet.send(self, to, message)
         match action:
-            case Write():
+            case PersistRecords():
                 number, generation = action.number, self.generation
                 fault = self.keeping.write(action.record)
                 if fault is None:
@@ -136,11 +147,11 @@
                 else:
                     fleet.note(self.name, "not-kept", fault)
                     fleet.later(MS, self, self._not_kept, number, fault, generation)
-            case Act():
+            case RecordInForce():
                 fleet.note(self.name, "acts", action.fact.key, action.fact.value)
-            case LetGo():
+            case RecordDiscarded():
                 fleet.note(self.name, "let-go", action.fact.key, action.fact.value)
-            case Live():
+            case CaughtUp():
                 fleet.note(
                     self.name,
                     "live",
@@ -149,7 +160,7 @@
                     {n: self.peer.replica.marks[n].as_ranges() for n in action.asked},
                     self.holds(),
                 )
-            case Note():
+            case LogEvent():
                 fleet.note(self.name, "note", action.event)
             case CheckPort(name, _, life):
                 fleet.later(2 * MS, self, self._looked, name, life)
@@ -164,7 +175,7 @@
                 )
             case MemberChanged():
                 fleet.note(self.name, "stands", action.member.name, int(action.member.state))
-            case NameConflict() | Doubted():
+            case NameConflict() | VersionConflict():
                 alias = getattr(action, "alias", "")
                 self._renew(getattr(action, "start_above", 0), alias, self.generation)
 
@@ -210,7 +221,10 @@
             fault = self.keeping.begin_snapshot()
             held, lives = self.peer.replica.captured()
             if fault is None:
-                pieces = [packed(held[at : at + PIECE]) for at in range(0, len(held), PIECE)]
+                pieces = [
+                    encode_records(held[at : at + RECORDS_PER_PIECE])
+                    for at in range(0, len(held), RECORDS_PER_PIECE)
+                ]
                 fault = self.keeping.finish_snapshot(lives, pieces, self.fleet.now)
             if fault is None and not self.peer.replica.kept:
                 self.fleet.note(self.name, "kept", [(f.key, f.value) for f in held])
@@ -281,7 +295,7 @@
     def purged(self, name, number, at):
         self.told(name, ("purge", "object", number), (at,))
 
-    def drained(self, name, server, state=State.DRAINING, start=0, source="bus"):
+    def drained(self, name, server, state=SourceState.DRAINING, start=0, source="bus"):
         self.told(name, ("word", server, start, source, name), (int(state),))
 
     def run(self, until):
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -28,12 +28,12 @@
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout import gates
-from sprucegate.fleet.rollout.follower import Words
-from sprucegate.fleet.rollout.gates import Seen, Verdict
-from sprucegate.fleet.rollout.leader import FRONT_LEASE, LIVE_MOST, PERMIT_LEASE, Leading
-from sprucegate.fleet.rollout.permits import Permits, Step
-from sprucegate.fleet.rollout.releases import Phase, Releases
-from sprucegate.fleet.rollout.rollout import Rollout
+from sprucegate.fleet.rollout.follower import FrontReporter
+from sprucegate.fleet.rollout.gates import AnalysisSample, GateVerdict
+from sprucegate.fleet.rollout.leader import FRONT_LEASE, LIVE_MOST, PERMIT_LEASE, RolloutLeader
+from sprucegate.fleet.rollout.permits import PermitStep, PermitTable
+from sprucegate.fleet.rollout.releases import ReleasePhase, ReleaseTable
+from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 from standins.fleet import rollouts
 
 S = 1_000_000_000
@@ -44,7 +44,7 @@
     """A machine and the index of its next entry."""
 
     def __init__(self, *budgets, caches=6, fronts=("x", "y"), spare=3000):
-        self.machine, self.index = Rollout(), 0
+        self.machine, self.index = RolloutStateMachine(), 0
         self.do("limits", list(map(list, budgets)) or WIDE, [100, spare])
         self.do("boxes", [[f"c{at}", "cache", "ab"[at % 2], "std", "g", 1] for at in range(caches)])
         for name in fronts:
@@ -96,7 +96,7 @@
     assert [p.box for p in log.granted] == ["c0"]
     log.ask("c2")
     assert log.machine.waits().get("r-c2") == wait
-    assert log.step("r-c2") is (Step.GRANTED if wait is None else Step.ASKED)
+    assert log.step("r-c2") is (PermitStep.GRANTED if wait is None else PermitStep.ASKED)
 
 
 def test_the_last_of_a_kind_in_a_location_never_goes_whoever_asks():
@@ -114,7 +114,7 @@
     for at in (0, 2, 4):
         log.ask(f"c{at}")
     # Six there: two away leave 1.8 parts to four with half a part each, three would leave 2.7 to three.
-    assert log.step("r-c2") is Step.GRANTED and log.why("r-c4") == ("warm", "std in a", 2, 2)
+    assert log.step("r-c2") is PermitStep.GRANTED and log.why("r-c4") == ("warm", "std in a", 2, 2)
 
 
 def test_what_failed_by_itself_counts_and_may_be_replaced():
@@ -123,9 +123,9 @@
     log.ask("c2")
     assert log.why("r-c2")[0] == "fleet cache"
     log.ask("c0")  # it takes its place already
-    assert log.step("r-c0") is Step.ASKED  # but never past who asked before for the same place
+    assert log.step("r-c0") is PermitStep.ASKED  # but never past who asked before for the same place
     log.do("withdraw", "r-c2")
-    assert log.step("r-c0") is Step.GRANTED
+    assert log.step("r-c0") is PermitStep.GRANTED
 
 
 def test_requests_go_in_one_order_and_none_holds_what_another_waits_for():
@@ -133,10 +133,12 @@
     for box in ("c0", "c2", "c4", "c1"):
         log.ask(box)
     assert log.why("r-c2")[0] == "location cache" and log.why("r-c4")[0] == "location cache"
-    assert log.step("r-c1") is Step.GRANTED  # no budget binds both
+    assert log.step("r-c1") is PermitStep.GRANTED  # no budget binds both
     log.back("r-c0")
     assert (
-        log.step("r-c0") is Step.BACK and log.step("r-c2") is Step.GRANTED and log.step("r-c4") is Step.ASKED
+        log.step("r-c0") is PermitStep.BACK
+        and log.step("r-c2") is PermitStep.GRANTED
+        and log.step("r-c4") is PermitStep.ASKED
     )
 
 
@@ -145,19 +147,19 @@
     log.ask("c0")
     log.do("drained", "r-c0", "x", 7)  # another life of x
     log.do("drained", "r-c0", "x", 1)
-    assert log.step("r-c0") is Step.GRANTED and log.do("out", "r-c0", "agent") == "not drained"
+    assert log.step("r-c0") is PermitStep.GRANTED and log.do("out", "r-c0", "agent") == "not drained"
     log.do("front", "z", 1, True)  # one that came meanwhile has to say so too
     log.do("drained", "r-c0", "y", 1)
-    assert log.step("r-c0") is Step.GRANTED
+    assert log.step("r-c0") is PermitStep.GRANTED
     log.do("front", "z", 1, False)
-    assert log.step("r-c0") is Step.DRAINED
+    assert log.step("r-c0") is PermitStep.DRAINED
 
 
 def test_without_a_front_nothing_is_drained_and_nothing_is_back():
     log = Log(fronts=())
     log.ask("c0")
     log.do("stands", "c5", "")
-    assert log.step("r-c0") is Step.GRANTED
+    assert log.step("r-c0") is PermitStep.GRANTED
 
 
 def test_back_is_the_word_of_most_fronts_about_that_very_start():
@@ -169,9 +171,9 @@
     log.do("warm", "r-c0", "s1", "x", 1)
     log.do("started", "r-c0", "s2")  # it fell and was started anew: what it earned is gone
     log.do("warm", "r-c0", "s2", "y", 1)
-    assert log.step("r-c0") is Step.COLD
+    assert log.step("r-c0") is PermitStep.COLD
     log.do("warm", "r-c0", "s2", "z", 1)
-    assert log.step("r-c0") is Step.BACK
+    assert log.step("r-c0") is PermitStep.BACK
 
 
 def test_a_front_goes_out_by_its_own_word():
@@ -180,14 +182,14 @@
     log.ask("x")
     log.ask("y")
     log.do("drained", "r-x", "x", 1)
-    assert log.step("r-x") is Step.DRAINED and log.why("r-y")[0] in ("last", "fleet front")
+    assert log.step("r-x") is PermitStep.DRAINED and log.why("r-y")[0] in ("last", "fleet front")
     log.do("out", "r-x", "agent")
     log.do("front", "x", 1, False)
     log.do("started", "r-x", "2")
-    assert log.step("r-x") is Step.COLD
+    assert log.step("r-x") is PermitStep.COLD
     log.do("front", "x", 2, True)
     log.do("warm", "r-x", "2", "x", 2)
-    assert log.step("r-x") is Step.BACK and log.step("r-y") is Step.GRANTED
+    assert log.step("r-x") is PermitStep.BACK and log.step("r-y") is PermitStep.GRANTED
 
 
 def test_a_front_that_leaves_is_waited_for_no_more_and_counted_without_a_permit():
@@ -197,8 +199,8 @@
         log.do("drained", "r-c0", name, 1)
     log.do("left", "z", 1)
     log.do("front", "z", 1, True)  # it follows on until its end
-    assert log.step("r-c0") is Step.DRAINED and log.machine.permits.without == 1
-    assert Leading(log.machine, 0).due(heard(S, "xyz"), S) == []
+    assert log.step("r-c0") is PermitStep.DRAINED and log.machine.permits.without == 1
+    assert RolloutLeader(log.machine, 0).due(heard(S, "xyz"), S) == []
     log.do("front", "z", 2, True)
     assert log.machine.permits.fronts["z"] == 2
 
@@ -215,12 +217,12 @@
     if upto == "cold":
         log.do("started", "r-c0", "s1")
     log.do("late", "r-c0", 0)
-    assert log.machine.permits.permits["r-c0"].overdue and log.step("r-c2") is Step.ASKED
+    assert log.machine.permits.permits["r-c0"].overdue and log.step("r-c2") is PermitStep.ASKED
     log.do("renew", "r-c0", "another agent")
     log.do("late", "r-c0", 0)  # the leader's look before that renewal
     assert not log.machine.permits.permits["r-c0"].overdue
     log.do("give-up", "c0")
-    assert log.step("r-c0") is Step.GIVEN_UP and log.step("r-c2") is Step.GRANTED
+    assert log.step("r-c0") is PermitStep.GIVEN_UP and log.step("r-c2") is PermitStep.GRANTED
 
 
 @pytest.mark.parametrize(
@@ -242,7 +244,7 @@
     assert log.do("once", "q1", ["halt", "v2", "op", "to look"]) == "halted"
     assert log.do("once", "q2", ["resume", "v2", "op"]) == "resumed"
     assert log.do("once", "q1", ["halt", "v2", "op", "to look"]) == "halted"
-    assert log.machine.releases.releases["v2"].phase is Phase.RUNNING
+    assert log.machine.releases.releases["v2"].phase is ReleasePhase.RUNNING
     assert log.ask("c5", "h") == "asked" and log.ask("c5", "h") in ("asked", "granted")
     assert log.ask("c5", "other") == "asked for already, as h"
 
@@ -259,12 +261,12 @@
     log = Log()
     release(log)
     log.do("once", "q1", ["ask", "h", "c5", "op", "by hand"])
-    other = Rollout()
+    other = RolloutStateMachine()
     assert other.loaded(msgspec.msgpack.decode(msgspec.msgpack.encode(log.machine.told())))
     assert msgspec.msgpack.encode(other.told()) == msgspec.msgpack.encode(log.machine.told())
     assert other.apply(99, ["drained", "h", "x", 1]) == log.machine.apply(99, ["drained", "h", "x", 1])
     assert other.told() == log.machine.told()
-    assert not Rollout().loaded([2])
+    assert not RolloutStateMachine().loaded([2])
 
 
 # Releases.
@@ -291,7 +293,7 @@
     log.do("gate", "v2", 0, 1, True, "")
     through(log, "c3")
     log.do("gate", "v2", 0, 2, True, "")
-    assert log.machine.releases.releases["v2"].phase is Phase.DONE
+    assert log.machine.releases.releases["v2"].phase is ReleasePhase.DONE
 
 
 def test_a_gate_that_fails_halts_and_what_was_granted_and_is_not_out_stays():
@@ -302,14 +304,18 @@
     log.out("v2/0/c1")
     log.do("gate", "v2", 0, 1, False, "errors: 0.02 beside 0")
     one = log.machine.releases.releases["v2"]
-    assert one.phase is Phase.HALTED and "errors" in one.why and log.step("v2/0/c2") is Step.WITHDRAWN
+    assert (
+        one.phase is ReleasePhase.HALTED
+        and "errors" in one.why
+        and log.step("v2/0/c2") is PermitStep.WITHDRAWN
+    )
     assert log.do("halt", "v2", "op", "again") == "halted" and "errors" in one.why
     log.do("started", "v2/0/c1", "s")
     for name in "xy":
         log.do("warm", "v2/0/c1", "s", name, 1)
     assert one.done == ["c0", "c1"] and "v2/1/c2" not in log.machine.permits.permits
     log.do("resume", "v2", "op")
-    assert log.step("v2/1/c2") is Step.GRANTED
+    assert log.step("v2/1/c2") is PermitStep.GRANTED
 
 
 def test_the_way_back_takes_the_released_under_the_same_budgets():
@@ -325,10 +331,10 @@
     one = log.machine.releases.releases["v2"]
     versions = {}
     while one.ahead:
-        permit = next(p for p in log.machine.permits.of_box.values() if p.step is Step.GRANTED)
+        permit = next(p for p in log.machine.permits.of_box.values() if p.step is PermitStep.GRANTED)
         versions[permit.box] = permit.version
         log.back(permit.id, start=f"back-{permit.box}")
-    assert one.phase is Phase.RETURNED and versions == {"c0": "1", "c1": "1"} and one.done == []
+    assert one.phase is ReleasePhase.RETURNED and versions == {"c0": "1", "c1": "1"} and one.done == []
 
 
 def test_a_halt_holds_on_the_way_back_and_a_release_of_the_same_kind_waits_for_its_end():
@@ -336,11 +342,13 @@
     release(log)
     through(log, "c0")
     log.do("back", "v2", "op")
-    assert log.do("halt", "v2", "op", "wait") == "halted" and log.step("v2/1/c0") is Step.WITHDRAWN
+    assert log.do("halt", "v2", "op", "wait") == "halted" and log.step("v2/1/c0") is PermitStep.WITHDRAWN
     assert release(log, "v3") == "v2 of the same kind is not over"
     assert log.do("resume", "v2", "op") == "resumed"
     through(log, "c0", turn=2)
-    assert log.machine.releases.releases["v2"].phase is Phase.RETURNED and release(log, "v3") == "started"
+    assert (
+        log.machine.releases.releases["v2"].phase is ReleasePhase.RETURNED and release(log, "v3") == "started"
+    )
 
 
 def test_a_done_release_goes_back_until_another_begins_on_top():
@@ -351,7 +359,7 @@
     assert log.do("halt", "v2", "op", "late") == "no such release is under way"
     assert log.do("back", "v2", "op") == "goes back"
     through(log, "c0", turn=1)
-    assert log.machine.releases.releases["v2"].phase is Phase.RETURNED
+    assert log.machine.releases.releases["v2"].phase is ReleasePhase.RETURNED
 
 
 def test_a_trouble_makes_releases_wait_and_neither_hand_drains_nor_the_way_back():
@@ -360,9 +368,9 @@
     release(log)
     assert log.why("v2/0/c0")[:2] == ("trouble", "origin")
     log.ask("c5")
-    assert log.step("r-c5") is Step.GRANTED
+    assert log.step("r-c5") is PermitStep.GRANTED
     log.do("trouble", "origin", "")
-    assert log.step("v2/0/c0") is Step.GRANTED
+    assert log.step("v2/0/c0") is PermitStep.GRANTED
 
 
 def test_a_box_that_is_given_up_holds_up_no_wave():
@@ -394,32 +402,32 @@
 
 
 def seen(gets, errors=0, sheds=0, late=0, misses=0, crashes=0):
-    return Seen(gets, (errors, sheds, late, misses, crashes))
+    return AnalysisSample(gets, (errors, sheds, late, misses, crashes))
 
 
 @pytest.mark.parametrize(
     "released, others, starts, baked, said, by",
     [
-        (seen(2000, late=20), seen(20_000, late=200), 1, True, Verdict.PASS, ""),
-        (seen(2000, errors=40), seen(20_000), 1, False, Verdict.FAIL, "errors"),
-        (seen(2000, late=600), seen(20_000, late=200), 1, False, Verdict.FAIL, "late"),
-        (seen(100, late=1), seen(20_000, late=200), 1, True, Verdict.FEW, "gets"),
-        (seen(2000, late=20), seen(20_000, late=200), 1, False, Verdict.FEW, "gets"),
+        (seen(2000, late=20), seen(20_000, late=200), 1, True, GateVerdict.PASS, ""),
+        (seen(2000, errors=40), seen(20_000), 1, False, GateVerdict.FAIL, "errors"),
+        (seen(2000, late=600), seen(20_000, late=200), 1, False, GateVerdict.FAIL, "late"),
+        (seen(100, late=1), seen(20_000, late=200), 1, True, GateVerdict.FEW, "gets"),
+        (seen(2000, late=20), seen(20_000, late=200), 1, False, GateVerdict.FEW, "gets"),
         (
             seen(300, errors=3),
             seen(20_000),
             1,
             True,
-            Verdict.FEW,
+            GateVerdict.FEW,
             "errors",
         ),  # may be chance: no pass and no halt
-        (seen(0), seen(20_000), 1, True, Verdict.FEW, "gets"),
-        (seen(2000), seen(20_000), 3, True, Verdict.FAIL, "starts"),
-        (seen(2000, crashes=1), seen(20_000), 1, True, Verdict.FAIL, "crashes"),
+        (seen(0), seen(20_000), 1, True, GateVerdict.FEW, "gets"),
+        (seen(2000), seen(20_000), 3, True, GateVerdict.FAIL, "starts"),
+        (seen(2000, crashes=1), seen(20_000), 1, True, GateVerdict.FAIL, "crashes"),
     ],
 )
 def test_a_gate_by_counts_of_both_sides(released, others, starts, baked, said, by):
-    assert gates.verdict(released, others, starts, baked, gates.Limits())[:2] == (said, by)
+    assert gates.verdict(released, others, starts, baked, gates.GateLimits())[:2] == (said, by)
 
 
 def test_the_interval_of_a_difference_is_newcombes():
@@ -438,18 +446,18 @@
 def test_a_front_is_counted_in_when_heard_and_out_after_its_lease_with_a_halt():
     log = Log()
     release(log)
-    leading = Leading(log.machine, 0)
+    leading = RolloutLeader(log.machine, 0)
     assert leading.due(heard(S, "xyz"), S) == [["front", "z", 1, True]]
     late = leading.due(heard(S, "x") | heard(9 * S, "y"), S + FRONT_LEASE)
     assert late[0] == ["front", "x", 1, False] and late[1][:2] == ["halt", "v2"] and len(late) == 2
     # A new leader has heard nobody yet: it counts from its election on.
-    assert Leading(log.machine, 100 * S).due({}, 100 * S + FRONT_LEASE - 1) == []
+    assert RolloutLeader(log.machine, 100 * S).due({}, 100 * S + FRONT_LEASE - 1) == []
 
 
 def test_a_permit_that_is_not_renewed_is_late_and_halts_its_release():
     log = Log()
     release(log)
-    leading = Leading(log.machine, 0)
+    leading = RolloutLeader(log.machine, 0)
     leading.due(heard(0), 0)
     assert leading.due(heard(PERMIT_LEASE), PERMIT_LEASE) == [
         ["late", "v2/0/c0", 0],
@@ -461,7 +469,7 @@
     log = Log()
     release(log)
     log.out("v2/0/c0")
-    leading = Leading(log.machine, 0)
+    leading = RolloutLeader(log.machine, 0)
     for at in range(0, LIVE_MOST, 10 * S):
         assert leading.due(heard(at), at) == []
         log.do("renew", "v2/0/c0", "agent")
@@ -470,7 +478,7 @@
 
 def test_what_most_fronts_miss_is_out_by_itself_and_comes_back_by_them():
     log, now = Log(), S
-    leading = Leading(log.machine, 0)
+    leading = RolloutLeader(log.machine, 0)
     assert leading.due(heard(now, "x", down=["c3"]) | heard(now, "y"), now) == []
     assert leading.due(heard(now, down=["c3"]), now) == [["stands", "c3", "unreachable"]]
     log.do("stands", "c3", "unreachable")
@@ -480,7 +488,7 @@
 def test_a_box_fails_and_comes_back_by_most_of_all_fronts_heard_since_the_election_alone():
     """A new leader that has heard few fronts, or has their words of before, knows nothing of a box."""
     log, now = Log(fronts="vwxyz"), 10 * S
-    leading = Leading(log.machine, now)
+    leading = RolloutLeader(log.machine, now)
     assert leading.due(heard(now, "v", down=["c3"]), now) == []  # one of five
     old = {
         name: row._replace(at=now + S, reported_at=now - S)
@@ -505,14 +513,14 @@
         log.ask("c0")
         log.do("stands", "c2", "unreachable")
         log.ask("c2")  # it takes its place already, as it failed by itself
-        assert log.step("r-c2") is Step.GRANTED
+        assert log.step("r-c2") is PermitStep.GRANTED
         if upto == "drained":
             log.drained("r-c2")
         log.do("stands", "c2", "")
-        assert log.step("r-c2") is Step.ASKED and log.do("out", "r-c2", "agent") == "not drained"
+        assert log.step("r-c2") is PermitStep.ASKED and log.do("out", "r-c2", "agent") == "not drained"
         assert log.machine.drained().keys() == {"c0"}
         log.back("r-c0")
-        assert log.step("r-c2") is Step.GRANTED  # it was held back, not refused
+        assert log.step("r-c2") is PermitStep.GRANTED  # it was held back, not refused
 
 
 def test_a_free_permit_stays_where_there_is_room_or_its_box_has_gone_out():
@@ -523,7 +531,7 @@
     log.out("r-c2")
     for box in ("c0", "c2"):
         log.do("stands", box, "")
-    assert (log.step("r-c0"), log.step("r-c2")) == (Step.GRANTED, Step.OUT)
+    assert (log.step("r-c0"), log.step("r-c2")) == (PermitStep.GRANTED, PermitStep.OUT)
 
 
 def test_a_free_permit_goes_out_only_where_those_out_by_permit_leave_it_a_place():
@@ -533,7 +541,9 @@
     log.ask("c2")
     log.drained("r-c0")
     log.drained("r-c2")
-    assert log.do("out", "r-c2", "agent") == "held back: fleet cache" and log.step("r-c2") is Step.DRAINED
+    assert (
+        log.do("out", "r-c2", "agent") == "held back: fleet cache" and log.step("r-c2") is PermitStep.DRAINED
+    )
     log.back("r-c0")
     assert log.do("out", "r-c2", "agent") == "out"
 
@@ -563,15 +573,15 @@
     log.do("boxes", [[name, "front", "a", "front", "g", 1] for name in "xyz"])
     log.do("front", "x", 1, False)  # its lease ended
     log.ask("x")
-    assert log.step("r-x") is Step.GRANTED
+    assert log.step("r-x") is PermitStep.GRANTED
     log.ask("y")
-    assert log.step("r-y") is Step.ASKED
+    assert log.step("r-y") is PermitStep.ASKED
     log.do("front", "x", 2, True)
-    assert log.step("r-x") in (Step.GRANTED, Step.DRAINED)  # the one place there is
+    assert log.step("r-x") in (PermitStep.GRANTED, PermitStep.DRAINED)  # the one place there is
     log.do("front", "z", 1, False)
     log.do("front", "x", 2, False)
     log.do("front", "x", 3, True)
-    assert log.step("r-x") is Step.ASKED  # the lost one takes it
+    assert log.step("r-x") is PermitStep.ASKED  # the lost one takes it
 
 
 def test_seed_133_no_more_boxes_go_out_than_the_budgets_allow():
@@ -581,7 +591,7 @@
 
 def test_a_trouble_that_most_fronts_tell_is_one():
     log = Log()
-    leading = Leading(log.machine, 0)
+    leading = RolloutLeader(log.machine, 0)
     assert leading.due(heard(0, troubles={"origin": "slow"}), 0) == [["trouble", "origin", "2 of 2 fronts"]]
     log.do("trouble", "origin", "2 of 2 fronts")
     assert leading.due(heard(0), 0) == [["trouble", "origin", ""]]
@@ -591,7 +601,7 @@
 def test_the_leader_holds_the_released_against_the_others_since_the_wave_began(late, passed):
     log = Log()
     release(log)
-    leading = Leading(log.machine, 0)
+    leading = RolloutLeader(log.machine, 0)
 
     def rows(gets, bad):
         return [[f"c{at}", gets, 0, 0, bad if at == 0 else 1 * gets // 100, 0, 1] for at in range(6)]
@@ -611,7 +621,7 @@
 def test_a_front_says_that_it_is_drained_once_it_is_and_again_until_it_stands_in_the_log():
     log = Log()
     log.ask("c0")
-    words = Words("x", 1)
+    words = FrontReporter("x", 1)
     assert words.due(log.machine, {}, None, 0) == []
     assert words.due(log.machine, {"c0": 1}, None, 0) == [["drained", "r-c0", "x", 1]]
     assert words.due(log.machine, {"c0": 1}, None, S // 2) == []
@@ -654,7 +664,7 @@
 
 def serving(now=0):
     keeper = RaftNode("k0", ClusterConfiguration(("k0",), ()), RandomSource("k0", 1), now)
-    return keeper, LogServer(keeper, Rollout())
+    return keeper, LogServer(keeper, RolloutStateMachine())
 
 
 def test_a_keeper_answers_with_entries_or_its_whole_state_and_leads_only_in_touch():
@@ -726,7 +736,7 @@
 def test_who_reports_of_boxes_that_are_none_or_under_many_names_fills_no_memory(monkeypatch):
     log = Log()
     release(log)
-    leading = Leading(log.machine, 0)
+    leading = RolloutLeader(log.machine, 0)
     for at in range(50):
         leading.due(heard(at * S, rows=[[f"none-{at}-{n}", at, 0, 0, 0, 0, 1] for n in range(20)]), at * S)
     assert not leading.totals and not leading.starts and all(not rows for *_, rows in leading.told.values())
@@ -773,26 +783,26 @@
 
 EARLY = (
     "due",
-    lambda self, machine, drained, warm, now, real=Words.due: real(
+    lambda self, machine, drained, warm, now, real=FrontReporter.due: real(
         self, machine, {p.box: 1 for p in machine.permits.of_box.values()}, warm, now
     ),
 )
 ANY = ("wait", lambda self, permit, out=None: None)
 SOWN = [
-    ("over_budget", Permits, *ANY, small(waves=[["c0", "c1", "c2", "c3", "c4"]])),
-    ("last_gone", Permits, *ANY, small(("ask", "h", "c0", "op", ""), ("ask", "i", "c3", "op", ""))),
+    ("over_budget", PermitTable, *ANY, small(waves=[["c0", "c1", "c2", "c3", "c4"]])),
+    ("last_gone", PermitTable, *ANY, small(("ask", "h", "c0", "op", ""), ("ask", "i", "c3", "op", ""))),
     # A front that looks for its drains every three seconds, and says at once that it has them.
-    ("sent_to_drained", Words, *EARLY, small(("ask", "h", "c0", "op", ""))),
+    ("sent_to_drained", FrontReporter, *EARLY, small(("ask", "h", "c0", "op", ""))),
     (
         "granted_halted",
-        Releases,
+        ReleaseTable,
         "may",
         lambda self, permit: True,
         small(("halt", "v2", "op", ""), waves=[["c0", "c1", "c2", "c3", "c4"]]),
     ),
     (
         "without_end",
-        Permits,
+        PermitTable,
         "said_warm",
         lambda self, id, start, front, life: None,
         small(("ask", "h", "c0", "op", ""), until=10),
@@ -805,7 +815,7 @@
     assert rollouts.broken(world(1).trace, 6) == [] or check == "granted_halted"
     monkeypatch.setattr(of, name, defect)
     if check == "granted_halted":
-        monkeypatch.setattr(Releases, "_withdraw", lambda self, release: None)
+        monkeypatch.setattr(ReleaseTable, "_withdraw", lambda self, release: None)
     if check == "sent_to_drained":
         monkeypatch.setattr(rollouts.Front, "turn", _late_turn)
     assert check in {name for name, _ in rollouts.broken(world(1).trace, 6)}
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -7,9 +7,9 @@
 
 from sprucegate.fleet.failure_detector.detector import FailureDetector
 from sprucegate.fleet.replica import replica
-from sprucegate.fleet.replica.facts import Fact, Facts, Joined, State
+from sprucegate.fleet.replica.facts import JoinResult, RecordStore, ReplicatedRecord, SourceState
 from sprucegate.fleet.replica.version_vector import VersionVector
-from sprucegate.fleet.replica_storage import Keeping
+from sprucegate.fleet.replica_storage import ReplicaStorage
 from standins.fleet import checkers, explore
 from standins.fleet.schedules import played
 from standins.fleet.simulated import Fleet, S
@@ -42,10 +42,10 @@
 @profile(max_examples=200, deadline=None, derandomize=True)
 def test_facts_join_to_the_same_in_any_order_and_any_number_of_times(said, order):
     facts = [
-        Fact(("purge", "object", key), (value,), (f"n{owner}", 1, at))
+        ReplicatedRecord(("purge", "object", key), (value,), (f"n{owner}", 1, at))
         for at, (key, value, owner) in enumerate(said, 1)
     ]
-    one, other = Facts(), Facts()
+    one, other = RecordStore(), RecordStore()
     for fact in facts:
         one.join(fact)
     mixed = facts * 2
@@ -90,29 +90,29 @@
     def join(self, fact):
         mine = self.held.get(fact.key)
         if self.seen.contains(fact.dot):
-            return Joined.OLD, mine
+            return JoinResult.OLD, mine
         self.seen.add(fact.dot)
         if mine is not None:
             self._out(mine)
         self.put(fact)
-        return Joined.NEW, mine
+        return JoinResult.NEW, mine
 
-    monkeypatch.setattr(Facts, "join", join)
+    monkeypatch.setattr(RecordStore, "join", join)
 
 
 def _start_not_counted(monkeypatch):
-    whole = Keeping.start
-    monkeypatch.setattr(Keeping, "start", lambda self, least=0: whole(self, least) and 1 + least)
+    whole = ReplicaStorage.start
+    monkeypatch.setattr(ReplicaStorage, "start", lambda self, least=0: whole(self, least) and 1 + least)
 
 
 def _sync_dropped(monkeypatch):
-    whole, times = Keeping.write, []
+    whole, times = ReplicaStorage.write, []
 
     def write(self, record):
         times.append(0)
         return None if len(times) % 3 == 0 else whole(self, record)
 
-    monkeypatch.setattr(Keeping, "write", write)
+    monkeypatch.setattr(ReplicaStorage, "write", write)
 
 
 def _let_go_early(monkeypatch):
@@ -122,17 +122,17 @@
 
 def _due_let_go_at_once(self, now):
     self.timers["let_go"], done = now + replica.LET_GO_EVERY, []
-    for key in [k for k, f in self.facts.held.items() if k[0] == "word" and f.value[2] == State.LIFTED]:
+    for key in [k for k, f in self.facts.held.items() if k[0] == "word" and f.value[2] == SourceState.LIFTED]:
         done += self._forget(key)
     return done + self._saved()
 
 
 def _live_at_once(monkeypatch):
     def caught_up(self, now):
-        if self.phase is not replica.Phase.ASKING or not self.marks:
+        if self.phase is not replica.CatchUpPhase.ASKING or not self.marks:
             return []
-        self.phase = replica.Phase.TOGETHER
-        return [replica.Live("caught-up", list(self.marks))]
+        self.phase = replica.CatchUpPhase.TOGETHER
+        return [replica.CaughtUp("caught-up", list(self.marks))]
 
     monkeypatch.setattr(replica.Replica, "_caught_up", caught_up)
 
@@ -285,8 +285,10 @@
     fleet.drained("n0", 16)
     fleet.run(4 * S)
     # n2 hears everything but facts: it is there, and has not seen the lifting.
-    fleet.network.cut |= {(a, "n2", kind) for a in ("n0", "n1") for kind in (replica.Tell, replica.Done)}
-    fleet.drained("n0", 16, State.LIFTED)
+    fleet.network.cut |= {
+        (a, "n2", kind) for a in ("n0", "n1") for kind in (replica.SpreadRecords, replica.TransferEnd)
+    }
+    fleet.drained("n0", 16, SourceState.LIFTED)
     fleet.run(30 * S)
     assert all(("word", 16, 0, "bus", "n0") in fleet.fronts[n].holds() for n in ("n0", "n1"))
     fleet.kill("n2")
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -162,7 +162,7 @@
         degraded_mode.ALLOWED_BY_FLEET
     ) == set(OwnAction)
     # Bold ones: never on one that may be gone, or works otherwise.
-    for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LENDS):
+    for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LEASE_HOLDER):
         assert not degraded_mode.ALLOWED_BY_HEALTH[action] & {
             HealthState.GONE,
             HealthState.ONE_WAY,
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -144,7 +144,7 @@
     reader = bus.EventReader()
     got = reader.feed(EVENTS[:cut]) + reader.feed(EVENTS[cut:])
     assert got == [("4", b'{"offset":4,\n"ban":{"tag":17,"ts":5}}'), ("5", b"6")]
-    assert bus.read(got[0][1], {}, {}) == (4, bus.Purge(-1, 17, 5_000_000))
+    assert bus.read(got[0][1], {}, {}) == (4, bus.InvalidationEvent(-1, 17, 5_000_000))
 
 
 def test_a_list_is_read_with_names_and_addresses():
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -317,7 +317,7 @@
     while at < NOW:
         at += 50 * MS
         if made.slow_start.has_budget(among_four[1], 0, at):
-            among_four[1].credit -= 400 * MS
+            among_four[1].slow_start_budget -= 400 * MS
             earned += 1
     assert 0 < earned * 0.4 / 2 <= 1.4 * 0.7 * 4 / 4 + 0.2  # its own part of 4 s of work a second
 
@@ -346,7 +346,7 @@
         made.load.returns.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
         for at in range(20):
             if made.slow_start.has_budget(node(made, 21), 0, NOW + at * 100 * MS):
-                node(made, 21).credit -= made.load.mean_sending_time(0)
+                node(made, 21).slow_start_budget -= made.load.mean_sending_time(0)
                 attempt += 1
     # All together carry 60 s of work a second; a parent's half of it, at its floor twice over in two seconds.
     assert attempt * 0.4 <= 2 * 2 * 0.09 * 30
