--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -46,9 +46,9 @@
 from sprucegate.fleet.quotas.settings import QuotaSettings
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import facts, replica
-from sprucegate.fleet.replica_storage import Keeping, packed
+from sprucegate.fleet.replica_storage import ReplicaStorage, encode_records
 from sprucegate.fleet.rollout import commands, permits, releases
-from sprucegate.fleet.rollout.rollout import Rollout
+from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 from sprucegate.routing import events
 from sprucegate.storage import records
 from sprucegate.storage.disk import Disk
@@ -62,15 +62,15 @@
     "03-ping-for": swim.PingRequest,
     "04-nack": swim.Nack,
     "05-all": swim.FullState,
-    "06-tell": replica.Tell,
-    "07-done": replica.Done,
-    "08-held": replica.Held,
-    "09-have": replica.Have,
-    "10-mark": replica.Mark,
-    "11-ranges": replica.Ranges,
-    "12-keys": replica.Keys,
-    "13-repair": replica.Repair,
-    "14-evidence": replica.Evidence,
+    "06-tell": replica.SpreadRecords,
+    "07-done": replica.TransferEnd,
+    "08-held": replica.DigestAnnouncement,
+    "09-have": replica.SeenReport,
+    "10-mark": replica.CatchUpMark,
+    "11-ranges": replica.RangeDigests,
+    "12-keys": replica.RangeKeys,
+    "13-repair": replica.RepairRecords,
+    "14-evidence": replica.EvidenceMessage,
     "15-routed": codec.ConsensusFrame,
     "16-refused": swim.ConnectionRefused,
     "17-word": codec.ComponentMessage,
@@ -113,15 +113,15 @@
     swim.FullState: "members reply_requested",
     swim.ConnectionRefused: "name incarnation",
     Member: "name address incarnation refutation state reported_by",
-    replica.Tell: "facts transfer at",
-    replica.Done: "transfer pieces claims",
-    replica.Held: "digest",
-    replica.Have: "lives root part number",
-    replica.Mark: "number lives live",
-    replica.Ranges: "digests",
-    replica.Keys: "ranges facts answer",
-    replica.Repair: "facts",
-    replica.Evidence: "at believed resting",
+    replica.SpreadRecords: "facts transfer at",
+    replica.TransferEnd: "transfer pieces claims",
+    replica.DigestAnnouncement: "digest",
+    replica.SeenReport: "lives root part number",
+    replica.CatchUpMark: "number lives live",
+    replica.RangeDigests: "digests",
+    replica.RangeKeys: "ranges facts answer",
+    replica.RepairRecords: "facts",
+    replica.EvidenceMessage: "at believed resting",
     codec.ConsensusFrame: "sender to number data",
     codec.ComponentMessage: "part data",
     codec.Greeting: "format fleet role name address life",
@@ -145,13 +145,13 @@
     quota_messages.LeaseGrant: "epoch sequence stamp grant sources",
     quota_messages.LeaseHolderQuery: "incarnation followers",
     quota_messages.LeaseHolderNotice: "name incarnation followers",
-    facts.Fact: "key value dot",
+    facts.ReplicatedRecord: "key value dot",
     events.BeliefGossip: "object part cache started remaining age",
     events.EjectionGossip: "cache started as_source remaining slowness age",
-    permits.Box: "name role location kind group weight",
-    permits.Budget: "scope of role count share",
+    permits.ManagedServer: "name role location kind group weight",
+    permits.DisruptionBudget: "scope of role count share",
     permits.Warmth: "floor spare",
-    releases.Plan: "name kind version former waves bake",
+    releases.ReleasePlan: "name kind version former waves bake",
 }
 
 COMMAND_NAMES = set(commands.SHAPES)
@@ -192,7 +192,7 @@
 
 
 # What one front heard of a server from one of its sources.
-DRAINING, GONE, LIFTED = facts.State.DRAINING, facts.State.GONE, facts.State.LIFTED
+DRAINING, GONE, LIFTED = facts.SourceState.DRAINING, facts.SourceState.GONE, facts.SourceState.LIFTED
 
 # Frames between fronts.
 
@@ -261,7 +261,7 @@
     """Permits and releases: commands in, words out, and the whole state as plain data."""
 
     def __init__(self):
-        self.rollout = Rollout()
+        self.rollout = RolloutStateMachine()
 
     @classmethod
     def of_state(cls, encoded):
@@ -356,7 +356,7 @@
     """One front's replica over its folder, with every write synced at once."""
 
     def __init__(self, folder, name, life, starts, unix_time, **lives):
-        self.keeping = Keeping(Disk(), str(folder))
+        self.keeping = ReplicaStorage(Disk(), str(folder))
         for _ in range(starts):
             self.keeping.start()
         self.keeping.open(unix_time)
@@ -365,7 +365,7 @@
 
     def does(self, actions):
         for action in actions:
-            if isinstance(action, replica.Write):
+            if isinstance(action, replica.PersistRecords):
                 assert self.keeping.write(action.record) is None
                 self.does(self.replica.synced(action.number, self.now))
 
@@ -381,7 +381,7 @@
         assert self.keeping.begin_snapshot() is None
         held, lives = self.replica.captured()
         middle = len(held) // 2
-        pieces = [packed(held[:middle]), packed(held[middle:])]
+        pieces = [encode_records(held[:middle]), encode_records(held[middle:])]
         assert self.keeping.finish_snapshot(lives, pieces, self.unix_time) is None
 
     def passes(self, span):
@@ -394,7 +394,7 @@
 
 def read_replica_folder(folder, unix_time):
     """What a start finds in the folder, as plain data. The start is counted and a new log is begun."""
-    keeping = Keeping(Disk(), str(folder))
+    keeping = ReplicaStorage(Disk(), str(folder))
     start, kept = keeping.start(), keeping.open(unix_time)
     keeping.close()
     loaded = replica.Replica("front-a", start << 32 | 1, RandomSource("front-a", 1), 0)
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -77,9 +77,9 @@
     "schedule, module, constant, value",
     [
         ("schedules", "replica.replica", "HELD_EVERY", 300_000_000),
-        ("keepers", "consensus.raft_node", "BATCH", 3),
+        ("keepers", "consensus.replication", "ENTRIES_PER_MESSAGE", 3),
         ("rollouts", "rollout.follower", "AGAIN", 1_500_000_000),
-        ("sharing", "quotas.queue", "LEAN", 9),
+        ("sharing", "quotas.fair_queue", "INITIAL_FILL_SAMPLES", 9),
     ],
 )
 def test_traces_are_alike_by_seed_and_tell_a_changed_decision(monkeypatch, schedule, module, constant, value):
--- a/tests/upstream/test_http2_pool.py
+++ b/tests/upstream/test_http2_pool.py
@@ -7,87 +7,95 @@
 
 from sprucegate.routing.events import AttemptOutcome
 from sprucegate.upstream.http2.limits import MS, Limits, S
-from sprucegate.upstream.http2.pool import Close, Open, Phase, Ping, Pool, Refuse, Send
+from sprucegate.upstream.http2.pool import (
+    CloseConnection,
+    ConnectionPhase,
+    ConnectionPool,
+    OpenConnection,
+    RefuseRequest,
+    SendOnConnection,
+    SendPing,
+)
 
 NOW = 1000 * S
 
 
 def pool(limit=100, **changed):
     """A pool with one connection that is up."""
-    made = Pool(Limits(**changed), 11, "n0")
-    assert made.warm(NOW) == [Open(1)]
+    made = ConnectionPool(Limits(**changed), 11, "n0")
+    assert made.warm(NOW) == [OpenConnection(1)]
     assert made.opened(1, limit, NOW) == []
     made.acknowledged(1)
     return made
 
 
 def sent(said):
-    return [one for one in said if isinstance(one, Send)]
+    return [one for one in said if isinstance(one, SendOnConnection)]
 
 
 def test_the_least_full_takes_a_stream_and_another_is_opened_at_half():
     made = pool(limit=4)
-    assert made.ask("a", NOW) == [Send("a", 1)]
-    assert made.ask("b", NOW) == [Send("b", 1), Open(2)]
-    assert made.ask("c", NOW) == [Send("c", 1)]  # one at a time
+    assert made.ask("a", NOW) == [SendOnConnection("a", 1)]
+    assert made.ask("b", NOW) == [SendOnConnection("b", 1), OpenConnection(2)]
+    assert made.ask("c", NOW) == [SendOnConnection("c", 1)]  # one at a time
     assert made.opened(2, 4, NOW) == []
-    assert made.ask("d", NOW) == [Send("d", 2)]
+    assert made.ask("d", NOW) == [SendOnConnection("d", 2)]
 
 
 def test_a_limit_that_falls_below_what_is_open_keeps_new_streams_away_until_there_is_room():
     made = pool(connections=1)
     for at in range(60):
-        assert made.ask(at, NOW) == [Send(at, 1)]
+        assert made.ask(at, NOW) == [SendOnConnection(at, 1)]
     assert made.limited(1, 3, NOW) == []
     assert made.ask("waits", NOW) == []
     for _ in range(57):
         assert made.freed(1, True, NOW) == []
-    assert made.freed(1, True, NOW) == [Send("waits", 1)]
+    assert made.freed(1, True, NOW) == [SendOnConnection("waits", 1)]
 
 
 def test_a_limit_of_zero_holds_gets_back_for_a_moment_and_not_for_longer():
     made = pool(limit=0, connections=1)
     assert made.ask("a", NOW) == [] and made.ask("b", NOW + 100 * MS) == []
-    assert made.due(NOW + 300 * MS) == [Refuse("a", AttemptOutcome.FULL)]
-    assert made.limited(1, 5, NOW + 350 * MS) == [Send("b", 1)]
+    assert made.due(NOW + 300 * MS) == [RefuseRequest("a", AttemptOutcome.FULL)]
+    assert made.limited(1, 5, NOW + 350 * MS) == [SendOnConnection("b", 1)]
 
 
 def test_waiting_gets_are_bounded_and_one_can_be_withdrawn():
     made = pool(limit=0, connections=1, waiting=2)
     assert made.ask("a", NOW) == made.ask("b", NOW) == []
-    assert made.ask("c", NOW) == [Refuse("c", AttemptOutcome.FULL)]
+    assert made.ask("c", NOW) == [RefuseRequest("c", AttemptOutcome.FULL)]
     assert made.withdraw("a") and not made.withdraw("a")
 
 
 def test_a_graceful_goaway_brings_a_successor_up_before_the_old_one_has_ended():
     made = pool()
     made.ask("a", NOW), made.freed(1, True, NOW), made.ask("b", NOW)
-    assert made.goaway(1, True, NOW) == [Open(2)]
+    assert made.goaway(1, True, NOW) == [OpenConnection(2)]
     assert made.ask("c", NOW) == []  # not on the old one
-    assert made.opened(2, 100, NOW) == [Send("c", 2)]
+    assert made.opened(2, 100, NOW) == [SendOnConnection("c", 2)]
     assert made.goaway(1, True, NOW) == []  # the second one
-    assert made.freed(1, True, NOW) == [Close(1, "drained")]
+    assert made.freed(1, True, NOW) == [CloseConnection(1, "drained")]
 
 
 def test_an_old_connection_serves_until_its_successor_is_up():
     made = pool(age=20 * S, age_spread=0.0)
     made.ask("a", NOW + 19 * S)
-    assert made.due(NOW + 20 * S) == [Ping(1), Open(2)]
-    assert made.connections[1].phase is Phase.RETIRING
+    assert made.due(NOW + 20 * S) == [SendPing(1), OpenConnection(2)]
+    assert made.connections[1].phase is ConnectionPhase.RETIRING
     made.heard(1, NOW + 20 * S)
-    assert made.ask("b", NOW + 20 * S) == [Send("b", 1)]
-    assert made.opened(2, 100, NOW + 20 * S) == [] and made.connections[1].phase is Phase.DRAINING
-    assert made.ask("c", NOW + 20 * S) == [Send("c", 2)]
+    assert made.ask("b", NOW + 20 * S) == [SendOnConnection("b", 1)]
+    assert made.opened(2, 100, NOW + 20 * S) == [] and made.connections[1].phase is ConnectionPhase.DRAINING
+    assert made.ask("c", NOW + 20 * S) == [SendOnConnection("c", 2)]
 
 
 def test_ages_are_spread_and_the_same_in_any_process():
     ages = set()
     for server in range(20):
-        made = Pool(Limits(age=100 * S, age_spread=0.5), server, "n0")
+        made = ConnectionPool(Limits(age=100 * S, age_spread=0.5), server, "n0")
         made.warm(NOW), made.opened(1, 100, NOW)
         ages.add(made.connections[1].retires - NOW)
     assert len(ages) > 15 and all(50 * S <= age <= 100 * S for age in ages)
-    again = Pool(Limits(age=100 * S, age_spread=0.5), 7, "n0")
+    again = ConnectionPool(Limits(age=100 * S, age_spread=0.5), 7, "n0")
     again.warm(NOW), again.opened(1, 100, NOW)
     assert again.connections[1].retires - NOW in ages
 
@@ -96,16 +104,16 @@
     made = pool(ids=10)
     for at in range(9):
         made.ask(at, NOW), made.freed(1, True, NOW)
-    assert made.ask(9, NOW) == [Send(9, 1), Open(2)]
+    assert made.ask(9, NOW) == [SendOnConnection(9, 1), OpenConnection(2)]
 
 
 def test_reconnects_wait_longer_each_time_and_gets_are_refused_at_once_meanwhile():
-    made, now, waits = Pool(Limits(), 11, "n0"), NOW, []
+    made, now, waits = ConnectionPool(Limits(), 11, "n0"), NOW, []
     for _ in range(11):
         (opened,) = made.ask("g", now)
-        assert isinstance(opened, Open)
-        assert made.lost(opened.connection, False, now) == [Refuse("g", AttemptOutcome.UNREACHABLE)]
-        assert made.ask("h", now) == [Refuse("h", AttemptOutcome.UNREACHABLE)]
+        assert isinstance(opened, OpenConnection)
+        assert made.lost(opened.connection, False, now) == [RefuseRequest("g", AttemptOutcome.UNREACHABLE)]
+        assert made.ask("h", now) == [RefuseRequest("h", AttemptOutcome.UNREACHABLE)]
         waits.append(made.again - now)
         now = made.again
     steps = [50 * MS << n for n in range(11)]
@@ -113,11 +121,13 @@
 
 
 def test_one_that_lets_in_and_sends_away_is_not_dialled_without_end():
-    made, now = Pool(Limits(), 11, "n0"), NOW
+    made, now = ConnectionPool(Limits(), 11, "n0"), NOW
     made.warm(now)
     made.opened(1, 100, now)
-    assert made.goaway(1, True, now) == [Close(1, "drained")] and made.again > now
-    assert made.ask("a", now) == [Refuse("a", AttemptOutcome.NOT_SENT)]  # it is there, unlike one not reached
+    assert made.goaway(1, True, now) == [CloseConnection(1, "drained")] and made.again > now
+    assert made.ask("a", now) == [
+        RefuseRequest("a", AttemptOutcome.NOT_SENT)
+    ]  # it is there, unlike one not reached
 
 
 def test_a_ping_only_where_forwards_wait_and_nothing_is_read():
@@ -125,43 +135,43 @@
     assert made.due(NOW + 2 * S) == []  # nobody waits
     made.ask("a", NOW + 2 * S)
     assert made.due(NOW + 2 * S + 499 * MS) == []
-    assert made.due(NOW + 2 * S + 500 * MS) == [Ping(1)]
+    assert made.due(NOW + 2 * S + 500 * MS) == [SendPing(1)]
     made.heard(1, NOW + 3 * S)  # an answer to it, or anything
     assert made.due(NOW + 3 * S + 100 * MS) == []
-    assert made.due(NOW + 3 * S + 500 * MS) == [Ping(1)]
+    assert made.due(NOW + 3 * S + 500 * MS) == [SendPing(1)]
     said = made.due(NOW + 4 * S)
-    assert said[0] == Close(1, "silent") and made.failures == 1
+    assert said[0] == CloseConnection(1, "silent") and made.failures == 1
 
 
 def test_settings_that_are_never_acknowledged_end_the_connection():
-    made = Pool(Limits(), 11, "n0")
+    made = ConnectionPool(Limits(), 11, "n0")
     made.warm(NOW), made.opened(1, 100, NOW)
     assert made.due(NOW + 399 * MS) == []
-    assert made.due(NOW + 400 * MS) == [Close(1, "settings not acknowledged")]
+    assert made.due(NOW + 400 * MS) == [CloseConnection(1, "settings not acknowledged")]
 
 
 def test_a_server_that_has_gone_keeps_what_is_open_and_takes_nothing_more():
     made = pool(limit=1, connections=1)
     made.ask("a", NOW), made.ask("b", NOW)
-    assert made.leave(NOW) == [Refuse("b", AttemptOutcome.NOT_SENT)]
-    assert made.ask("c", NOW) == [Refuse("c", AttemptOutcome.NOT_SENT)]
-    assert made.freed(1, True, NOW) == [Close(1, "drained")]
+    assert made.leave(NOW) == [RefuseRequest("b", AttemptOutcome.NOT_SENT)]
+    assert made.ask("c", NOW) == [RefuseRequest("c", AttemptOutcome.NOT_SENT)]
+    assert made.freed(1, True, NOW) == [CloseConnection(1, "drained")]
 
 
 def test_nothing_goes_to_a_peer_that_does_not_read():
     made = pool(connections=1)
     made.blocked(1, True, NOW)
     assert made.ask("a", NOW) == []
-    assert made.blocked(1, False, NOW) == [Send("a", 1)]
+    assert made.blocked(1, False, NOW) == [SendOnConnection("a", 1)]
 
 
 @pytest.mark.parametrize(
     "reached, outcome", [(True, AttemptOutcome.NOT_SENT), (False, AttemptOutcome.UNREACHABLE)]
 )
 def test_what_waited_for_a_connection_that_never_came_is_refused(reached, outcome):
-    made = Pool(Limits(), 11, "n0")
-    assert made.ask("a", NOW) == [Open(1)]
-    assert made.lost(1, reached, NOW) == [Refuse("a", outcome)]
+    made = ConnectionPool(Limits(), 11, "n0")
+    assert made.ask("a", NOW) == [OpenConnection(1)]
+    assert made.lost(1, reached, NOW) == [RefuseRequest("a", outcome)]
 
 
 class PoolMachine(RuleBasedStateMachine):
@@ -170,31 +180,31 @@
     def __init__(self):
         super().__init__()
         self.limits = Limits(connections=3, streams=5, waiting=4, ids=12, age=20 * S, wait=200 * MS)
-        self.pool, self.now, self.asked = Pool(self.limits, 11, "n0"), NOW, 0
+        self.pool, self.now, self.asked = ConnectionPool(self.limits, 11, "n0"), NOW, 0
         self.state, self.limit, self.open, self.waiting = {}, {}, {}, {}
 
     def do(self, said):
         for one in said:
             match one:
-                case Send(forward, number):
+                case SendOnConnection(forward, number):
                     assert self.state[number] == "up", "a stream on one that takes none"
                     self.waiting.pop(forward, None)
                     self.open[number].add(forward)
                     assert len(self.open[number]) <= min(
                         self.limit[number], self.limits.streams
                     ), "over a limit"
-                case Open(number):
+                case OpenConnection(number):
                     assert number not in self.state and "opening" not in self.state.values()
                     self.state[number], self.open[number], self.limit[number] = "opening", set(), 0
                     assert (
                         len([s for s in self.state.values() if s != "closed"]) <= 2 * self.limits.connections
                     )
-                case Refuse(forward, outcome):
+                case RefuseRequest(forward, outcome):
                     assert outcome.never_executed and not any(forward in o for o in self.open.values())
                     self.waiting.pop(forward, None)
-                case Ping(number):
+                case SendPing(number):
                     assert self.open[number], "a PING where nobody waits"
-                case Close(number, why):
+                case CloseConnection(number, why):
                     assert not self.open[number] or why in ("silent", "settings not acknowledged")
                     self.state[number], self.open[number] = "closed", set()
 
@@ -294,21 +304,21 @@
 
 
 def test_what_waits_for_a_connection_that_this_side_could_not_begin_waits_on():
-    made = Pool(Limits(), 1, "n0")
-    assert made.ask("a", NOW) == [Open(1)]
+    made = ConnectionPool(Limits(), 1, "n0")
+    assert made.ask("a", NOW) == [OpenConnection(1)]
     assert made.lacked(1, NOW) == [] and made.next_due() == NOW + 10 * MS
     assert made.ask("b", NOW + MS) == []  # nor is what comes meanwhile refused
-    assert made.due(NOW + 10 * MS) == [Open(2)]
+    assert made.due(NOW + 10 * MS) == [OpenConnection(2)]
     assert [one.forward for one in made.opened(2, 100, NOW + 11 * MS)] == ["a", "b"] and not made.failures
 
 
 def test_what_a_lack_here_leaves_waiting_has_its_bound():
-    made = Pool(Limits(), 1, "n0")
+    made = ConnectionPool(Limits(), 1, "n0")
     made.ask("a", NOW)
     for at in range(0, 400, 10):
         for one in made.due(NOW + at * MS):
-            if isinstance(one, Refuse):
-                assert one == Refuse("a", AttemptOutcome.FULL) and at == 300
+            if isinstance(one, RefuseRequest):
+                assert one == RefuseRequest("a", AttemptOutcome.FULL) and at == 300
                 return
             made.lacked(one.connection, NOW + at * MS)
         if at == 0:
--- a/tests/upstream/test_http2_session.py
+++ b/tests/upstream/test_http2_session.py
@@ -12,15 +12,15 @@
 from sprucegate.routing.actions import SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, Request
 from sprucegate.upstream.http2 import evidence, mapping
-from sprucegate.upstream.http2.evidence import Written
+from sprucegate.upstream.http2.evidence import WriteProgress
 from sprucegate.upstream.http2.session import (
     Acknowledged,
     Answered,
     GoneAway,
+    Http2Session,
     Limited,
     Ready,
     Reset,
-    Session,
     Spoilt,
 )
 from standins.http2 import frame, goaway
@@ -35,7 +35,7 @@
     """A session and an h2 server, their bytes carried by hand."""
 
     def __init__(self, held=4 << 20, **settings):
-        self.session, self.now, self.requests, self.bodies, self.resets = Session(held, 0), 0, [], {}, {}
+        self.session, self.now, self.requests, self.bodies, self.resets = Http2Session(held, 0), 0, [], {}, {}
         self.server = H2Connection(
             H2Configuration(client_side=False, header_encoding=False, validate_inbound_headers=False)
         )
@@ -87,7 +87,7 @@
     pair = Pair(window=1)
     stream = pair.ask(fields=PUT, body=b"b" * 300)
     pair.turn()
-    assert len(pair.bodies[1]) == 1 and pair.session.written(stream) is Written.WHOLE
+    assert len(pair.bodies[1]) == 1 and pair.session.written(stream) is WriteProgress.WHOLE
     for _ in range(700):  # each byte is acknowledged, which opens the window by one
         pair.turn()
     assert pair.bodies[1] == b"b" * 300 and not pair.session.uploads
@@ -146,24 +146,24 @@
     pair.turn()
     before = pair.session.gone
     one, two = pair.ask(1, PUT, b"b" * 100), pair.ask(2)
-    assert [pair.session.written(s) for s in (one, two)] == [Written.NOTHING] * 2
+    assert [pair.session.written(s) for s in (one, two)] == [WriteProgress.NOTHING] * 2
     pair.session.sent(1)
-    assert pair.session.written(one) is Written.PART
+    assert pair.session.written(one) is WriteProgress.PART
     pair.session.sent(one.head_end - before - 2)
-    assert pair.session.written(one) is Written.PART  # all but one byte of its header block
+    assert pair.session.written(one) is WriteProgress.PART  # all but one byte of its header block
     pair.session.sent(1)
-    assert pair.session.written(one) is Written.WHOLE  # though its body has not gone
-    assert pair.session.written(two) is Written.NOTHING
+    assert pair.session.written(one) is WriteProgress.WHOLE  # though its body has not gone
+    assert pair.session.written(two) is WriteProgress.NOTHING
 
 
 @pytest.mark.parametrize(
     "row, proved",
     [
-        (evidence.of_end(Written.NOTHING, 5, None), True),
-        (evidence.of_end(Written.PART, 5, None), True),
-        (evidence.of_end(Written.WHOLE, 5, 3), True),
-        (evidence.of_end(Written.WHOLE, 5, 5), False),
-        (evidence.of_end(Written.WHOLE, 5, None), False),
+        (evidence.of_end(WriteProgress.NOTHING, 5, None), True),
+        (evidence.of_end(WriteProgress.PART, 5, None), True),
+        (evidence.of_end(WriteProgress.WHOLE, 5, 3), True),
+        (evidence.of_end(WriteProgress.WHOLE, 5, 5), False),
+        (evidence.of_end(WriteProgress.WHOLE, 5, None), False),
         (evidence.of_reset(0x7), True),
         (evidence.of_reset(0x8), False),
         (evidence.of_reset(0x2), False),
@@ -242,7 +242,7 @@
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 400 Bad Request\r\n\r\n", frame(6, 0, 0, b"8 bytes.")])
 def test_who_does_not_begin_with_settings_speaks_something_else(answer):
-    session = Session(1 << 20, 0)
+    session = Http2Session(1 << 20, 0)
     session.feed(answer, 0)
     assert session.fault is not None and not session.ready
 
