--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -9,9 +9,10 @@
 import msgspec
 
 from sprucegate.errors import ProtocolError
-from sprucegate.fleet.failure_detector import swim
+from sprucegate.fleet.failure_detector import messages as membership
+from sprucegate.fleet.failure_detector.member import Member
 from sprucegate.fleet.replica import replica
-from sprucegate.fleet.replica.facts import Fact, State
+from sprucegate.fleet.replica.facts import ReplicatedRecord, SourceState
 from sprucegate.routing.events import BeliefGossip, EjectionGossip
 from sprucegate.storage import records
 
@@ -35,27 +36,47 @@
 VERSION = 1
 FRAME_MOST = 8 << 20  # bytes: what a fleet has seen, with the gaps of a transfer under way
 GREETING_MOST = 1024
-KINDS = (
-    None,
-    swim.Ping,
-    swim.Ack,
-    swim.PingFor,
-    swim.Nack,
-    swim.All,
-    replica.Tell,
-    replica.Done,
-    replica.Held,
-    replica.Have,
-    replica.Mark,
-    replica.Ranges,
-    replica.Keys,
-    replica.Repair,
-    replica.Evidence,
-    ConsensusFrame,
-    swim.Refused,
-    ComponentMessage,
-)
-NUMBERS = {kind: number for number, kind in enumerate(KINDS) if kind}
+# The number of each kind of message on the wire; numbers are never used anew.
+KINDS = {
+    1: membership.Ping,
+    2: membership.Ack,
+    3: membership.PingRequest,
+    4: membership.Nack,
+    5: membership.FullState,
+    6: replica.SpreadRecords,
+    7: replica.TransferEnd,
+    8: replica.DigestAnnouncement,
+    9: replica.SeenReport,
+    10: replica.CatchUpMark,
+    11: replica.RangeDigests,
+    12: replica.RangeKeys,
+    13: replica.RepairRecords,
+    14: replica.EvidenceMessage,
+    15: ConsensusFrame,
+    16: membership.ConnectionRefused,
+    17: ComponentMessage,
+}
+NUMBERS = {kind: number for number, kind in KINDS.items()}
+# The word of each kind in the count of messages that `status` answers.
+STATUS_WORDS = {
+    membership.Ping: "ping",
+    membership.Ack: "ack",
+    membership.PingRequest: "pingfor",
+    membership.Nack: "nack",
+    membership.FullState: "all",
+    replica.SpreadRecords: "tell",
+    replica.TransferEnd: "done",
+    replica.DigestAnnouncement: "held",
+    replica.SeenReport: "have",
+    replica.CatchUpMark: "mark",
+    replica.RangeDigests: "ranges",
+    replica.RangeKeys: "keys",
+    replica.RepairRecords: "repair",
+    replica.EvidenceMessage: "evidence",
+    ConsensusFrame: "routed",
+    membership.ConnectionRefused: "refused",
+    ComponentMessage: "word",
+}
 
 
 class FrameError(ProtocolError):
@@ -84,22 +105,22 @@
 _Key, _Dot = tuple, tuple[str, int, int]
 _Lives = list[tuple[str, int, list[int]]]
 SHAPES = {
-    swim.Ping: tuple[int, str, int, list[swim.Member]],
-    swim.Ack: tuple[int, int, list[swim.Member]],
-    swim.PingFor: tuple[int, str, list[swim.Member]],
-    swim.Nack: tuple[int],
-    swim.All: tuple[list[swim.Member], bool],
-    replica.Tell: tuple[list[Fact], int, int],
-    replica.Done: tuple[int, int, _Lives],
-    replica.Held: tuple[int],
-    replica.Have: tuple[_Lives, int, tuple[int, int], int],
-    replica.Mark: tuple[int, _Lives, bool],
-    replica.Ranges: tuple[list[int]],
-    replica.Keys: tuple[list[int], list[tuple[_Key, _Dot, int]], bool],
-    replica.Repair: tuple[list[Fact]],
-    replica.Evidence: tuple[int, list[BeliefGossip], list[EjectionGossip]],
+    membership.Ping: tuple[int, str, int, list[Member]],
+    membership.Ack: tuple[int, int, list[Member]],
+    membership.PingRequest: tuple[int, str, list[Member]],
+    membership.Nack: tuple[int],
+    membership.FullState: tuple[list[Member], bool],
+    replica.SpreadRecords: tuple[list[ReplicatedRecord], int, int],
+    replica.TransferEnd: tuple[int, int, _Lives],
+    replica.DigestAnnouncement: tuple[int],
+    replica.SeenReport: tuple[_Lives, int, tuple[int, int], int],
+    replica.CatchUpMark: tuple[int, _Lives, bool],
+    replica.RangeDigests: tuple[list[int]],
+    replica.RangeKeys: tuple[list[int], list[tuple[_Key, _Dot, int]], bool],
+    replica.RepairRecords: tuple[list[ReplicatedRecord]],
+    replica.EvidenceMessage: tuple[int, list[BeliefGossip], list[EjectionGossip]],
     ConsensusFrame: tuple[str, str, int, bytes],
-    swim.Refused: tuple[str, int],
+    membership.ConnectionRefused: tuple[str, int],
     ComponentMessage: tuple[str, bytes],
 }
 _encode = msgspec.msgpack.Encoder().encode
@@ -107,8 +128,12 @@
 _decoders = {kind: msgspec.msgpack.Decoder(shape).decode for kind, shape in SHAPES.items()}
 _greeting = msgspec.msgpack.Decoder(Greeting).decode
 _question = msgspec.msgpack.Decoder(Question).decode
-KEYS = {replica.PURGE: (str, int), replica.WORD: (int, int, str, str), replica.HELD: (str,)}
-VALUES = {replica.PURGE: 1, replica.WORD: 3, replica.HELD: 1}
+KEYS = {
+    replica.INVALIDATION: (str, int),
+    replica.SERVER_STATE: (int, int, str, str),
+    replica.HELD_LIST: (str,),
+}
+VALUES = {replica.INVALIDATION: 1, replica.SERVER_STATE: 3, replica.HELD_LIST: 1}
 
 
 def frame(message):
@@ -127,16 +152,16 @@
     """The message of one record, checked."""
     try:
         number, raw = _number(payload)
-        if not 0 < number < len(KINDS):
+        if number not in KINDS:
             raise FrameError(f"a message of kind {number}, which format {VERSION} lacks")
         made = KINDS[number](*_decoders[KINDS[number]](raw))
     except msgspec.MsgspecError as fault:
         raise FrameError(f"a message that can't be read: {fault}") from None
-    if isinstance(made, replica.Tell | replica.Repair):
+    if isinstance(made, replica.SpreadRecords | replica.RepairRecords):
         for fact in made.facts:
             _checked(fact)
-    if isinstance(made, replica.Done | replica.Have | replica.Mark):
-        for _, _, ends in made.claims if isinstance(made, replica.Done) else made.lives:
+    if isinstance(made, replica.TransferEnd | replica.SeenReport | replica.CatchUpMark):
+        for _, _, ends in made.claims if isinstance(made, replica.TransferEnd) else made.lives:
             if len(ends) % 2 or any(a >= b for a, b in zip(ends, ends[1:], strict=False)):
                 raise FrameError("counters that are no intervals")
     return made
@@ -168,8 +193,8 @@
         or not all(type(part) is int for part in fact.value)
         or [type(part) for part in fact.dot] != [str, int, int]
         or fact.dot[2] < 1
-        or kind == replica.WORD
-        and fact.value[2] not in list(State)
+        or kind == replica.SERVER_STATE
+        and fact.value[2] not in list(SourceState)
     ):
         raise FrameError(f"a fact of no known kind: {str(fact.key)[:80]}")
 
--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.links.outgoing import Outgoing
+from sprucegate.fleet.links.send_queue import SendQueue
 from sprucegate.upstream.sockets import set_no_delay
 
 OUTBOUND_CONNECTIONS_MAX, INBOUND_CONNECTIONS_MAX = (
@@ -28,12 +28,12 @@
 SHORT = 1.0  # seconds until such a one is closed
 
 
-class Connection:
+class PeerConnection:
     def __init__(self, links, sock, address=""):
         self.links, self.sock, self.address = links, sock, address
         self.name, self.out, self.wake, self.used, self.bytes = (
             "",
-            Outgoing(),
+            SendQueue(),
             asyncio.Event(),
             time.monotonic(),
             0,
@@ -102,15 +102,15 @@
         if connection is None:
             if not address or not self._room():
                 return
-            connection = self.dialled[address] = Connection(self, None, address)
+            connection = self.dialled[address] = PeerConnection(self, None, address)
             connection.task = self.loop.create_task(self._dial(connection))
-        kind = type(message).__name__.lower()
+        kind = codec.STATUS_WORDS[type(message)]
         self.sent[kind] = self.sent.get(kind, 0) + 1
         connection.put(message, guard)
 
     def slow(self):
         """Peers for which more of a transfer waits than is sent in one go."""
-        return {name: None for name, one in self.by_name.items() if one.out.piece_bytes > SLOW}
+        return {name: None for name, one in self.by_name.items() if one.out.transfer_bytes > SLOW}
 
     def greet_again(self):
         """This front has another name: on what is open the others would take it for the twin that keeps the old one."""
@@ -160,7 +160,7 @@
                 self._turned_away(sock)
                 continue
             sock.setblocking(False)
-            connection = Connection(self, sock)
+            connection = PeerConnection(self, sock)
             self.taken.add(connection)
             connection.task = self.loop.create_task(self._serve(connection, taken=True))
 
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-from sprucegate.fleet.membership_view.careful import PeerAction, allows
-from sprucegate.fleet.membership_view.standing import HEALTH_STATE_OF_MEMBER
-from sprucegate.fleet.rollout.gates import Limits
-from sprucegate.fleet.rollout.permits import Box, Step
+from sprucegate.fleet.membership_view.degraded_mode import PeerAction, allows
+from sprucegate.fleet.membership_view.health_state import HEALTH_STATE_OF_MEMBER
+from sprucegate.fleet.rollout.gates import GateLimits
+from sprucegate.fleet.rollout.permits import ManagedServer, PermitStep
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 
 SOURCE = "permit"  # whose word a drain by permit is, in the view
@@ -20,7 +20,7 @@
     addresses: dict
     state: str
     limits: object
-    gate: Limits = Limits()
+    gate: GateLimits = GateLimits()
 
 
 class MaintenanceAgent:
@@ -58,11 +58,11 @@
 
     def changed(self):
         """Differs where `boxes` may give something else."""
-        return self.merged.view.generation, [(name, m.standing) for name, m in sorted(self.members().items())]
+        return self.merged.view.generation, [(name, m.state) for name, m in sorted(self.members().items())]
 
     def boxes(self):
         found = {
-            name: Box(
+            name: ManagedServer(
                 name,
                 "cache",
                 self.places.get(row.server.entry.location, ""),
@@ -73,8 +73,8 @@
             for name, row in self._rows().items()
         }
         for name, member in self.members().items():
-            if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.standing]):
-                found[name] = Box(name, "front", "", "front", "", 1)
+            if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.state]):
+                found[name] = ManagedServer(name, "front", "", "front", "", 1)
         return found
 
     def _weight(self, at):
@@ -85,7 +85,7 @@
 
     def follows(self, machine, fenced, now):
         if self.views is not None:
-            self.views.agreed(machine.index, machine.permits.fronts, fenced, now)
+            self.views.on_log_applied(machine.index, machine.permits.fronts, fenced, now)
 
     # Drains.
 
@@ -110,7 +110,7 @@
                 self.placed[box] = which
                 self.merged.word(*which, SOURCE, True, now)
         for permit in machine.permits.of_box.values():
-            if permit.step is Step.COLD and self.cold.get(permit.box, ("",))[0] != permit.start:
+            if permit.step is PermitStep.COLD and self.cold.get(permit.box, ("",))[0] != permit.start:
                 self.cold[permit.box] = permit.start, now, self.counts.get(permit.box, [0])[0]
                 place = self._place(permit.box, rows)
                 if place is not None:
@@ -177,7 +177,9 @@
         """The origin is in trouble where the rules' own brake holds it back."""
         nodes = self.driver.router.group("origin")
         now = self.driver.clock()
-        return {"origin": "rests"} if nodes and all(now < node.as_cache.until for node in nodes) else {}
+        return (
+            {"origin": "rests"} if nodes and all(now < node.as_cache.ejected_until for node in nodes) else {}
+        )
 
     def warm(self, box, start):
         """Whether that start answers here and has had its time: cold credit is earned by then at every front."""
--- a/sprucegate/fleet/rollout/leader.py
+++ b/sprucegate/fleet/rollout/leader.py
@@ -8,9 +8,9 @@
 """
 
 from sprucegate.fleet.rollout import gates
-from sprucegate.fleet.rollout.gates import Seen, Verdict
-from sprucegate.fleet.rollout.permits import TAKES, Step
-from sprucegate.fleet.rollout.releases import Phase
+from sprucegate.fleet.rollout.gates import AnalysisSample, GateVerdict
+from sprucegate.fleet.rollout.permits import TAKES, PermitStep
+from sprucegate.fleet.rollout.releases import ReleasePhase
 
 MS, S = 1_000_000, 1_000_000_000
 FRONT_LEASE = 6 * S  # from the last question of a front to its being counted out
@@ -25,11 +25,11 @@
     return FRONT_LEASE - MARGIN
 
 
-class Leading:
+class RolloutLeader:
     """Made when a keeper begins to lead."""
 
     def __init__(self, machine, now, gate=None):
-        self.machine, self.since, self.gate = machine, now, gate or gates.Limits()
+        self.machine, self.since, self.gate = machine, now, gate or gates.GateLimits()
         self.under_way = {}  # command as text -> when proposed
         self.renewed_at, self.away, self.waves, self.looked = {}, {}, {}, {}
         self.told, self.totals, self.starts = (
@@ -59,7 +59,7 @@
             if now - at < FRONT_LEASE and known.get(name) != life and not left:
                 found.append(["front", name, life, True])
         for name, life in sorted(known.items()):
-            last = heard[name].at if name in heard and heard[name].life == life else 0
+            last = heard[name].at if name in heard and heard[name].incarnation == life else 0
             # Counted from the election at the earliest: whom the former leader heard is not known here.
             if now - max(last, self.since) >= FRONT_LEASE:
                 found.append(["front", name, life, False])
@@ -71,7 +71,7 @@
         return [
             ["halt", name, "fleet", why]
             for name, one in self.machine.releases.releases.items()
-            if one.phase is Phase.RUNNING and release in (None, name)
+            if one.phase is ReleasePhase.RUNNING and release in (None, name)
         ]
 
     def _permits(self, now):
@@ -82,7 +82,11 @@
             seen = self.renewed_at[permit.id]
             if seen is None or seen[0] != (permit.renewed, permit.step):
                 seen = self.renewed_at[permit.id] = (permit.renewed, permit.step), now
-            since = self.away.setdefault(permit.id, now) if permit.step in (Step.OUT, Step.COLD) else now
+            since = (
+                self.away.setdefault(permit.id, now)
+                if permit.step in (PermitStep.OUT, PermitStep.COLD)
+                else now
+            )
             if now - since >= LIVE_MOST:
                 found += self._halts(f"{permit.box} does not come back", permit.release)
             if not permit.overdue and now - seen[1] >= PERMIT_LEASE:
@@ -94,13 +98,15 @@
         """Reports of the fronts that count."""
         fronts = self.machine.permits.fronts
         return {
-            name: one.report for name, one in heard.items() if fronts.get(name) == one.life and one.report
+            name: one.report
+            for name, one in heard.items()
+            if fronts.get(name) == one.incarnation and one.report
         }
 
     def _says_now(self, heard, now):
         """Reports made since this keeper leads, and not long ago: older ones are of what was then."""
         since = max(self.since, now - REPORT_LATE)
-        return self._said({name: one for name, one in heard.items() if one.reported >= since})
+        return self._said({name: one for name, one in heard.items() if one.reported_at >= since})
 
     def _most(self, count):
         """Whether so many are most of the fronts that count, heard or not."""
@@ -152,7 +158,7 @@
             life, before, rows = self.told.get(name, (None, None, {}))
             if report is before:
                 continue
-            rows = rows if life == heard[name].life else {}
+            rows = rows if life == heard[name].incarnation else {}
             for box, *row in report[0]:
                 if box not in boxes:
                     continue  # not one that the log knows: it would be counted for ever
@@ -168,13 +174,13 @@
                 # The most of any front; it never falls, so it need not be looked for among all of them each time:
                 # with 200 fronts and boxes that was most of what a leader did.
                 total[5] = max(total[5], seen[name])
-            self.told[name] = heard[name].life, report, rows
+            self.told[name] = heard[name].incarnation, report, rows
 
     def _gates(self, heard, now):
         found = []
         self._takes(heard)
         for name, release in self.machine.releases.releases.items():
-            if release.phase is not Phase.RUNNING or release.passed:
+            if release.phase is not ReleasePhase.RUNNING or release.passed:
                 self.waves.pop(name, None)
                 continue
             at, wave = (release.turn, release.wave), release.plan.waves[release.wave]
@@ -213,9 +219,9 @@
                     self._sum(older, begun),
                 )
             said, by, figures = gates.verdict(released, rest, starts, baked, self.gate)
-            if said is not Verdict.FEW:
+            if said is not GateVerdict.FEW:
                 text = f"{by}: {figures[0]:.3g} beside {figures[1]:.3g}" if by else ""
-                found.append(["gate", name, *at, said is Verdict.PASS, text])
+                found.append(["gate", name, *at, said is GateVerdict.PASS, text])
         return found
 
     def _of(self, box):
@@ -226,4 +232,4 @@
         for box in boxes:
             begun = since.get(box, [0] * 6)
             total = [t + now - then for t, now, then in zip(total, self._of(box), begun, strict=False)]
-        return Seen(total[0], (*total[1:], 0))
+        return AnalysisSample(total[0], (*total[1:], 0))
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -16,12 +16,12 @@
 import time
 
 from sprucegate.fleet.random_source import RandomSource
-from sprucegate.fleet.replica.facts import State
-from sprucegate.fleet.replica.replica import Have, Replica, Send, Write
+from sprucegate.fleet.replica.facts import SourceState
+from sprucegate.fleet.replica.replica import PersistRecords, Replica, SeenReport, SendMessage
 
 KEY, WORD = ("purge", "object", 1), ("word", 16, 0, "bus", "a")
 TELLS = {
-    "a": [(KEY, (1,)), (KEY, (3,)), (WORD, (int(State.DRAINING),)), (WORD, (int(State.LIFTED),))],
+    "a": [(KEY, (1,)), (KEY, (3,)), (WORD, (int(SourceState.DRAINING),)), (WORD, (int(SourceState.LIFTED),))],
     "b": [(KEY, (2,))],
     "c": [],
 }
@@ -60,15 +60,19 @@
 
     def done(self, name, actions):
         for action in actions:
-            if isinstance(action, Send) and isinstance(action.message, Have) and self.asked(name, action.to):
+            if (
+                isinstance(action, SendMessage)
+                and isinstance(action.message, SeenReport)
+                and self.asked(name, action.to)
+            ):
                 continue  # the same once more leads nowhere new
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self.flying.append((name, action.to, action.message))
-            elif isinstance(action, Write):
+            elif isinstance(action, PersistRecords):
                 self.writes[name].append(action)
 
     def asked(self, name, to):
-        return any((a, b) == (name, to) and isinstance(m, Have) for a, b, m in self.flying)
+        return any((a, b) == (name, to) and isinstance(m, SeenReport) for a, b, m in self.flying)
 
     def possible(self):
         found = [("tell", name) for name in self.names if self.tells[name]]
@@ -115,7 +119,7 @@
         for name, front in self.fronts.items():
             for fact in self.told:
                 held = front.facts.held.get(fact.key)
-                if front.facts.seen.has(fact.dot) and (held is None or held.value < fact.value):
+                if front.facts.seen.contains(fact.dot) and (held is None or held.value < fact.value):
                     raise Broken("a", name, fact, self.steps)
             disk = {}
             for taken, spans, _ in self.disks[name]:
@@ -123,7 +127,7 @@
                     disk.setdefault(fact.dot[:2], set()).add(fact.dot[2])
                 for owner, life, first, past in spans:
                     disk.setdefault((owner, life), set()).update(range(first, past))
-            for owner, life, ends in front.on_disk.told():
+            for owner, life, ends in front.on_disk.as_ranges():
                 for first, past in zip(ends[::2], ends[1::2], strict=True):
                     if not set(range(first, past)) <= disk.get((owner, life), set()):
                         raise Broken("b", name, (owner, life, first, past), self.steps)
@@ -159,8 +163,8 @@
                 (
                     name,
                     tuple(sorted(f.facts.held.items(), key=repr)),
-                    tuple((o, life, tuple(ends)) for o, life, ends in f.facts.seen.told()),
-                    tuple((o, life, tuple(ends)) for o, life, ends in f.on_disk.told()),
+                    tuple((o, life, tuple(ends)) for o, life, ends in f.facts.seen.as_ranges()),
+                    tuple((o, life, tuple(ends)) for o, life, ends in f.on_disk.as_ranges()),
                     len(self.writes[name]),
                     len(self.tells[name]),
                     len(f.waiting),
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -11,15 +11,17 @@
 
 import msgspec
 
-from sprucegate.fleet.consensus.durability_check import base
-from sprucegate.fleet.consensus.log_follower import Follow, Follower, Propose, Serving, State
-from sprucegate.fleet.consensus.raft_node import Send
+from sprucegate.fleet.consensus.actions import SendMessage
+from sprucegate.fleet.consensus.durability_check import base_name
+from sprucegate.fleet.consensus.follow_messages import FollowRequest, ProposeRequest, StateResponse
+from sprucegate.fleet.consensus.log_follower import ApplyCommands, LogFollower, ReplaceState
+from sprucegate.fleet.consensus.log_server import LogServer
 from sprucegate.fleet.random_source import RandomSource
-from sprucegate.fleet.rollout.follower import Words
-from sprucegate.fleet.rollout.leader import Leading, front_lease
-from sprucegate.fleet.rollout.permits import Box as Listed
-from sprucegate.fleet.rollout.permits import Step
-from sprucegate.fleet.rollout.rollout import Rollout
+from sprucegate.fleet.rollout.follower import FrontReporter
+from sprucegate.fleet.rollout.leader import RolloutLeader, front_lease
+from sprucegate.fleet.rollout.permits import ManagedServer as Listed
+from sprucegate.fleet.rollout.permits import PermitStep
+from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 from standins.fleet import keepers
 from standins.fleet.keepers import MS, S, World
 from standins.fleet.schedules import reported
@@ -35,10 +37,10 @@
 
 class KeeperBox(keepers.Box):
     def installs(self, index, state):
-        machine = Rollout()
+        machine = RolloutStateMachine()
         if state:
             machine.loaded(msgspec.msgpack.decode(state))
-        self.serving = Serving(self.keeper, machine)
+        self.serving = LogServer(self.keeper, machine)
         self.leading = None
 
     def whole(self):
@@ -46,38 +48,38 @@
         return msgspec.msgpack.encode(self.serving.machine.told())
 
     def applies(self, entries):
-        now, machine = self.clock(), self.serving.machine
-        sends, granted = self.serving.applied(entries, now)
+        machine = self.serving.machine
+        sends, granted = self.serving.on_committed(entries)
         for permit in granted:
             self.world.note(self.name, "grants", permit.id, permit.index, permit.box, permit.release)
         self.state = machine
         self.done(sends)
 
     def leads(self, on):
-        self.leading = Leading(self.serving.machine, self.clock(), self.world.gate) if on else None
+        self.leading = RolloutLeader(self.serving.machine, self.clock(), self.world.gate) if on else None
         if on:
             generation = self.generation
             self.world.later(1, self, self._duties, generation, self.leading)
         else:
-            self.done(self.serving.lost())
+            self.done(self.serving.on_leadership_lost())
 
     def _duties(self, generation, leading):
         if generation != self.generation or self.leading is not leading:
             return []
         done, now = [], self.clock()
-        for command in leading.due(self.serving.heard_from, now):
+        for command in leading.due(self.serving.contacts, now):
             done += self.keeper.propose(command, now)[1]
         self.world.later(100 * MS, self, self._duties, generation, leading)
         return done
 
     def comes(self, sender, to, message):
-        if isinstance(message, Follow | Propose):
-            if not self.fitness.fit:
+        if isinstance(message, FollowRequest | ProposeRequest):
+            if not self.fitness.may_vote:
                 return []
-            done = self.serving.heard(sender, message, self.clock())
+            done = self.serving.on_message(sender, message, self.clock())
             return [
                 a._replace(message=a.message._replace(state=msgspec.msgpack.encode(a.message.state)))
-                if isinstance(a, Send) and isinstance(a.message, State)
+                if isinstance(a, SendMessage) and isinstance(a.message, StateResponse)
                 else a
                 for a in done
             ]
@@ -100,15 +102,15 @@
     def start(self):
         self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
         life = self.generation if isinstance(self, Front) else 0
-        self.machine = Rollout()
-        self.follower = Follower(
+        self.machine = RolloutStateMachine()
+        self.follower = LogFollower(
             self.world.keepers,
             life,
             RandomSource(self.name, self.world.seed + self.generation),
             self.clock(),
             front_lease(),
         )
-        self.words = Words(self.name, life)
+        self.words = FrontReporter(self.name, life)
         self.begins()
         self.world.later(1, self, self._due, self.generation)
 
@@ -128,24 +130,24 @@
             self.done(action(*given) or [])
 
     def comes(self, sender, to, message):
-        return self.follower.heard(base(sender), message, self.clock())
+        return self.follower.on_message(base_name(sender), message, self.clock())
 
     def done(self, actions):
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self.world.send(self.name, action.to, action.message)
-            elif type(action).__name__ == "Applied":
+            elif isinstance(action, ApplyCommands):
                 for index, command in action.entries:
                     self.machine.apply(index, command)
-            elif type(action).__name__ == "Replaced":
-                self.machine = Rollout()
+            elif isinstance(action, ReplaceState):
+                self.machine = RolloutStateMachine()
                 self.machine.loaded(msgspec.msgpack.decode(action.state))
 
     def _due(self, generation):
         if generation != self.generation:
             return []
         self.world.later(50 * MS, self, self._due, generation)
-        done = self.follower.due(self.clock())
+        done = self.follower.on_timer(self.clock())
         for command in self.turn(self.clock()):
             done += self.follower.propose(command, None, self.clock(), PATIENCE)
         return done
@@ -161,8 +163,8 @@
             if (box in fresh) != (box in self.drained):
                 self.world.note(self.name, "drains" if box in fresh else "sends", box)
         self.drained = fresh
-        if not self.follower.fenced(now):
-            self.world.note(self.name, "lease", self.world.when(self.name, self.follower.until))
+        if not self.follower.is_fenced(now):
+            self.world.note(self.name, "lease", self.world.when(self.name, self.follower.lease_expiry))
         if now >= self.told_at:
             self.told_at = now + 500 * MS  # as a front in service
             down = [name for name, cache in self.world.caches.items() if cache.state == "down"]
@@ -194,18 +196,18 @@
         for permit in [p for p in self.machine.permits.of_box.values() if p.box in self.boxes]:
             cache, id = world.caches[permit.box], permit.id
             if now - self.renewed.get(id, -10 * S) > 5 * S and permit.step in (
-                Step.GRANTED,
-                Step.OUT,
-                Step.COLD,
+                PermitStep.GRANTED,
+                PermitStep.OUT,
+                PermitStep.COLD,
             ):
                 self.renewed[id] = now
                 found.append(["renew", id, self.name])
             if now < self.busy.get(id, 0):
                 continue
-            if permit.step is Step.DRAINED:
+            if permit.step is PermitStep.DRAINED:
                 self.busy[id] = now + 500 * MS
                 found.append(["out", id, self.name])
-            elif permit.step is Step.OUT:
+            elif permit.step is PermitStep.OUT:
                 self.busy[id] = now + 500 * MS
                 if cache.out_for != id:
                     cache.stops(id)
@@ -218,11 +220,11 @@
                     found.append(["started", id, str(cache.started)])
                 else:
                     found.append(["started", id, str(cache.started)])
-            elif permit.step is Step.COLD and cache.state == "down":
+            elif permit.step is PermitStep.COLD and cache.state == "down":
                 cache.starts_again(permit.version)
                 found.append(["started", id, str(cache.started)])
                 self.busy[id] = now + 500 * MS
-            elif permit.step is Step.COLD and str(cache.started) != permit.start:
+            elif permit.step is PermitStep.COLD and str(cache.started) != permit.start:
                 found.append(["started", id, str(cache.started)])
                 self.busy[id] = now + 500 * MS
         return found
@@ -425,7 +427,7 @@
         if isinstance(box, KeeperBox):
             box.full = False
         world.pause(name, False)
-        if isinstance(box, KeeperBox) and box.up and box.keeper.failed:
+        if isinstance(box, KeeperBox) and box.up and box.keeper.storage_failed:
             box.crash(world.chance)
         world.restart(name)
     for cache in world.caches.values():
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -7,12 +7,23 @@
 import random
 from itertools import count
 
-from sprucegate.fleet.failure_detector.swim import Doubled, Look, Stands
-from sprucegate.fleet.membership_view.views import ViewChanged
+from sprucegate.fleet.failure_detector.actions import CheckPort, MemberChanged, NameConflict
+from sprucegate.fleet.membership_view.tracker import ViewChanged
 from sprucegate.fleet.node import FleetNode, outgoing
-from sprucegate.fleet.replica.facts import State
-from sprucegate.fleet.replica.replica import Act, Done, Doubted, Have, LetGo, Live, Mark, Note, Tell, Write
-from sprucegate.fleet.replica_storage import PIECE, Keeping, packed
+from sprucegate.fleet.replica.facts import SourceState
+from sprucegate.fleet.replica.replica import (
+    CatchUpMark,
+    CaughtUp,
+    LogEvent,
+    PersistRecords,
+    RecordDiscarded,
+    RecordInForce,
+    SeenReport,
+    SpreadRecords,
+    TransferEnd,
+    VersionConflict,
+)
+from sprucegate.fleet.replica_storage import RECORDS_PER_PIECE, ReplicaStorage, encode_records
 from standins.disk import Crashed, FaultyDisk
 
 MS, S = 1_000_000, 1_000_000_000
@@ -39,7 +50,7 @@
     def fates(self, sender, to, message):
         """When each copy of a message comes, ns from now; none where it is lost."""
         self.frames += 1
-        kind = type(message).__name__
+        kind = type(message)
         if (sender, to) in self.cut or (sender, to, kind) in self.cut or self.chance.random() < self.loss:
             return []
         copies = 2 if self.chance.random() < self.twice else 1
@@ -60,7 +71,7 @@
     def start(self):
         fleet, now = self.fleet, self.fleet.now
         self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
-        self.keeping = Keeping(self.disk, "/f")
+        self.keeping = ReplicaStorage(self.disk, "/f")
         try:
             life = self.keeping.start() << 32 | fleet.chance.randrange(1 << 32)
             kept = self.keeping.open(now)
@@ -72,7 +83,7 @@
         fleet.note(self.name, "life", life)
         self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
         self.peer.loaded(kept.facts.values(), kept.lives, now)
-        fleet.note(self.name, "loaded", self.peer.replica.facts.seen.told(), self.holds())
+        fleet.note(self.name, "loaded", self.peer.replica.facts.seen.as_ranges(), self.holds())
         self.done(self.peer.starts(now))
 
     def _again(self):
@@ -116,16 +127,16 @@
         if (sent := outgoing(action)) is not None:
             name, address, message, _ = sent
             to = name if name in fleet.fronts else fleet.by_address.get(address or self._address(name))
-            if isinstance(message, Mark) or isinstance(message, Have) and not message.number:
+            if isinstance(message, CatchUpMark) or isinstance(message, SeenReport) and not message.number:
                 fleet.note(self.name, "says-seen", message.lives)
-            if isinstance(message, Tell | Done):
+            if isinstance(message, SpreadRecords | TransferEnd):
                 fleet.bytes += sum(
-                    20 + len(str(f)) for f in (message.facts if isinstance(message, Tell) else [])
+                    20 + len(str(f)) for f in (message.facts if isinstance(message, SpreadRecords) else [])
                 )
             if to is not None:
                 fleet.send(self, to, message)
         match action:
-            case Write():
+            case PersistRecords():
                 number, generation = action.number, self.generation
                 fault = self.keeping.write(action.record)
                 if fault is None:
@@ -136,22 +147,22 @@
                 else:
                     fleet.note(self.name, "not-kept", fault)
                     fleet.later(MS, self, self._not_kept, number, fault, generation)
-            case Act():
+            case RecordInForce():
                 fleet.note(self.name, "acts", action.fact.key, action.fact.value)
-            case LetGo():
+            case RecordDiscarded():
                 fleet.note(self.name, "let-go", action.fact.key, action.fact.value)
-            case Live():
+            case CaughtUp():
                 fleet.note(
                     self.name,
                     "live",
                     action.how,
-                    self.peer.replica.facts.seen.told(),
-                    {n: self.peer.replica.marks[n].told() for n in action.asked},
+                    self.peer.replica.facts.seen.as_ranges(),
+                    {n: self.peer.replica.marks[n].as_ranges() for n in action.asked},
                     self.holds(),
                 )
-            case Note():
+            case LogEvent():
                 fleet.note(self.name, "note", action.event)
-            case Look(name, _, life):
+            case CheckPort(name, _, life):
                 fleet.later(2 * MS, self, self._looked, name, life)
             case ViewChanged(view):
                 fleet.note(
@@ -160,13 +171,13 @@
                     view.number,
                     view.state.value,
                     view.share,
-                    {name: row.standing.name for name, row in view.rows.items()},
+                    {name: row.health.name for name, row in view.rows.items()},
                 )
-            case Stands():
-                fleet.note(self.name, "stands", action.member.name, int(action.member.standing))
-            case Doubled() | Doubted():
+            case MemberChanged():
+                fleet.note(self.name, "stands", action.member.name, int(action.member.state))
+            case NameConflict() | VersionConflict():
                 alias = getattr(action, "alias", "")
-                self._renew(getattr(action, "least", 0), alias, self.generation)
+                self._renew(getattr(action, "start_above", 0), alias, self.generation)
 
     def _renew(self, least, alias, generation):
         if generation != self.generation or not self.up:
@@ -176,7 +187,7 @@
         except OSError:
             return self.fleet.later(S, self, self._renew, least, alias, generation)
         self.peer.renewed(start, alias)
-        self.fleet.note(self.name, "life", self.peer.members.own.life)
+        self.fleet.note(self.name, "life", self.peer.members.own.incarnation)
 
     def _looked(self, name, life):
         """What a dial shows: nothing where it is cut off, and an open port where it stands still."""
@@ -210,7 +221,10 @@
             fault = self.keeping.begin_snapshot()
             held, lives = self.peer.replica.captured()
             if fault is None:
-                pieces = [packed(held[at : at + PIECE]) for at in range(0, len(held), PIECE)]
+                pieces = [
+                    encode_records(held[at : at + RECORDS_PER_PIECE])
+                    for at in range(0, len(held), RECORDS_PER_PIECE)
+                ]
                 fault = self.keeping.finish_snapshot(lives, pieces, self.fleet.now)
             if fault is None and not self.peer.replica.kept:
                 self.fleet.note(self.name, "kept", [(f.key, f.value) for f in held])
@@ -281,7 +295,7 @@
     def purged(self, name, number, at):
         self.told(name, ("purge", "object", number), (at,))
 
-    def drained(self, name, server, state=State.DRAINING, start=0, source="bus"):
+    def drained(self, name, server, state=SourceState.DRAINING, start=0, source="bus"):
         self.told(name, ("word", server, start, source, name), (int(state),))
 
     def run(self, until):
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -5,11 +5,11 @@
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 
-from sprucegate.fleet.failure_detector.swim import Members
+from sprucegate.fleet.failure_detector.detector import FailureDetector
 from sprucegate.fleet.replica import replica
-from sprucegate.fleet.replica.facts import Fact, Facts, Joined, State
-from sprucegate.fleet.replica.seen import Seen
-from sprucegate.fleet.replica_storage import Keeping
+from sprucegate.fleet.replica.facts import JoinResult, RecordStore, ReplicatedRecord, SourceState
+from sprucegate.fleet.replica.version_vector import VersionVector
+from sprucegate.fleet.replica_storage import ReplicaStorage
 from standins.fleet import checkers, explore
 from standins.fleet.schedules import played
 from standins.fleet.simulated import Fleet, S
@@ -21,17 +21,19 @@
 @profile(max_examples=300, deadline=None, derandomize=True)
 def test_what_was_seen_is_a_set_of_counters(ours, theirs):
     def made(spans):
-        seen, plain = Seen(), set()
+        seen, plain = VersionVector(), set()
         for first, past in spans:
-            seen.span("a", 1, first, past)
+            seen.add_range("a", 1, first, past)
             plain |= set(range(first, past))
         return seen, plain
 
     (seen, plain), (other, others) = made(ours), made(theirs)
-    assert {n for n in range(40) if seen.has(("a", 1, n))} == plain
-    assert {n for _, _, a, b in seen.lacks(other) for n in range(a, b)} == others - plain
-    assert Seen(seen.told()).told() == seen.told() and seen.covers(other) is (others <= plain)
-    assert all(a < b for _, _, ends in seen.told() for a, b in zip(ends, ends[1:], strict=False))
+    assert {n for n in range(40) if seen.contains(("a", 1, n))} == plain
+    assert {n for _, _, a, b in seen.missing(other) for n in range(a, b)} == others - plain
+    assert VersionVector(seen.as_ranges()).as_ranges() == seen.as_ranges() and seen.covers(other) is (
+        others <= plain
+    )
+    assert all(a < b for _, _, ends in seen.as_ranges() for a, b in zip(ends, ends[1:], strict=False))
 
 
 @given(
@@ -40,17 +42,21 @@
 @profile(max_examples=200, deadline=None, derandomize=True)
 def test_facts_join_to_the_same_in_any_order_and_any_number_of_times(said, order):
     facts = [
-        Fact(("purge", "object", key), (value,), (f"n{owner}", 1, at))
+        ReplicatedRecord(("purge", "object", key), (value,), (f"n{owner}", 1, at))
         for at, (key, value, owner) in enumerate(said, 1)
     ]
-    one, other = Facts(), Facts()
+    one, other = RecordStore(), RecordStore()
     for fact in facts:
         one.join(fact)
     mixed = facts * 2
     order.shuffle(mixed)
     for fact in mixed:
         other.join(fact)
-    assert one.held == other.held and one.root() == other.root() and one.seen.told() == other.seen.told()
+    assert (
+        one.held == other.held
+        and one.root() == other.root()
+        and one.seen.as_ranges() == other.seen.as_ranges()
+    )
     assert all(one.held[f.key].value >= f.value for f in facts)
 
 
@@ -83,30 +89,30 @@
 def _last_one_wins(monkeypatch):
     def join(self, fact):
         mine = self.held.get(fact.key)
-        if self.seen.has(fact.dot):
-            return Joined.OLD, mine
+        if self.seen.contains(fact.dot):
+            return JoinResult.OLD, mine
         self.seen.add(fact.dot)
         if mine is not None:
             self._out(mine)
         self.put(fact)
-        return Joined.NEW, mine
+        return JoinResult.NEW, mine
 
-    monkeypatch.setattr(Facts, "join", join)
+    monkeypatch.setattr(RecordStore, "join", join)
 
 
 def _start_not_counted(monkeypatch):
-    whole = Keeping.start
-    monkeypatch.setattr(Keeping, "start", lambda self, least=0: whole(self, least) and 1 + least)
+    whole = ReplicaStorage.start
+    monkeypatch.setattr(ReplicaStorage, "start", lambda self, least=0: whole(self, least) and 1 + least)
 
 
 def _sync_dropped(monkeypatch):
-    whole, times = Keeping.write, []
+    whole, times = ReplicaStorage.write, []
 
     def write(self, record):
         times.append(0)
         return None if len(times) % 3 == 0 else whole(self, record)
 
-    monkeypatch.setattr(Keeping, "write", write)
+    monkeypatch.setattr(ReplicaStorage, "write", write)
 
 
 def _let_go_early(monkeypatch):
@@ -116,17 +122,17 @@
 
 def _due_let_go_at_once(self, now):
     self.timers["let_go"], done = now + replica.LET_GO_EVERY, []
-    for key in [k for k, f in self.facts.held.items() if k[0] == "word" and f.value[2] == State.LIFTED]:
+    for key in [k for k, f in self.facts.held.items() if k[0] == "word" and f.value[2] == SourceState.LIFTED]:
         done += self._forget(key)
     return done + self._saved()
 
 
 def _live_at_once(monkeypatch):
     def caught_up(self, now):
-        if self.phase is not replica.Phase.ASKING or not self.marks:
+        if self.phase is not replica.CatchUpPhase.ASKING or not self.marks:
             return []
-        self.phase = replica.Phase.TOGETHER
-        return [replica.Live("caught-up", list(self.marks))]
+        self.phase = replica.CatchUpPhase.TOGETHER
+        return [replica.CaughtUp("caught-up", list(self.marks))]
 
     monkeypatch.setattr(replica.Replica, "_caught_up", caught_up)
 
@@ -176,12 +182,12 @@
     fleet = paused_and_half_cut(seed)
     assert not checkers.falsely_gone(fleet.trace, 5 * S)
     for front in fleet.fronts.values():
-        assert len(front.peer.members.alive()) == 9, front.name
+        assert len(front.peer.members.reachable()) == 9, front.name
 
 
 def test_the_checker_of_false_ends_cries_out(monkeypatch):
     # A suspect that is not heard: nobody takes its refutation.
-    monkeypatch.setattr(Members, "_of_own", lambda self, word: [])
+    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, word: [])
     assert any(checkers.falsely_gone(paused_and_half_cut(seed).trace, 5 * S) for seed in range(3))
 
 
@@ -279,8 +285,10 @@
     fleet.drained("n0", 16)
     fleet.run(4 * S)
     # n2 hears everything but facts: it is there, and has not seen the lifting.
-    fleet.network.cut |= {(a, "n2", kind) for a in ("n0", "n1") for kind in ("Tell", "Done")}
-    fleet.drained("n0", 16, State.LIFTED)
+    fleet.network.cut |= {
+        (a, "n2", kind) for a in ("n0", "n1") for kind in (replica.SpreadRecords, replica.TransferEnd)
+    }
+    fleet.drained("n0", 16, SourceState.LIFTED)
     fleet.run(30 * S)
     assert all(("word", 16, 0, "bus", "n0") in fleet.fronts[n].holds() for n in ("n0", "n1"))
     fleet.kill("n2")
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -6,24 +6,16 @@
 
 import pytest
 
-from sprucegate.fleet.failure_detector import swim
-from sprucegate.fleet.failure_detector.swim import (
-    All,
-    Answered,
-    Look,
-    Member,
-    Members,
-    Ping,
-    Refused,
-    Send,
-    Stands,
-)
-from sprucegate.fleet.failure_detector.swim import MemberState as Word
+from sprucegate.fleet.failure_detector.actions import CheckPort, MemberChanged, ProbeAnswered, Send
+from sprucegate.fleet.failure_detector.detector import FailureDetector
+from sprucegate.fleet.failure_detector.member import Member, MemberState
+from sprucegate.fleet.failure_detector.messages import Ack, ConnectionRefused, FullState, Ping
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.membership_view import careful
-from sprucegate.fleet.membership_view.careful import FleetState, OwnAction, PeerAction
-from sprucegate.fleet.membership_view.standing import HealthState, PeerHealth
-from sprucegate.fleet.membership_view.views import HOLD, STILL, ViewTracker
+from sprucegate.fleet.membership_view import degraded_mode
+from sprucegate.fleet.membership_view.degraded_mode import OwnAction, PeerAction
+from sprucegate.fleet.membership_view.health_state import FleetState, HealthState
+from sprucegate.fleet.membership_view.peer_health import PeerHealth
+from sprucegate.fleet.membership_view.tracker import HOLD_DOWN_NS, STALL_RECOVERY_NS, ViewTracker
 from sprucegate.fleet.random_source import RandomSource
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
@@ -32,82 +24,88 @@
 MS, S = 1_000_000, 1_000_000_000
 
 
-def member(name="b", word=Word.ALIVE, life=1 << 32, turn=0, by="b"):
+def member(name="b", word=MemberState.ALIVE, life=1 << 32, turn=0, by="b"):
     return Member(name, f"at-{name}", life, turn, int(word), by)
 
 
 def known(*words, at=0):
     one = PeerHealth()
     for word in words:
-        one.told(word, at)
+        one.on_member_changed(word, at)
     return one
 
 
 @pytest.mark.parametrize(
     "word, heard, indirect, agreed, said",
     [
-        (Word.ALIVE, 0, 0, None, HealthState.LIVE),
-        (Word.ALIVE, 0, 0, True, HealthState.LIVE),
-        (Word.ALIVE, 0, 0, False, HealthState.CUT_OFF),  # probes reach it, and it follows no keeper
-        (Word.ALIVE, 0, 2, True, HealthState.CUT_OFF),  # only others reach it
-        (Word.ALIVE, 0, 1, True, HealthState.LIVE),
-        (Word.SUSPECT, 0, 0, True, HealthState.SUSPECT),
-        (Word.SUSPECT, 9 * S, 0, True, HealthState.ONE_WAY),
-        (Word.GONE, 9 * S, 0, True, HealthState.ONE_WAY),  # its frames still come, so it hears nobody's
-        (Word.GONE, 5 * S, 0, True, HealthState.GONE),  # what came last was long ago
-        (Word.LEFT, 9 * S, 2, False, HealthState.LEAVING),
+        (MemberState.ALIVE, 0, 0, None, HealthState.LIVE),
+        (MemberState.ALIVE, 0, 0, True, HealthState.LIVE),
+        (MemberState.ALIVE, 0, 0, False, HealthState.CUT_OFF),  # probes reach it, and it follows no keeper
+        (MemberState.ALIVE, 0, 2, True, HealthState.CUT_OFF),  # only others reach it
+        (MemberState.ALIVE, 0, 1, True, HealthState.LIVE),
+        (MemberState.SUSPECT, 0, 0, True, HealthState.SUSPECT),
+        (MemberState.SUSPECT, 9 * S, 0, True, HealthState.ONE_WAY),
+        (
+            MemberState.DEAD,
+            9 * S,
+            0,
+            True,
+            HealthState.ONE_WAY,
+        ),  # its frames still come, so it hears nobody's
+        (MemberState.DEAD, 5 * S, 0, True, HealthState.GONE),  # what came last was long ago
+        (MemberState.LEFT, 9 * S, 2, False, HealthState.LEAVING),
     ],
 )
 def test_what_members_links_and_the_log_say_makes_one_standing(word, heard, indirect, agreed, said):
     one = known(member(word=word))
-    one.heard_at, one.indirect = heard, indirect
-    assert one.reads(agreed, 10 * S)[0] is said
-    one.format = True
-    assert one.reads(agreed, 10 * S)[0] is HealthState.OTHER_BUILD
+    one.last_frame_at, one.indirect_probes = heard, indirect
+    assert one.health(agreed, 10 * S)[0] is said
+    one.other_version = True
+    assert one.health(agreed, 10 * S)[0] is HealthState.OTHER_BUILD
 
 
 def test_a_frame_that_was_under_way_speaks_not_against_an_accusation():
-    one = known(member(), member(word=Word.SUSPECT))
-    one.heard_at = 50 * MS
-    assert one.reads(None, S)[0] is HealthState.SUSPECT
+    one = known(member(), member(word=MemberState.SUSPECT))
+    one.last_frame_at = 50 * MS
+    assert one.health(None, S)[0] is HealthState.SUSPECT
 
 
 def test_one_that_flaps_is_kept_out_for_a_rising_and_bounded_time():
     one, out = known(member()), []
     for life in range(2, 40):
         now = life * 2 * S
-        one.told(member(life=life << 32), now)
-        if one.reads(True, now)[0] is HealthState.FLAPPING:
-            out.append(one.calm_at() - now)
+        one.on_member_changed(member(life=life << 32), now)
+        if one.health(True, now)[0] is HealthState.FLAPPING:
+            out.append(one.damped_until() - now)
     assert out[0] < out[2] < out[3] and max(out) <= 78 * S
-    assert one.reads(True, now + max(out))[0] is HealthState.LIVE
+    assert one.health(True, now + max(out))[0] is HealthState.LIVE
     # One that said that it goes, as each release makes it, does not flap.
     planned = known(member())
     for life in range(2, 9):
-        planned.told(member(word=Word.LEFT, life=(life - 1) << 32), life * S)
-        planned.told(member(life=life << 32), life * S)
-    assert planned.reads(True, 30 * S)[0] is HealthState.LIVE
+        planned.on_member_changed(member(word=MemberState.LEFT, life=(life - 1) << 32), life * S)
+        planned.on_member_changed(member(life=life << 32), life * S)
+    assert planned.health(True, 30 * S)[0] is HealthState.LIVE
 
 
 def seen(views, now):
     """The rows of the view at that time."""
-    views.at = min(views.at, now)
-    views.due(now)
-    return {name: row.standing for name, row in views.view.rows.items()}
+    views.deadline = min(views.deadline, now)
+    views.on_timer(now)
+    return {name: row.health for name, row in views.view.rows.items()}
 
 
 def test_what_makes_careful_is_at_once_and_what_makes_bold_has_held():
     views = ViewTracker(0)
-    views.member(member(), 0)
+    views.on_member_changed(member(), 0)
     assert seen(views, 0) == {"b": HealthState.SUSPECT} and views.view.state is FleetState.RETURNING
-    assert seen(views, HOLD) == {"b": HealthState.LIVE}
-    views.member(member(word=Word.SUSPECT), 2 * S)
+    assert seen(views, HOLD_DOWN_NS) == {"b": HealthState.LIVE}
+    views.on_member_changed(member(word=MemberState.SUSPECT), 2 * S)
     assert seen(views, 2 * S) == {"b": HealthState.SUSPECT}
-    views.member(member(turn=1), 2 * S + MS)
+    views.on_member_changed(member(turn=1), 2 * S + MS)
     assert seen(views, 2 * S + 500 * MS) == {"b": HealthState.SUSPECT}  # doubted again, the time begins anew
-    views.member(member(word=Word.SUSPECT, turn=1), 2 * S + 600 * MS)
+    views.on_member_changed(member(word=MemberState.SUSPECT, turn=1), 2 * S + 600 * MS)
     seen(views, 2 * S + 600 * MS)
-    views.member(member(turn=2), 2 * S + 700 * MS)
+    views.on_member_changed(member(turn=2), 2 * S + 700 * MS)
     seen(views, 2 * S + 700 * MS)
     assert seen(views, 3 * S + 650 * MS) == {"b": HealthState.SUSPECT}
     assert seen(views, 3 * S + 700 * MS) == {"b": HealthState.LIVE}
@@ -116,52 +114,56 @@
 
 def test_a_front_that_stood_still_blames_nobody_and_is_bold_only_after_a_while():
     views = ViewTracker(0)
-    views.caught_up(0)
+    views.on_caught_up(0)
     for name in "bc":
-        views.member(member(name), 0)
+        views.on_member_changed(member(name), 0)
     seen(views, 0)
-    assert set(seen(views, HOLD).values()) == {HealthState.LIVE} and views.view.state is FleetState.WHOLE
-    views.slept(9 * S)
+    assert (
+        set(seen(views, HOLD_DOWN_NS).values()) == {HealthState.LIVE} and views.view.state is FleetState.WHOLE
+    )
+    views.on_stall(9 * S)
     assert (
         set(seen(views, 9 * S).values()) == {HealthState.LIVE} and views.view.state is FleetState.STOOD_STILL
     )
     assert not views.view.allows_own(OwnAction.BORROW) and not views.view.allows_own(OwnAction.FLOOR)
-    seen(views, 9 * S + STILL)
+    seen(views, 9 * S + STALL_RECOVERY_NS)
     assert views.view.state is FleetState.WHOLE
 
 
 def test_a_view_says_which_part_of_the_fleet_is_there_and_whose_word_it_is():
     views = ViewTracker(0)
-    views.caught_up(0)
+    views.on_caught_up(0)
     for name in "bcd":
-        views.member(member(name), 0)
+        views.on_member_changed(member(name), 0)
     seen(views, 0)
-    seen(views, HOLD)
+    seen(views, HOLD_DOWN_NS)
     for name in "bc":
-        views.member(member(name, Word.GONE), 5 * S)
+        views.on_member_changed(member(name, MemberState.DEAD), 5 * S)
     seen(views, 5 * S)
     assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 0.5, 0)
-    views.agreed(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
+    views.on_log_applied(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     seen(views, 6 * S)  # the log has counted b out: it is a part of the fleet no more
     assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 2 / 3, 7)
-    views.agreed(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
+    views.on_log_applied(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     assert seen(views, 6 * S) and views.view.agreed == 7  # entries on other things make no new view
-    views.agreed(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, True, 7 * S)
+    views.on_log_applied(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, True, 7 * S)
     seen(views, 7 * S)  # fenced: by its own word again; the log's is no reason for any standing
     assert views.view.agreed == 0
-    views.member(member("d", Word.GONE), 8 * S)
+    views.on_member_changed(member("d", MemberState.DEAD), 8 * S)
     seen(views, 8 * S)
     assert views.view.state is FleetState.ALONE
-    views.member(member("d", Word.LEFT), 9 * S)
+    views.on_member_changed(member("d", MemberState.LEFT), 9 * S)
     seen(views, 9 * S)
     assert seen(views, 700 * S) == {}  # and who is gone for long is forgotten
 
 
 def test_each_action_is_in_the_table_and_none_is_bolder_for_a_worse_standing():
-    assert set(careful.IN_STANDING) == set(PeerAction) and set(careful.IN_STATE) == set(OwnAction)
+    assert set(degraded_mode.ALLOWED_BY_HEALTH) == set(PeerAction) and set(
+        degraded_mode.ALLOWED_BY_FLEET
+    ) == set(OwnAction)
     # Bold ones: never on one that may be gone, or works otherwise.
-    for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LENDS):
-        assert not careful.IN_STANDING[action] & {
+    for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LEASE_HOLDER):
+        assert not degraded_mode.ALLOWED_BY_HEALTH[action] & {
             HealthState.GONE,
             HealthState.ONE_WAY,
             HealthState.LEAVING,
@@ -172,50 +174,53 @@
         PeerAction.COUNTED,
         PeerAction.AWAITED,
     ):  # careful ones: whatever it looks like
-        assert careful.IN_STANDING[action] == set(HealthState)
-    assert not careful.allows_own(OwnAction.BORROW, FleetState.ALONE) and careful.allows_own(
+        assert degraded_mode.ALLOWED_BY_HEALTH[action] == set(HealthState)
+    assert not degraded_mode.allows_own(OwnAction.BORROW, FleetState.ALONE) and degraded_mode.allows_own(
         OwnAction.TELL, FleetState.STOOD_STILL
     )
 
 
 def members(*others):
-    made = Members(member("a"), [], RandomSource("a", 1), 0)
+    made = FailureDetector(member("a"), [], RandomSource("a", 1), 0)
     for name in others:
-        made.heard(name, All([member(name)], False), 0)
+        made.on_message(name, FullState([member(name)], False), 0)
     return made
 
 
 def test_an_end_takes_two_fronts_that_were_refused_and_one_alone_ends_nobody():
     one = members("b", "c", "d")
-    assert one.reset("b", S) == [Look("b", "at-b", 1 << 32)] and one.reset("b", S + MS) == []
-    asked = one.refused("b", 1 << 32, S)
+    assert (
+        one.on_connection_reset("b", S) == [CheckPort("b", "at-b", 1 << 32)]
+        and one.on_connection_reset("b", S + MS) == []
+    )
+    asked = one.on_connection_refused("b", 1 << 32, S)
     assert (
         asked
         and {a.to for a in asked} <= {"c", "d"}
-        and {a.message for a in asked} == {Refused("b", 1 << 32)}
+        and {a.message for a in asked} == {ConnectionRefused("b", 1 << 32)}
     )
-    assert one.known["b"].standing == Word.ALIVE and one.refused("b", 1 << 32, S) == []
-    assert one.heard("c", Refused("b", 9 << 32), S) == []  # another life's end
-    told = one.heard("c", Refused("b", 1 << 32), S)
-    assert told[0] == Stands(member("b", Word.GONE, by="a"), member("b"))
-    assert all(isinstance(a, Send) and isinstance(a.message, All) for a in told[1:]) and len(told) > 1
+    assert one.known["b"].state == MemberState.ALIVE and one.on_connection_refused("b", 1 << 32, S) == []
+    assert one.on_message("c", ConnectionRefused("b", 9 << 32), S) == []  # another life's end
+    told = one.on_message("c", ConnectionRefused("b", 1 << 32), S)
+    assert told[0] == MemberChanged(member("b", MemberState.DEAD, by="a"), member("b"))
+    assert all(isinstance(a, Send) and isinstance(a.message, FullState) for a in told[1:]) and len(told) > 1
 
 
 def test_one_that_hears_of_an_end_looks_itself_and_says_nothing_by_hearsay():
     one = members("b", "c")
-    assert one.heard("c", Refused("b", 1 << 32), S) == [Look("b", "at-b", 1 << 32)]
-    assert one.known["b"].standing == Word.ALIVE
-    assert [a for a in one.refused("b", 1 << 32, S) if isinstance(a, Stands)]
+    assert one.on_message("c", ConnectionRefused("b", 1 << 32), S) == [CheckPort("b", "at-b", 1 << 32)]
+    assert one.known["b"].state == MemberState.ALIVE
+    assert [a for a in one.on_connection_refused("b", 1 << 32, S) if isinstance(a, MemberChanged)]
     # What it said before its end may come after it: looked at again at once.
-    told = one.heard("c", All([member("b", turn=5)], False), 2 * S)
-    assert Look("b", "at-b", 1 << 32) in told
+    told = one.on_message("c", FullState([member("b", turn=5)], False), 2 * S)
+    assert CheckPort("b", "at-b", 1 << 32) in told
 
 
 def test_an_answer_by_a_helper_alone_is_told_as_such():
     one = members("b", "c")
-    probe = next(a for a in one.due(one.next_due()) if isinstance(a.message, Ping))
+    probe = next(a for a in one.on_timer(one.next_deadline()) if isinstance(a.message, Ping))
     other = "c" if probe.to == "b" else "b"
-    assert Answered(probe.to, False) in one.heard(other, swim.Ack(probe.message.number, 0, []), MS)
+    assert ProbeAnswered(probe.to, False) in one.on_message(other, Ack(probe.message.number, 0, []), MS)
 
 
 @pytest.mark.parametrize("size, loss", [(3, 0.0), (5, 0.1), (5, 0.3)])
@@ -227,17 +232,17 @@
 def _never_careful(monkeypatch):
     monkeypatch.setattr(
         ViewTracker,
-        "member",
-        lambda self, m, now, told=ViewTracker.member: told(self, m._replace(standing=0), now),
+        "on_member_changed",
+        lambda self, m, now, told=ViewTracker.on_member_changed: told(self, m._replace(state=0), now),
     )
 
 
 def _never_refutes(monkeypatch):
-    monkeypatch.setattr(Members, "_of_own", lambda self, word: [])
+    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, word: [])
 
 
 def _never_caught_up(monkeypatch):
-    monkeypatch.setattr(ViewTracker, "caught_up", lambda self, now: None)
+    monkeypatch.setattr(ViewTracker, "on_caught_up", lambda self, now: None)
 
 
 @pytest.mark.parametrize(
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -25,20 +25,30 @@
 import msgspec
 
 from sprucegate import clock
+from sprucegate.discovery import merged_view as membership_view
 from sprucegate.discovery import service as membership
-from sprucegate.discovery import view as membership_view
+from sprucegate.fleet.consensus import (
+    actions,
+    durability_check,
+    follow_messages,
+    log_entry,
+    messages,
+    raft_node,
+)
 from sprucegate.fleet.consensus import codec as consensus_codec
-from sprucegate.fleet.consensus import durability_check, log_follower, raft_node
-from sprucegate.fleet.consensus.storage import Ledger
-from sprucegate.fleet.failure_detector import swim
+from sprucegate.fleet.consensus.storage import RaftStorage
+from sprucegate.fleet.failure_detector import messages as swim
+from sprucegate.fleet.failure_detector.member import Member
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.quotas import part as shares
-from sprucegate.fleet.quotas import terms
+from sprucegate.fleet.quotas import codec as quota_codec
+from sprucegate.fleet.quotas import component as shares
+from sprucegate.fleet.quotas import messages as quota_messages
+from sprucegate.fleet.quotas.settings import QuotaSettings
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.replica import facts, replica
-from sprucegate.fleet.replica_storage import Keeping, packed
+from sprucegate.fleet.replica_storage import ReplicaStorage, encode_records
 from sprucegate.fleet.rollout import commands, permits, releases
-from sprucegate.fleet.rollout.rollout import Rollout
+from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 from sprucegate.routing import events
 from sprucegate.storage import records
 from sprucegate.storage.disk import Disk
@@ -49,46 +59,46 @@
 FRAME_KINDS = {
     "01-ping": swim.Ping,
     "02-ack": swim.Ack,
-    "03-ping-for": swim.PingFor,
+    "03-ping-for": swim.PingRequest,
     "04-nack": swim.Nack,
-    "05-all": swim.All,
-    "06-tell": replica.Tell,
-    "07-done": replica.Done,
-    "08-held": replica.Held,
-    "09-have": replica.Have,
-    "10-mark": replica.Mark,
-    "11-ranges": replica.Ranges,
-    "12-keys": replica.Keys,
-    "13-repair": replica.Repair,
-    "14-evidence": replica.Evidence,
+    "05-all": swim.FullState,
+    "06-tell": replica.SpreadRecords,
+    "07-done": replica.TransferEnd,
+    "08-held": replica.DigestAnnouncement,
+    "09-have": replica.SeenReport,
+    "10-mark": replica.CatchUpMark,
+    "11-ranges": replica.RangeDigests,
+    "12-keys": replica.RangeKeys,
+    "13-repair": replica.RepairRecords,
+    "14-evidence": replica.EvidenceMessage,
     "15-routed": codec.ConsensusFrame,
-    "16-refused": swim.Refused,
+    "16-refused": swim.ConnectionRefused,
     "17-word": codec.ComponentMessage,
 }
 
 # Words of the agreed log, as links/agreed numbers them. They travel inside a routed message.
 AGREED_KINDS = {
-    "01-vote": raft_node.Vote,
-    "02-vote-answer": raft_node.VoteAnswer,
-    "03-append": raft_node.Append,
-    "04-append-answer": raft_node.AppendAnswer,
-    "05-whole": raft_node.Whole,
-    "06-stand": raft_node.Stand,
-    "07-follow": log_follower.Follow,
-    "08-entries": log_follower.Entries,
-    "09-state": log_follower.State,
-    "10-propose": log_follower.Propose,
-    "11-proposed": log_follower.Proposed,
-    "12-begins": durability_check.Begins,
-    "13-begun": durability_check.Begun,
+    "01-vote": messages.RequestVote,
+    "02-vote-answer": messages.RequestVoteResponse,
+    "03-append": messages.AppendEntries,
+    "04-append-answer": messages.AppendEntriesResponse,
+    "05-whole": messages.InstallSnapshot,
+    "06-stand": messages.TimeoutNow,
+    "07-follow": follow_messages.FollowRequest,
+    "08-entries": follow_messages.EntriesResponse,
+    "09-state": follow_messages.StateResponse,
+    "10-propose": follow_messages.ProposeRequest,
+    "11-proposed": follow_messages.ProposeResponse,
+    "12-begins": durability_check.StartAnnouncement,
+    "13-begun": durability_check.StartConfirmation,
 }
 
 # Words on shares, as shares/part numbers them. They travel inside a word for a part of the fleet.
 SHARES_KINDS = {
-    "1-need": terms.Need,
-    "2-lent": terms.Lent,
-    "3-asks": terms.Asks,
-    "4-goes": terms.Goes,
+    "1-need": quota_messages.QuotaRequest,
+    "2-lent": quota_messages.LeaseGrant,
+    "3-asks": quota_messages.LeaseHolderQuery,
+    "4-goes": quota_messages.LeaseHolderNotice,
 }
 
 # Who begins a connection, and what the command line asks of a front: records without a kind.
@@ -96,52 +106,52 @@
 
 # What is sent or stored as an array, by the order of its fields: a field may be renamed here and there, never moved.
 FIELDS = {
-    swim.Ping: "number to held news",
-    swim.Ack: "number held news",
-    swim.PingFor: "number target news",
+    swim.Ping: "number to digest updates",
+    swim.Ack: "number digest updates",
+    swim.PingRequest: "number target updates",
     swim.Nack: "number",
-    swim.All: "members answer",
-    swim.Refused: "name life",
-    swim.Member: "name address life turn standing by",
-    replica.Tell: "facts transfer at",
-    replica.Done: "transfer pieces claims",
-    replica.Held: "digest",
-    replica.Have: "lives root part number",
-    replica.Mark: "number lives live",
-    replica.Ranges: "digests",
-    replica.Keys: "ranges facts answer",
-    replica.Repair: "facts",
-    replica.Evidence: "at believed resting",
+    swim.FullState: "members reply_requested",
+    swim.ConnectionRefused: "name incarnation",
+    Member: "name address incarnation refutation state reported_by",
+    replica.SpreadRecords: "facts transfer at",
+    replica.TransferEnd: "transfer pieces claims",
+    replica.DigestAnnouncement: "digest",
+    replica.SeenReport: "lives root part number",
+    replica.CatchUpMark: "number lives live",
+    replica.RangeDigests: "digests",
+    replica.RangeKeys: "ranges facts answer",
+    replica.RepairRecords: "facts",
+    replica.EvidenceMessage: "at believed resting",
     codec.ConsensusFrame: "sender to number data",
     codec.ComponentMessage: "part data",
     codec.Greeting: "format fleet role name address life",
     codec.Question: "what given",
-    raft_node.Vote: "term last last_term pre moved",
-    raft_node.VoteAnswer: "term pre granted",
-    raft_node.Append: "term before before_term entries committed round",
-    raft_node.AppendAnswer: "term ok match round",
-    raft_node.Whole: "term index index_term config state round",
-    raft_node.Stand: "term",
-    raft_node.Entry: "index term kind data",
-    raft_node.Config: "voters learners",
-    log_follower.Follow: "index life number report",
-    log_follower.Entries: "number before entries committed leads leader",
-    log_follower.State: "number index state leads leader",
-    log_follower.Propose: "number command",
-    log_follower.Proposed: "number index word leader",
-    durability_check.Begins: "start being known",
-    durability_check.Begun: "start being ok green known",
-    terms.Need: "life steward turn number echo grant old held rows",
-    terms.Lent: "turn number stamp grant rows",
-    terms.Asks: "life size",
-    terms.Goes: "name life size",
-    facts.Fact: "key value dot",
+    messages.RequestVote: "term last_log_index last_log_term pre_vote leadership_transfer",
+    messages.RequestVoteResponse: "term pre_vote vote_granted",
+    messages.AppendEntries: "term prev_log_index prev_log_term entries leader_commit round",
+    messages.AppendEntriesResponse: "term success match_index round",
+    messages.InstallSnapshot: "term last_included_index last_included_term configuration state round",
+    messages.TimeoutNow: "term",
+    log_entry.LogEntry: "index term kind data",
+    log_entry.ClusterConfiguration: "voters learners",
+    follow_messages.FollowRequest: "applied_index incarnation number report",
+    follow_messages.EntriesResponse: "number after_index entries commit_index is_leader leader",
+    follow_messages.StateResponse: "number index state is_leader leader",
+    follow_messages.ProposeRequest: "number command",
+    follow_messages.ProposeResponse: "number index result leader",
+    durability_check.StartAnnouncement: "start_count incarnation known_starts",
+    durability_check.StartConfirmation: "start_count incarnation accepted never_voted known_starts",
+    quota_messages.QuotaRequest: "incarnation lease_holder epoch sequence echo grant floors_lent lease_counted sources",
+    quota_messages.LeaseGrant: "epoch sequence stamp grant sources",
+    quota_messages.LeaseHolderQuery: "incarnation followers",
+    quota_messages.LeaseHolderNotice: "name incarnation followers",
+    facts.ReplicatedRecord: "key value dot",
     events.BeliefGossip: "object part cache started remaining age",
     events.EjectionGossip: "cache started as_source remaining slowness age",
-    permits.Box: "name role location kind group weight",
-    permits.Budget: "scope of role count share",
+    permits.ManagedServer: "name role location kind group weight",
+    permits.DisruptionBudget: "scope of role count share",
     permits.Warmth: "floor spare",
-    releases.Plan: "name kind version former waves bake",
+    releases.ReleasePlan: "name kind version former waves bake",
 }
 
 COMMAND_NAMES = set(commands.SHAPES)
@@ -175,14 +185,14 @@
 def kinds_of_code():
     """The classes that the code knows by number, in order, for each of the three tables above."""
     return {
-        "frames": list(codec.KINDS[1:]),
-        "agreed": list(consensus_codec.KINDS[1:]),
-        "shares": list(shares.KINDS[1:]),
+        "frames": [codec.KINDS[number] for number in range(1, 1 + len(codec.KINDS))],
+        "agreed": [kind.message for kind in consensus_codec.KIND_BY_NUMBER.values()],
+        "shares": list(quota_codec.KINDS[1:]),
     }
 
 
 # What one front heard of a server from one of its sources.
-DRAINING, GONE, LIFTED = facts.State.DRAINING, facts.State.GONE, facts.State.LIFTED
+DRAINING, GONE, LIFTED = facts.SourceState.DRAINING, facts.SourceState.GONE, facts.SourceState.LIFTED
 
 # Frames between fronts.
 
@@ -216,15 +226,15 @@
 
 def encoded_agreed(label, fields):
     """A word of the agreed log from voter-a to voter-b, as one frame between fronts."""
-    number, data = consensus_codec.packed(AGREED_KINDS[label](*fields))
+    number, data = consensus_codec.encode(AGREED_KINDS[label](*fields))
     return codec.frame(codec.ConsensusFrame("voter-a", "voter-b", number, data))
 
 
 def decoded_agreed(data):
     """(sender, receiver, label, fields, the frame encoded anew)."""
     routed = codec.message(*payloads_of(data))
-    made = consensus_codec.unpacked(routed.number, routed.data)
-    number, again = consensus_codec.packed(made)
+    made = consensus_codec.decode(routed.number, routed.data)
+    number, again = consensus_codec.encode(made)
     frame = codec.frame(codec.ConsensusFrame(routed.sender, routed.to, number, again))
     return routed.sender, routed.to, _label(AGREED_KINDS, made), plain(made), frame
 
@@ -232,15 +242,15 @@
 def encoded_shares(label, fields):
     """A word on shares as one frame between fronts."""
     return codec.frame(
-        codec.ComponentMessage(shares.QuotaComponent.name, shares.packed(SHARES_KINDS[label](*fields)))
+        codec.ComponentMessage(shares.QuotaComponent.name, quota_codec.encode(SHARES_KINDS[label](*fields)))
     )
 
 
 def decoded_shares(data, tenants, places):
     """(part of the fleet, label, fields, the frame encoded anew); `tenants` and `places` are the operator's."""
     word = codec.message(*payloads_of(data))
-    made = shares.unpacked(word.data, terms.Terms(tenants, (), places, 0))
-    frame = codec.frame(codec.ComponentMessage(word.part, shares.packed(made)))
+    made = quota_codec.decode(word.data, QuotaSettings(tenants, (), places, 0))
+    frame = codec.frame(codec.ComponentMessage(word.part, quota_codec.encode(made)))
     return word.part, _label(SHARES_KINDS, made), plain(made), frame
 
 
@@ -251,7 +261,7 @@
     """Permits and releases: commands in, words out, and the whole state as plain data."""
 
     def __init__(self):
-        self.rollout = Rollout()
+        self.rollout = RolloutStateMachine()
 
     @classmethod
     def of_state(cls, encoded):
@@ -291,31 +301,33 @@
     An entry is (index, term, kind, data); a snapshot is (index, term, members, state) or None; members are
     (voters, learners).
     """
-    ledger = Ledger(Disk(), str(folder))
+    ledger = RaftStorage(Disk(), str(folder))
     for _ in range(starts):
-        ledger.begin(name)
-    assert ledger.knows(known) is None
-    ledger.open(unix_time)
+        ledger.count_start(name)
+    assert ledger.write_known_starts(known) is None
+    ledger.load(unix_time)
     for number, (term, vote, cut, rows, snapshot) in enumerate(writes, 1):
         entries = [
-            raft_node.Entry(index, at, kind, _entry_data(kind, data)) for index, at, kind, data in rows
+            log_entry.LogEntry(index, at, kind, _entry_data(kind, data)) for index, at, kind, data in rows
         ]
         if snapshot is not None:
             index, at, members, state = snapshot
-            snapshot = index, at, raft_node.Config(*members), state
-        assert ledger.write(raft_node.Write(number, term, vote, cut, entries, snapshot), unix_time) is None
+            snapshot = index, at, log_entry.ClusterConfiguration(*members), state
+        assert (
+            ledger.write(actions.PersistState(number, term, vote, cut, entries, snapshot), unix_time) is None
+        )
     ledger.close()
 
 
 def _entry_data(kind, data):
-    return raft_node.Config(*data) if kind == raft_node.CONFIG else data
+    return log_entry.ClusterConfiguration(*data) if kind == log_entry.CONFIG else data
 
 
 def read_voter_folder(folder, name, unix_time):
     """What a start finds in the folder, as plain data. The start is counted and a new log is begun."""
-    ledger = Ledger(Disk(), str(folder))
-    found_name, start = ledger.begin(name)
-    known, kept = ledger.known(), ledger.open(unix_time)
+    ledger = RaftStorage(Disk(), str(folder))
+    found_name, start = ledger.count_start(name)
+    known, kept = ledger.read_known_starts(), ledger.load(unix_time)
     ledger.close()
     return {
         "name": found_name,
@@ -323,7 +335,7 @@
         "known": plain(known),
         "refused": kept.refused,
         "term": kept.term,
-        "vote": kept.vote,
+        "vote": kept.voted_for,
         "snapshot": plain(kept.snapshot),
         "entries": plain(kept.entries),
     }
@@ -331,20 +343,20 @@
 
 def voter_after(folder, name, unix_time):
     """(term, vote, last index, members) of a voter that begins with the folder."""
-    ledger = Ledger(Disk(), str(folder))
-    ledger.begin(name)
-    kept = ledger.open(unix_time)
+    ledger = RaftStorage(Disk(), str(folder))
+    ledger.count_start(name)
+    kept = ledger.load(unix_time)
     ledger.close()
-    voter = raft_node.Keeper(name, raft_node.Config((name,), ()), RandomSource(name, 1), 0)
-    voter.loaded(kept.term, kept.vote, kept.snapshot, kept.entries)
-    return voter.term, voter.vote, voter.last(), plain(voter.config())
+    voter = raft_node.RaftNode(name, log_entry.ClusterConfiguration((name,), ()), RandomSource(name, 1), 0)
+    voter.load(kept.term, kept.voted_for, kept.snapshot, kept.entries)
+    return voter.current_term, voter.voted_for, voter.log.last_index(), plain(voter.configuration())
 
 
 class _Front:
     """One front's replica over its folder, with every write synced at once."""
 
     def __init__(self, folder, name, life, starts, unix_time, **lives):
-        self.keeping = Keeping(Disk(), str(folder))
+        self.keeping = ReplicaStorage(Disk(), str(folder))
         for _ in range(starts):
             self.keeping.start()
         self.keeping.open(unix_time)
@@ -353,7 +365,7 @@
 
     def does(self, actions):
         for action in actions:
-            if isinstance(action, replica.Write):
+            if isinstance(action, replica.PersistRecords):
                 assert self.keeping.write(action.record) is None
                 self.does(self.replica.synced(action.number, self.now))
 
@@ -369,7 +381,7 @@
         assert self.keeping.begin_snapshot() is None
         held, lives = self.replica.captured()
         middle = len(held) // 2
-        pieces = [packed(held[:middle]), packed(held[middle:])]
+        pieces = [encode_records(held[:middle]), encode_records(held[middle:])]
         assert self.keeping.finish_snapshot(lives, pieces, self.unix_time) is None
 
     def passes(self, span):
@@ -382,7 +394,7 @@
 
 def read_replica_folder(folder, unix_time):
     """What a start finds in the folder, as plain data. The start is counted and a new log is begun."""
-    keeping = Keeping(Disk(), str(folder))
+    keeping = ReplicaStorage(Disk(), str(folder))
     start, kept = keeping.start(), keeping.open(unix_time)
     keeping.close()
     loaded = replica.Replica("front-a", start << 32 | 1, RandomSource("front-a", 1), 0)
@@ -392,7 +404,7 @@
         "refused": kept.refused,
         "age": kept.age,
         "facts": plain(list(kept.facts.values())),
-        "seen": plain(loaded.facts.seen.told()),
+        "seen": plain(loaded.facts.seen.as_ranges()),
         "digest": loaded.digest(),
     }
 
--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -38,11 +38,11 @@
 
 
 def test_walks_are_alike_by_seed_and_tell_a_changed_decision(monkeypatch):
-    from sprucegate.routing import router
+    from sprucegate.routing import retry
 
     first = walked(1)
     assert walked(1) == first != walked(2)
-    monkeypatch.setattr(router, "RETRY_SHARE", 0.1)
+    monkeypatch.setattr(retry, "RETRY_BUDGET_RATIO", 0.1)
     assert walked(1) != first
 
 
@@ -77,9 +77,9 @@
     "schedule, module, constant, value",
     [
         ("schedules", "replica.replica", "HELD_EVERY", 300_000_000),
-        ("keepers", "consensus.raft_node", "BATCH", 3),
+        ("keepers", "consensus.replication", "ENTRIES_PER_MESSAGE", 3),
         ("rollouts", "rollout.follower", "AGAIN", 1_500_000_000),
-        ("sharing", "quotas.queue", "LEAN", 9),
+        ("sharing", "quotas.fair_queue", "INITIAL_FILL_SAMPLES", 9),
     ],
 )
 def test_traces_are_alike_by_seed_and_tell_a_changed_decision(monkeypatch, schedule, module, constant, value):
