--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -431,16 +431,16 @@
             raise AssertionError((event, events))
 
         await until("keeper_leads")
-        index, actions = one.keeper.propose(["front", "n0", 1, True], time.monotonic_ns())
+        index, actions = one.raft_node.propose(["front", "n0", 1, True], time.monotonic_ns())
         one.do(actions)
         while "n0" not in one.serving.machine.permits.fronts:
             await asyncio.sleep(0.005)
         disk.full = True
-        one.do(one.keeper.propose(["front", "n1", 1, True], time.monotonic_ns())[1])
+        one.do(one.raft_node.propose(["front", "n1", 1, True], time.monotonic_ns())[1])
         await until("keeper_not_kept")
         await until("keeper_leads_no_more")
         await until("keeper_off")  # no start can be counted, so it says nothing at all
-        assert one.keeper is None
+        assert one.raft_node is None
         disk.full = False
         events.clear()
         await until("keeper_leads")
--- a/tests/fleet/test_fleet_rig.py
+++ b/tests/fleet/test_fleet_rig.py
@@ -209,7 +209,9 @@
         (greeting(codec.VERSION, "rig") + records.record(b"\x92\x63\xc0"), "kind"),
         (
             greeting(codec.VERSION, "rig")
-            + codec.frame(codec.replica.Tell([codec.Fact(("bogus", 1), (1,), ("x", 1, 1))], 0, 0)),
+            + codec.frame(
+                codec.replica.SpreadRecords([codec.ReplicatedRecord(("bogus", 1), (1,), ("x", 1, 1))], 0, 0)
+            ),
             "no known kind",
         ),
     ],
