--- a/sprucegate/__main__.py
+++ b/sprucegate/__main__.py
@@ -18,6 +18,7 @@
 
 
 def main():
+    """Run the command line's sub-command, or the platform's front where there is none; return the exit status."""
     if len(sys.argv) > 1:
         # Here and not above: the platform's front loads none of its libraries.
         from sprucegate.cli.commands import main as command
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -203,6 +203,7 @@
 
 
 async def housekeeping(driver, take_in, pool, log):
+    """Sweep clients and servers twice a second, and log the counters once a second, until cancelled."""
     while True:
         for _ in range(2):
             await asyncio.sleep(0.5)
--- a/sprucegate/cli/operator_file.py
+++ b/sprucegate/cli/operator_file.py
@@ -51,10 +51,13 @@
 
 
 class ServersNode(Struct, forbid_unknown_fields=True, frozen=True):
+    """The `servers` node: which protocol servers speak, and the limits of HTTP/2."""
+
     speak: list[Speak] = []
     http2: Limits = Limits()
 
     def speaks(self, transport):
+        """Whether some server speaks this protocol."""
         return any(one.transport == transport for one in self.speak)
 
     def resolved(self, kinds):
@@ -77,6 +80,7 @@
     keep: number(1, 100) = 3
 
     def contradiction(self):
+        """Return (key, what is wrong) where the node contradicts itself, else None."""
         if sorted(self.order) != ["bus", "file"]:
             return "order", "wants file and bus, each once"
         return None
@@ -98,6 +102,7 @@
     log_most: size(64 << 10, 256 << 20) = 16 << 20  # after which a new snapshot is written
 
     def contradiction(self):
+        """Return (key, what is wrong) where the node contradicts itself, else None."""
         for key, values in (
             ("listen", [self.listen]),
             ("advertise", [self.advertise or self.listen]),
@@ -111,6 +116,7 @@
 
     @property
     def address(self):
+        """Return (host, port) to listen on."""
         host, _, port = self.listen.rpartition(":")
         return host, int(port)
 
@@ -122,6 +128,7 @@
     state: Annotated[str, Meta(min_length=1)] = "keeper"  # folder, of this keeper alone
 
     def contradiction(self):
+        """Return (key, what is wrong) where the node contradicts itself, else None."""
         for value in self.keepers:
             name, _, address = value.partition("=")
             host, _, port = address.rpartition(":")
@@ -136,6 +143,7 @@
 
     @property
     def addresses(self):
+        """Return the voters' addresses by name."""
         return dict(one.split("=", 1) for one in self.keepers)
 
 
@@ -146,6 +154,7 @@
     spare: Share = 0.5  # of its part that one which stays may get besides
 
     def contradiction(self):
+        """Return (key, what is wrong) where the node contradicts itself, else None."""
         for value in self.budgets:
             try:
                 _budget(value)
@@ -154,6 +163,7 @@
         return None
 
     def limits(self, floor):
+        """Return the arguments of the log's `limits` command; `floor`: part of its rate that a cold cache bears."""
         return [[_budget(value) for value in self.budgets], [int(floor * 1000), int(self.spare * 1000)]]
 
 
@@ -172,6 +182,7 @@
     longest: time(0, 600 * S) = 0  # of a fill; 0: the longest viewer timeout
 
     def contradiction(self):
+        """Return (key, what is wrong) where the node contradicts itself, else None."""
         if not HEADER.fullmatch(self.header) or self.header.lower() in OWN_HEADERS:
             return "header", f"must be the name of a header that nothing else reads, not {self.header[:60]!r}"
         for key, values, least, most in (("tenants", self.tenants, 2, 3), ("places", self.places, 2, 2)):
@@ -198,10 +209,12 @@
 
     @property
     def listed(self):
+        """Return the tenants' indices by the header's value."""
         return {value.split()[0].encode(): at for at, value in enumerate(self.tenants, 1)}
 
     @property
     def names(self):
+        """Return the tenants' names by index, the common one first."""
         return ["common", *[value.split()[0] for value in self.tenants]]
 
     @property
@@ -212,10 +225,12 @@
 
     @property
     def counts(self):
+        """Return the slots by source or kind."""
         return {name: int(count) for name, count in map(str.split, self.places)}
 
     @property
     def header_bytes(self):
+        """Return the tenant header's name as the request reader has it."""
         return self.header.lower().encode()
 
 
@@ -235,10 +250,14 @@
 
 
 class LogNode(Struct, forbid_unknown_fields=True, frozen=True):
+    """The `log` node."""
+
     gets: bool = False  # one line for each GET, with its steps
 
 
 class OperatorFile(Struct, forbid_unknown_fields=True, frozen=True):
+    """All nodes of an operator's file; what it leaves out has its default."""
+
     servers: ServersNode = ServersNode()
     membership: MembershipNode | None = None
     fleet: FleetNode | None = None
@@ -257,12 +276,15 @@
         self.addresses = {one.address: one.transport for one in node.speak if one.address is not None}
 
     def speaks(self, transport):
+        """Whether some server speaks this protocol."""
         return self.node.speaks(transport)
 
     def transport(self, name, address, kind):
+        """Return the protocol of a server: by its name, its address, its kind, else `lines`."""
         return self.names.get(name) or self.addresses.get(address) or self.kinds.get(kind, "lines")
 
     def __eq__(self, other):
+        """Whether the files' nodes are equal."""
         return isinstance(other, Servers) and self.node == other.node
 
 
@@ -389,6 +411,7 @@
 
 
 def parse(text, path):
+    """Return the OperatorFile of a text; raises OperatorFileError with file, line and key."""
     try:
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several kinds
--- a/sprucegate/cli/structured_logging.py
+++ b/sprucegate/cli/structured_logging.py
@@ -42,11 +42,15 @@
 
 
 class Structured:
+    """The front's log by structlog: called as the plain one is."""
+
     def __init__(self, logger):
         self.logger = logger
 
     def __call__(self, event, **fields):
+        """Write one line."""
         self.logger.msg(event, **fields)
 
     def bind(self, **fields):
+        """Return a log that adds these fields to each line."""
         return Structured(self.logger.bind(**fields))
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -92,6 +92,7 @@
         self.serving = True
 
     def stop(self):
+        """Cancel the watch and the hand-over, and end the reading process."""
         for task in self.tasks:
             task.cancel()
         if self.worker is not None and self.worker.returncode is None:
@@ -251,6 +252,7 @@
             gc.freeze()
 
     def hand_over(self, change):
+        """Queue a change of the merged view; it goes to the driver in pieces, so that requests come in between."""
         self.queue += [
             endpoint_list_of(change.servers[at : at + PIECE]) for at in range(0, len(change.servers), PIECE)
         ]
--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -19,6 +19,7 @@
         self.question_handlers = {"agreed": self._shown, "propose": self._propose}
 
     async def start(self):
+        """Start the maintenance agent and the driver of the replicated log."""
         fleet, own = self.fleet, self.fleet.peer.members.own
         self.face = MaintenanceAgent(
             fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views
@@ -30,28 +31,34 @@
         await self.agreed.start()
 
     def on_message(self, sender, message):
+        """Pass on a consensus frame of another process."""
         if self.agreed is not None:
             self.agreed.heard(message)
 
     def on_view_changed(self, view):
+        """Note whether this front may speak for the endpoints by its own state."""
         if self.agreed is not None:
             self.agreed.speaks = view.allows_own(OwnAction.SPEAK)
 
     def on_identity_changed(self, name, life):
+        """Follow this process's new name or incarnation."""
         if self.agreed is not None:
             self.agreed.renamed(name, life)
 
     def on_attempt_ended(self, cache, outcome, found, took, asked):
+        """Count the end of an attempt for the report that analysis gates rest on."""
         if self.face is not None:
             self.face.forwarded(
                 cache, outcome, found, took, self.fleet.driver.router.latency_objective(asked)
             )
 
     def on_leaving(self):
+        """Tell the voters that this front leaves."""
         if self.agreed is not None:
             self.agreed.leaves()
 
     async def stop(self):
+        """Stop the driver of the replicated log."""
         if self.agreed is not None:
             await self.agreed.stop()
 
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -78,6 +78,7 @@
         )  # `speaks`: this front knows enough to say which boxes there are
 
     async def start(self):
+        """Start the voter, if this process is one, and the timer."""
         if self.voting is not None:
             self.tasks.append(self.loop.create_task(self.voting.begins()))
         self.tasks.append(self.loop.create_task(self._ticks()))
@@ -97,6 +98,7 @@
         self._do(self.follower.propose(["left", self.name, self.life], None, time.monotonic_ns(), PATIENCE))
 
     async def stop(self):
+        """Stop the voter and the timer."""
         if self.voting is not None:
             await self.voting.stop()
         for task in self.tasks:
@@ -127,6 +129,7 @@
             )
 
     def heard(self, routed):
+        """Take a consensus frame: to the log follower or to the voter, by its kind."""
         try:
             message = codec.decode(routed.number, routed.data)
         except codec.ConsensusMessageError as fault:
@@ -225,6 +228,7 @@
         return {"ok": True, "word": word, "index": index}
 
     def shown(self):
+        """Return the state of the replicated log as `sprucegate fleet` shows it."""
         follower = self.follower
         heard = time.monotonic_ns() - follower.lease_expiry + front_lease() if follower else None
         return {
--- a/sprucegate/fleet/consensus/voter_driver.py
+++ b/sprucegate/fleet/consensus/voter_driver.py
@@ -122,6 +122,7 @@
         return name, start, self.storage.read_known_starts(), self.storage.load(clock.unix())
 
     def due(self, now):
+        """Run what is due by `now` (monotonic ns): durability check, Raft node, and the leader's duties."""
         if self.raft_node is None:
             return
         self.do(self.durability.on_timer(now, self.raft_node.name in self.raft_node.configuration().voters))
@@ -142,6 +143,7 @@
                 self.do(actions)
 
     def heard(self, sender, to, message):
+        """Take a message of another process that is addressed to `to`, this voter's present name."""
         now = time.monotonic_ns()
         if self.raft_node is None:
             return
@@ -158,6 +160,7 @@
         self.do(self.raft_node.on_message(sender, message, now))
 
     def do(self, actions):
+        """Perform actions of the Raft node, the durability check and the log server, in order."""
         todo = deque(actions)
         while todo:
             action, now = todo.popleft(), time.monotonic_ns()
@@ -270,6 +273,7 @@
         self.pool.shutdown(wait=False)
 
     def shown(self):
+        """Return the voter's state as `sprucegate fleet` shows it."""
         if self.raft_node is None or not self.durability.may_vote:
             return {"name": self.base, "role": "not fit to vote" if self.raft_node else "off"}
         return voter_status(self.raft_node)
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -137,14 +137,17 @@
 
 
 def frame(message):
+    """Return a message as the bytes of one checksummed record."""
     return records.record(_encode((NUMBERS[type(message)], tuple(message))))
 
 
 def greeting(said):
+    """Return a Greeting as the bytes of one record."""
     return records.record(_encode(said))
 
 
 def question(said):
+    """Return a Question as the bytes of one record."""
     return records.record(_encode(said))
 
 
@@ -168,6 +171,7 @@
 
 
 def greeted(payload):
+    """Return the Greeting of one record's payload; raises FrameError."""
     try:
         return _greeting(payload)
     except msgspec.MsgspecError as fault:
@@ -175,6 +179,7 @@
 
 
 def asked(payload):
+    """Return the Question of one record's payload; raises FrameError."""
     try:
         return _question(payload)
     except msgspec.MsgspecError as fault:
@@ -206,6 +211,7 @@
         self.held, self.most = bytearray(), GREETING_MOST
 
     def feed(self, data):
+        """Return the payloads of the records that are whole with these bytes; raises FrameError."""
         self.held += data
         found, at = [], 0
         while len(self.held) - at >= records.HEAD.size:
--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -29,6 +29,8 @@
 
 
 class PeerConnection:
+    """One connection to another process of the fleet, with the queue of what is to be sent on it."""
+
     def __init__(self, links, sock, address=""):
         self.links, self.sock, self.address = links, sock, address
         self.name, self.out, self.wake, self.used, self.bytes = (
@@ -41,11 +43,13 @@
         self.task, self.writer = None, None
 
     def put(self, message, guard):
+        """Queue a message; `guard` says that it carries replicated records, which are bounded apart."""
         self.out.put(message, guard)
         self.used = time.monotonic()
         self.wake.set()
 
     async def writes(self):
+        """Send what is queued until the connection ends."""
         loop = asyncio.get_running_loop()
         while True:
             await self.wake.wait()
@@ -58,6 +62,8 @@
 
 
 class PeerLinks:
+    """All connections of this process to others: those that it dialled and those that it accepted."""
+
     def __init__(
         self, listen, log, greeting, heard, asked, taken_most=INBOUND_CONNECTIONS_MAX, reset=None, other=None
     ):
@@ -88,6 +94,7 @@
         return None
 
     def stop(self):
+        """End all connections, their tasks and the listener."""
         for task in [self.task, *self.looking, *[c.task for c in [*self.dialled.values(), *self.taken]]]:
             if task is not None:
                 task.cancel()
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -24,6 +24,8 @@
 
 
 class MaintenanceAgent:
+    """A front's side of maintenance: applies drains by permit and reports what it sees of servers."""
+
     def __init__(self, driver, merged, members, views=None):
         """`members()`: {name: member} of the fronts; `views`: what hears of the fronts that the log counts."""
         self.driver, self.merged, self.members, self.views = driver, merged, members, views
@@ -38,6 +40,7 @@
         self.kinds = {value: name for name, value in driver.wanted.kinds.items()}
 
     def floor(self):
+        """Return the part of its full rate that a cold cache bears, by the settings."""
         return self.driver.router.settings.cold_share
 
     def _rows(self):
@@ -61,6 +64,7 @@
         return self.merged.view.generation, [(name, m.state) for name, m in sorted(self.members().items())]
 
     def boxes(self):
+        """Return the servers that maintenance may take out, by name."""
         found = {
             name: ManagedServer(
                 name,
@@ -84,6 +88,7 @@
         return max(1, int(1000 * listed.entry.weight)) if listed is not None else 1
 
     def follows(self, machine, fenced, now):
+        """Note the state machine as of `now`, and whether this front is fenced from the log."""
         if self.views is not None:
             self.views.on_log_applied(machine.index, machine.permits.fronts, fenced, now)
 
@@ -157,6 +162,7 @@
             del self.counts[next(iter(self.counts))]
 
     def report(self):
+        """Return this front's rows on servers for the leader, those that changed since the last call."""
         rows = self._rows()
         for name, row in rows.items():
             started, times = self.starts.get(name, (row.server.entry.started, 1))
--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -26,6 +26,8 @@
 
 
 class FleetNode:
+    """The decisions of one process in the fleet joined: failure detector, replica and membership view."""
+
     def __init__(self, name, address, life, seeds, seed, now, timing=None, **replicas):
         """`life`: start << 32 | being, its start kept on disk before anything is told; `replicas`: see Replica."""
         chance = RandomSource(name, seed ^ life)
@@ -34,6 +36,7 @@
         self.replica, self.views = Replica(name, life, chance, now, **replicas), ViewTracker(now)
 
     def loaded(self, facts, lives, now):
+        """Take what the disk had, before anything else happens."""
         self.replica.loaded(facts, lives, now)
 
     def starts(self, now):
@@ -44,9 +47,11 @@
         return self.due(now)
 
     def told(self, key, value, now):
+        """Take a record of this front's own."""
         return self._lives(self.replica.told(key, value, now), now)
 
     def heard(self, sender, message, now):
+        """Take a message of another process."""
         self.views.on_frame(sender, now)
         if isinstance(message, MEMBERSHIP_MESSAGES):
             done = self._followed(self.members.on_message(sender, message, now), now)
@@ -56,12 +61,15 @@
         return self._lives(self.replica.heard(sender, message, now), now)
 
     def reset(self, name, now):
+        """A connection to that process ended."""
         return self.members.on_connection_reset(name, now)
 
     def refused(self, name, life, now):
+        """That process's port refused a connection."""
         return self._followed(self.members.on_connection_refused(name, life, now), now)
 
     def due(self, now):
+        """Run what is due by `now` (monotonic ns)."""
         done = []
         if self.members.next_deadline() <= now:
             self.members.set_digest(self.replica.digest())
@@ -74,19 +82,24 @@
         return self._lives(done, now) + self.views.on_timer(now)
 
     def next_due(self):
+        """Return when `due` is to be called next (monotonic ns)."""
         return min(self.members.next_deadline(), self.replica.next_due(), self.views.next_deadline())
 
     def renewed(self, start, alias):
+        """Go on as another incarnation, and under `alias` where another process bears the name."""
         self.members.renew(start, alias)
         self.replica.renewed(self.members.own.name, self.members.own.incarnation)
 
     def synced(self, number, now):
+        """A write is on disk."""
         return self._lives(self.replica.synced(number, now), now)
 
     def not_kept(self, number, fault, now):
+        """A write failed."""
         return self._lives(self.replica.not_kept(number, fault, now), now)
 
     def leaves(self, now):
+        """Tell the others that this process leaves."""
         return self.members.leave()
 
     def _lives(self, actions, now):
--- a/sprucegate/fleet/replica/facts.py
+++ b/sprucegate/fleet/replica/facts.py
@@ -27,18 +27,29 @@
 
 
 class SourceState(IntEnum):
+    """What one source says of a server: it drains, it is gone, or the former word is lifted. Stored by number."""
+
     DRAINING = 0
     GONE = 1
     LIFTED = 2
 
 
 class ReplicatedRecord(NamedTuple):
+    """One replicated record.
+
+    :ivar key: its kind, then what it is about.
+    :ivar value: what holds; the larger of two values stands.
+    :ivar dot: its version: owner, incarnation and counter.
+    """
+
     key: tuple
     value: tuple
     dot: tuple
 
 
 class JoinResult(Enum):
+    """What became of a record that was offered to the store."""
+
     NEW = auto()  # it holds from here on
     OLD = auto()  # seen before, or what is held stands against it
     OTHER = auto()  # another content under a dot that was seen: a twin of its owner, or a disk put back
@@ -49,10 +60,12 @@
 
 
 def key_range(key):
+    """Return the range of keys that a key belongs to, 0 to BUCKETS - 1."""
     return xxhash.xxh64_intdigest(_packed(key)) % BUCKETS
 
 
 def digest(fact):
+    """Return a record's digest, 64 bits."""
     return xxhash.xxh64_intdigest(_packed(fact))
 
 
@@ -69,6 +82,7 @@
         ]  # key -> digest: a packed fact is not hashed anew to be compared
 
     def root(self):
+        """Return one digest over the digests of all ranges."""
         return xxhash.xxh64_intdigest(b"".join(one.to_bytes(8, "big") for one in self.ranges))
 
     def join(self, fact):
@@ -108,6 +122,7 @@
         ]
 
     def put(self, fact):
+        """Hold a record; one that its key had has been let go before."""
         self.held[fact.key] = fact
         self.kinds[fact.key[0]] = self.kinds.get(fact.key[0], 0) + 1
         owner = fact.dot[:2]
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -66,6 +66,8 @@
 
 
 class DigestAnnouncement(NamedTuple):
+    """Sent to each neighbour at a fixed interval: a digest of all that the sender holds and has seen."""
+
     digest: int
 
 
@@ -99,6 +101,8 @@
 
 
 class RangeDigests(NamedTuple):
+    """Digests of all ranges of keys, for two replicas that have seen the same and differ."""
+
     digests: list
 
 
@@ -117,6 +121,8 @@
 
 
 class SendMessage(NamedTuple):
+    """Send a message to one process. `guard` says that it carries records, which are bounded apart."""
+
     to: str
     message: tuple
     guard: bool = False  # facts: bounded apart from what the protocol itself says
@@ -176,6 +182,8 @@
 
 
 class CatchUpPhase(Enum):
+    """Whether this replica looks for peers, asks them for what it lacks, is as new as they were, or goes on alone."""
+
     IDLE = auto()
     ASKING = auto()
     TOGETHER = auto()
@@ -186,6 +194,8 @@
 
 
 class Replica:
+    """One process's replica of the fleet's records. (event, now) in, actions out; times in monotonic ns."""
+
     def __init__(
         self,
         name,
@@ -247,6 +257,7 @@
         return self.cached[1]
 
     def next_due(self):
+        """Return when `due` is to be called next (monotonic ns)."""
         due = min(self.timers.values())
         if self.plans:
             wait = (
@@ -294,6 +305,7 @@
         return done + self._saved() + self._unkept(now)
 
     def heard(self, sender, message, now):
+        """Take a message of another replica."""
         match message:
             case SpreadRecords():
                 return _together(self._tell(sender, message, now))
@@ -347,6 +359,7 @@
         self.name, self.life, self.counter = name, life, 0
 
     def synced(self, number, now):
+        """The write of that number is on disk; what waited for it goes out."""
         if self.writing is None or self.writing[0] != number:
             return []
         self.on_disk, released = self.writing[1], self.writing[2]
@@ -374,6 +387,7 @@
         return self._spread(released, "", now)
 
     def due(self, now):
+        """Run what is due by `now` (monotonic ns)."""
         done = []
         for what in [what for what, at in self.timers.items() if at <= now]:
             done += getattr(self, "_due_" + what)(now)
--- a/sprucegate/fleet/replica_storage.py
+++ b/sprucegate/fleet/replica_storage.py
@@ -39,6 +39,7 @@
         self.facts, self.lives, self.refused, self.age = {}, [], [], 0
 
     def take(self, facts, spans, forgotten):
+        """Apply one record of the log: records written, versions seen, keys let go."""
         for fact in facts:
             self.facts[fact.key] = fact
             self.lives.append((*fact.dot[:2], [fact.dot[2], fact.dot[2] + 1]))
@@ -48,6 +49,8 @@
 
 
 class ReplicaStorage:
+    """Stored state of one replica, in one folder; all calls block."""
+
     def __init__(self, disk, folder):
         self.disk, self.folder, self.log, self.generation = disk, folder, None, 0
         self.snapshots = SnapshotStore(disk, folder, "facts", keep=2)
@@ -97,6 +100,7 @@
         return self.log.append(_encode(record))
 
     def full(self, most):
+        """Whether the log is over `most` bytes or takes no more, so that a snapshot is due."""
         return self.log.size > most or self.log.fault is not None
 
     def begin_snapshot(self):
@@ -115,6 +119,7 @@
         return fault
 
     def close(self):
+        """Close the log."""
         if self.log is not None:
             self.log.close()
 
@@ -130,4 +135,5 @@
 
 
 def encode_records(facts):
+    """Return records as the bytes of one piece of a snapshot."""
     return _encode(facts)
--- a/sprucegate/fleet/rollout/follower.py
+++ b/sprucegate/fleet/rollout/follower.py
@@ -7,6 +7,8 @@
 
 
 class FrontReporter:
+    """What a front reports to the replicated log: that it drained a server, and that one is warm again."""
+
     def __init__(self, name, life):
         self.name, self.life, self.said, self.same = name, life, {}, False
 
--- a/sprucegate/fleet/rollout/gates.py
+++ b/sprucegate/fleet/rollout/gates.py
@@ -15,6 +15,8 @@
 
 
 class GateVerdict(IntEnum):
+    """Verdict of an analysis gate on one stage."""
+
     FEW = 0  # not enough seen to say: not a pass
     PASS = 1
     FAIL = 2
--- a/sprucegate/fleet/rollout/leader.py
+++ b/sprucegate/fleet/rollout/leader.py
@@ -22,6 +22,7 @@
 
 
 def front_lease():
+    """Return how long (ns) a front may count on an answer of the leader, from its question on."""
     return FRONT_LEASE - MARGIN
 
 
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -19,6 +19,8 @@
 
 
 class PermitStep(IntEnum):
+    """Steps of a maintenance permit, in order; stored by number."""
+
     ASKED = 0
     GRANTED = 1
     DRAINED = 2
@@ -77,9 +79,11 @@
     share: int
 
     def binds(self, box):
+        """Whether the budget counts this server."""
         return self.role in ("", box.role) and (not self.of or self.of == self.place(box))
 
     def place(self, box):
+        """Return the server's value of the budget's scope, for instance its location."""
         return _SCOPE_VALUES[self.scope](box)
 
 
@@ -92,6 +96,8 @@
 
 
 class MaintenancePermit:
+    """Permission to take one server out of service, from the request to its return."""
+
     def __init__(
         self,
         id,
@@ -143,6 +149,8 @@
 
 
 class PermitTable:
+    """State machine of maintenance permits: the same commands give the same state in every process."""
+
     def __init__(self):
         self.budgets, self.warmth = [], Warmth(0, 1000)
         self.boxes, self.down = {}, {}  # name -> Box; -> why it is out by itself
@@ -152,6 +160,7 @@
         self.without, self.gone = 0, {}  # fronts that went without a permit; by name the life that left last
 
     def told(self):
+        """Return the state in its stored form."""
         return [
             [list(b) for b in self.budgets],
             list(self.warmth),
@@ -165,6 +174,7 @@
         ]
 
     def loaded(self, told):
+        """Take a state in its stored form."""
         budgets, warmth, boxes, down, fronts, permits, ended, self.without, gone = told
         self.budgets, self.warmth = [DisruptionBudget(*b) for b in budgets], Warmth(*warmth)
         self.boxes = {b[0]: ManagedServer(*b) for b in boxes}
@@ -319,6 +329,7 @@
         return "out"
 
     def renew(self, id, holder):
+        """Renew a permit's lease on behalf of its holder; return the answer for the log."""
         permit = self.permits.get(id)
         if permit is not None and permit.step in TAKES:
             permit.holder, permit.renewed, permit.overdue = holder, permit.renewed + 1, False
@@ -354,6 +365,7 @@
         self._settled(permit)
 
     def withdraw(self, id):
+        """Withdraw a permit whose server is not out yet; return the answer for the log."""
         permit = self.permits.get(id)
         if permit is None or permit.step not in (PermitStep.ASKED, PermitStep.GRANTED, PermitStep.DRAINED):
             return "can't be withdrawn" if permit is not None else "no such permit"
--- a/sprucegate/fleet/rollout/releases.py
+++ b/sprucegate/fleet/rollout/releases.py
@@ -12,6 +12,8 @@
 
 
 class ReleasePhase(IntEnum):
+    """Phases of a release; stored by number."""
+
     RUNNING = 0
     HALTED = 1
     BACK = 2  # the released go back, in waves under the same budgets
@@ -41,6 +43,8 @@
 
 
 class Release:
+    """One release: its plan, its present stage and what is done."""
+
     def __init__(
         self, plan, by, phase=ReleasePhase.RUNNING, wave=0, why="", done=(), turn=0, passed=False, ahead=()
     ):
@@ -53,6 +57,7 @@
         self.ahead = list(ahead)  # on the way back: boxes still to go
 
     def told(self):
+        """Return the release in its stored form."""
         plan = [*self.plan[:4], [list(wave) for wave in self.plan.waves], self.plan.bake]
         return [
             plan,
@@ -68,10 +73,12 @@
 
     @classmethod
     def of(cls, told):
+        """Return the release of a stored form."""
         plan, *rest = told
         return cls(ReleasePlan(*plan[:4], tuple(map(tuple, plan[4])), plan[5]), *rest)
 
     def over(self):
+        """Whether nothing more happens to it."""
         return self.phase in (ReleasePhase.DONE, ReleasePhase.RETURNED)
 
     def request(self, box):
@@ -79,19 +86,24 @@
         return f"{self.plan.name}/{self.turn}/{box}"
 
     def version(self):
+        """Return the version that servers are brought to now: the former one while it is taken back."""
         return self.plan.former if self.phase is ReleasePhase.BACK else self.plan.version
 
 
 class ReleaseTable:
+    """State machine of releases: the same commands give the same state in every process."""
+
     def __init__(self, permits):
         self.permits, self.releases = permits, {}
         self.troubles = {}  # what -> why: while there is one, releases wait by themselves
         self.history, self.index = [], 0  # (entry, release, what, by or why)
 
     def told(self):
+        """Return the state in its stored form."""
         return [[one.told() for one in self.releases.values()], self.troubles, self.history]
 
     def loaded(self, told):
+        """Take a state in its stored form."""
         self.releases = {one.plan.name: one for one in map(Release.of, told[0])}
         self.troubles, self.history = dict(told[1]), [list(one) for one in told[2]]
 
@@ -100,6 +112,7 @@
         del self.history[:-HISTORY_MOST]
 
     def start(self, plan, by):
+        """Start a release; return the answer for the log."""
         known = self.releases.get(plan.name)
         if known is not None:
             return "started already" if known.plan == plan else "another release bears that name"
@@ -134,6 +147,7 @@
         return "halted"
 
     def resume(self, name, by):
+        """Resume a halted release; return the answer for the log."""
         release = self.releases.get(name)
         if release is None or release.phase is not ReleasePhase.HALTED:
             return "is not halted"
@@ -192,6 +206,7 @@
         )
 
     def trouble(self, what, why):
+        """Note a trouble, or with an empty `why` its end: while there is one, releases wait."""
         if why:
             self.troubles[what] = why
         else:
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -12,6 +12,8 @@
 
 
 class RolloutStateMachine:
+    """The state machine of the replicated log: permits and releases, changed by commands alone."""
+
     def __init__(self):
         self.index, self.permits, self.once = 0, PermitTable(), {}
         self.releases = ReleaseTable(self.permits)
@@ -42,6 +44,7 @@
         }
 
     def told(self):
+        """Return the state in its stored form."""
         return [FORMAT, self.index, self.permits.told(), self.releases.told(), self.once]
 
     def loaded(self, told):
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -123,6 +123,7 @@
         return start, self.keeping.open(clock.unix())
 
     def start(self):
+        """Listen, look for others, and start the components; call once the loop runs."""
         if self.peer is None:
             for part in self.parts:
                 part.start_without_storage()
@@ -159,10 +160,12 @@
             self.do(self.peer.leaves(time.monotonic_ns()))
 
     def forwarded(self, cache, outcome, found, took, asked):
+        """Tell the components of an attempt's end."""
         for part in self.parts:
             part.on_attempt_ended(cache, outcome, found, took, asked)
 
     async def stop(self):
+        """Stop the components, connections and the disk's thread."""
         self.stopped = True
         for part in self.parts:
             await part.stop()
@@ -178,6 +181,7 @@
     # What the front hears.
 
     def purged(self, obj, group, at):
+        """Take an invalidation that a source of this front's own told; `at` is the platform's stamp."""
         self._told((INVALIDATION, "object", obj) if obj >= 0 else (INVALIDATION, "group", group), (at,))
 
     def listed(self):
@@ -206,6 +210,7 @@
         return self._removal(digest) == (0,)
 
     def confirms(self, digest):
+        """Whether some front was told to let the list of this digest through."""
         return self._removal(digest) == (1,)
 
     def _removal(self, digest):
@@ -223,6 +228,7 @@
     # What is decided.
 
     def do(self, actions):
+        """Perform actions of the node, in order."""
         told = sum(isinstance(action, RecordInForce) for action in actions)
         if told > TOLD_EACH:  # a transfer: a line for each would be a log of the whole table
             self.log("fleet_told", kind="several", key=[], count=told)
--- a/sprucegate/front/configuration.py
+++ b/sprucegate/front/configuration.py
@@ -48,6 +48,7 @@
 
 
 def times_from(settings):
+    """Return the bounds of client connections that follow from the settings."""
     longest = max([given for given in settings.get("viewer_timeout") or () if given], default=LONGEST_COUNTED)
     counted = min(longest, LONGEST_COUNTED)
     return ConnectionTimes(
@@ -179,6 +180,7 @@
 
 
 def wanted(data):
+    """Return the FrontConfiguration of the parsed JSON; raises FrontConfigurationError with the key at fault."""
     number = (int, float)
     locations, kinds = _names(data, "settings.failureDomains"), _names(data, "settings.shapes")
     known = []
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -12,6 +12,8 @@
 
 
 class ConnectionReader:
+    """Accepts clients' connections, reads requests from them, and closes those that are idle or over their bounds."""
+
     def __init__(self, driver, pool, most, times, repeatable=frozenset()):
         """`most` connections at a time; `times` are the bounds of the configuration, in nanoseconds."""
         self.driver, self.pool, self.most, self.times, self.repeatable = driver, pool, most, times, repeatable
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -28,6 +28,8 @@
 
 
 class Driver:
+    """Drives the router: passes on what happens, performs the actions that it returns, and keeps its timer."""
+
     def __init__(self, wanted, pool, log, clock=system.now):
         self.wanted, self.log, self.clock, self.loop = wanted, log, clock, asyncio.get_running_loop()
         self.platform = system.PlatformTime()
@@ -46,6 +48,7 @@
     # What happens.
 
     def request(self, client, request, at):
+        """Take a whole request; `at` is when its last byte came (monotonic ns)."""
         now = self.clock()
         if request.target == LIVE:
             up = self.ready and not self.aside and not self.relay.ending
@@ -121,6 +124,7 @@
             self.forget(get)
 
     def forget(self, get):
+        """Drop a request that is over; nothing more is kept of it."""
         self.invariants.forgotten(get)
         if self.wanted.log_gets and get.id in self.ids:
             self._log(get)
@@ -178,6 +182,7 @@
         return None if age is None else now - age
 
     def left(self, get):
+        """The client of a request has closed its connection or cancelled."""
         self.book.count("gets_left")
         now = self.clock()
         get.answered, get.client.get, get.left_at = True, None, now
@@ -255,11 +260,13 @@
                 self.guarded(get, self.say, get, get.handle.give_up(now), now)
 
     def list_failed(self):
+        """The endpoint list could not be had."""
         self.router.endpoint_list_failed(self.clock())
 
     # What is decided.
 
     def say(self, get, decided, now):
+        """Perform the router's actions for one request, in order."""
         for one in decided:
             match one:
                 case SendAttempt():
@@ -312,6 +319,7 @@
         heapq.heappush(self.limits, (out.limit, next(self.order), out))
 
     def armed_by(self, due):
+        """Bring the timer forward where `due` is earlier."""
         if self.armed is None or due < self.armed:
             self.arm(self.clock())
 
@@ -377,6 +385,7 @@
         self.book.count("faults")
 
     def fault(self, fault):
+        """Log and count an exception of the program."""
         at = (traceback.extract_tb(fault.__traceback__) or [None])[-1]
         self.log(
             "fault", error=f"{type(fault).__name__}: {fault}", where=f"{at.name}:{at.lineno}" if at else ""
--- a/sprucegate/front/protocol/bus.py
+++ b/sprucegate/front/protocol/bus.py
@@ -21,6 +21,8 @@
 
 
 class InvalidationEvent(NamedTuple):
+    """Copies of one object (or of one group, where `object` is -1) from before `at` are void."""
+
     object: int
     group: int
     at: int  # Unix time, nanoseconds
@@ -33,6 +35,7 @@
         self.held, self.id, self.data = b"", "", []
 
     def feed(self, chunk):
+        """Return the events that are whole with these bytes; raises MalformedEventError."""
         self.held += chunk
         if len(self.held) + sum(map(len, self.data)) > EVENT_MOST:
             raise MalformedEventError("an event longer than its bound")
@@ -60,9 +63,11 @@
         self.parser, self.events, self.found = httptools.HttpResponseParser(self), EventReader(), []
 
     def on_body(self, body):
+        """Take a piece of the response's body, for httptools."""
         self.found += self.events.feed(body)
 
     def feed(self, chunk):
+        """Return the events that are whole with these bytes; raises MalformedEventError."""
         try:
             self.parser.feed_data(chunk)
         except httptools.HttpParserError as fault:
--- a/sprucegate/front/subscription.py
+++ b/sprucegate/front/subscription.py
@@ -12,6 +12,8 @@
 
 
 class Subscription:
+    """Reads the event bus, from the last event seen on, for as long as the front runs."""
+
     def __init__(self, driver, wanted):
         self.driver, self.wanted, self.last = driver, wanted, wanted.offset
         self.loop, self.task = asyncio.get_running_loop(), None
@@ -26,6 +28,7 @@
         self.task = self.loop.create_task(self.run())
 
     async def run(self):
+        """Read, and connect again after each end with a growing backoff."""
         failures = 0
         while True:
             seen = self.last
--- a/sprucegate/upstream/http2/guard.py
+++ b/sprucegate/upstream/http2/guard.py
@@ -28,6 +28,8 @@
 
 
 class Frame(NamedTuple):
+    """One whole frame."""
+
     type: int
     flags: int
     stream: int
@@ -35,11 +37,14 @@
 
 
 class FrameGuard:
+    """Cuts bytes into whole frames and bounds what a peer may make this side do."""
+
     def __init__(self, now):
         self.held, self.fault, self.begun = bytearray(), None, False
         self.allowed, self.at, self.block, self.parts = ALLOWED, now, 0, 0
 
     def earn(self, size):
+        """Allow the peer more frames, by `size` bytes of data that this side has wanted."""
         self.allowed = min(ALLOWED, self.allowed + EARNED + EARNED * size // 1024)
 
     def feed(self, data, now):
--- a/sprucegate/upstream/http2/limits.py
+++ b/sprucegate/upstream/http2/limits.py
@@ -8,14 +8,17 @@
 
 
 def time(least, most):
+    """Return the schema of a time with its unit, in nanoseconds."""
     return Annotated[int, Meta(ge=least, le=most, extra={"unit": "time"})]
 
 
 def number(least, most):
+    """Return the schema of a whole number."""
     return Annotated[int, Meta(ge=least, le=most)]
 
 
 def size(least, most):
+    """Return the schema of a size with its unit, in bytes."""
     return Annotated[int, Meta(ge=least, le=most, extra={"unit": "size"})]
 
 
@@ -23,6 +26,8 @@
 
 
 class Limits(Struct, frozen=True, forbid_unknown_fields=True, rename="kebab"):
+    """The `http2` node: bounds of connections to servers that speak HTTP/2."""
+
     connections: number(1, 64) = 4  # to one server that take streams; while one retires, one more
     streams: number(1, 10_000) = 100  # open on one connection; the peer's limit holds besides
     open_above: Share = 0.5  # how full the least full is when another is opened
--- a/sprucegate/upstream/http2/mapping.py
+++ b/sprucegate/upstream/http2/mapping.py
@@ -40,6 +40,8 @@
 
 
 class Meaning(NamedTuple):
+    """What a response means for the attempt."""
+
     outcome: AttemptOutcome
     found: CacheStatus
     waited: int  # for the source, nanoseconds
--- a/sprucegate/upstream/http2/pool.py
+++ b/sprucegate/upstream/http2/pool.py
@@ -15,6 +15,8 @@
 
 
 class ConnectionPhase(IntEnum):
+    """How far a connection is; ordered."""
+
     OPENING = 0  # dialled, or up without the peer's SETTINGS
     UP = 1
     RETIRING = 2  # old: takes streams until its successor is up, against a hole at each change
@@ -23,12 +25,16 @@
 
 @dataclass(slots=True)
 class SendOnConnection:
+    """Send this attempt on a stream of that connection."""
+
     forward: object
     connection: int
 
 
 @dataclass(slots=True)
 class OpenConnection:
+    """Connect to the server; the connection bears that number."""
+
     connection: int
 
 
@@ -43,6 +49,8 @@
 
 @dataclass(slots=True)
 class SendPing:
+    """Send a PING on that connection."""
+
     connection: int
 
 
@@ -55,6 +63,8 @@
 
 
 class Connection:
+    """What the pool knows of one connection."""
+
     __slots__ = (
         "number",
         "phase",
@@ -78,6 +88,8 @@
 
 
 class ConnectionPool:
+    """The connections to one server: which takes a stream, when one is opened, retired or closed. No I/O."""
+
     def __init__(self, limits, server, instance):
         self.limits, self.label = limits, f"{instance}/{server}"
         self.connections, self.waiting, self.number, self.draws = {}, OrderedDict(), 0, 0
@@ -87,6 +99,7 @@
     # What happens.
 
     def warm(self, now):
+        """Connect ahead of the first attempt, where no connection is there."""
         return self._open(now) if not self.connections and now >= self.again else []
 
     def ask(self, forward, now):
@@ -146,6 +159,7 @@
         return self._fill(now)
 
     def heard(self, number, now):
+        """Bytes came on that connection."""
         at = self.connections[number]
         at.quiet, at.pinged = now, None
 
@@ -192,6 +206,7 @@
         self.left_for_good = False
 
     def due(self, now):
+        """Return what is due by `now` (monotonic ns)."""
         said, limits = [], self.limits
         while self.waiting and next(iter(self.waiting.values())) <= now:
             said.append(RefuseRequest(self.waiting.popitem(last=False)[0], AttemptOutcome.FULL))
--- a/sprucegate/upstream/http2/session.py
+++ b/sprucegate/upstream/http2/session.py
@@ -47,6 +47,8 @@
 
 
 class Limited(NamedTuple):
+    """The peer allows so many streams at a time."""
+
     limit: int
 
 
@@ -67,6 +69,8 @@
 
 
 class Answered(NamedTuple):
+    """A response is whole."""
+
     stream: object
     status: int
     fields: dict
@@ -88,6 +92,8 @@
 
 
 class Stream:
+    """One request on its stream."""
+
     __slots__ = (
         "id",
         "out",
@@ -122,6 +128,7 @@
 
     @property
     def open_outbound_streams(self):
+        """Return the open streams, which h2 would count anew for each request."""
         self.asked += 1
         return super().open_outbound_streams if self.asked % WALK == 0 else 0
 
@@ -130,10 +137,13 @@
     """Literals without Huffman's code, which RFC 7541 section 5.2 leaves open: a fifth more bytes, less CPU."""
 
     def encode(self, headers, huffman=False):
+        """Encode header fields without Huffman coding."""
         return super().encode(headers, huffman)
 
 
 class Http2Session:
+    """One HTTP/2 connection as a client, without I/O: bytes in, events and bytes out."""
+
     def __init__(self, held_most, now):
         self.h2 = Counted(
             H2Configuration(
@@ -194,6 +204,7 @@
         self._collect()
 
     def ping(self):
+        """Send a PING."""
         self.h2.ping(b"spruceg8")
         self._collect()
 
@@ -206,15 +217,18 @@
         self._collect()
 
     def sent(self, size):
+        """So many bytes of `outgoing` have left."""
         del self.outgoing[:size]
         self.gone += size
         if self.uploads:
             self._pump()
 
     def stuck(self):
+        """Whether the peer takes too little of what waits."""
         return len(self.outgoing) > UNSENT_MOST
 
     def written(self, stream):
+        """Return how much of a request has left."""
         if self.gone >= stream.head_end:
             return WriteProgress.WHOLE
         return WriteProgress.PART if self.gone > stream.first else WriteProgress.NOTHING
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -43,6 +43,8 @@
 
 
 class H2Connection:
+    """One connection: its socket, its session and the streams on it."""
+
     __slots__ = (
         "place",
         "number",
@@ -79,6 +81,8 @@
 
 
 class Http2Transport:
+    """Speaks HTTP/2 with servers: sockets and timers round the pool and the session."""
+
     def __init__(self, servers, driver, pool, settings, limits):
         self.servers, self.driver, self.buffers, self.limits = servers, driver, pool, limits
         self.loop, self.instance = asyncio.get_running_loop(), getattr(driver.wanted, "name", "")
@@ -89,10 +93,12 @@
     # The calls of a transport.
 
     def kept(self, place):
+        """Return what the transport keeps for one server."""
         authority = "{}:{}".format(*place.address).encode()
         return Held(ConnectionPool(self.limits, place.id, self.instance), authority)
 
     def open_connections(self, place):
+        """Return how many connections to a server there are."""
         return len(place.held.connections)
 
     def came_up(self, place, since):
@@ -104,13 +110,16 @@
         place.held.authority = "{}:{}".format(*place.address).encode()
 
     def warm(self, place, now):
+        """Connect ahead of the first attempt."""
         place.held.pool.back()
         self._do(place, place.held.pool.warm(now))
 
     def leave(self, place):
+        """The server has gone: close what is idle there."""
         self._do(place, place.held.pool.leave(self.driver.clock()))
 
     def forward(self, place, out, said, source):
+        """Send an attempt; its end is told to the driver."""
         place.held.pool.back()
         out.connection = waiting = Waiting(out, said, source)
         self._do(place, place.held.pool.ask(waiting, out.at))
@@ -146,6 +155,7 @@
         """Nothing: this transport keeps a timer of its own."""
 
     def next_due(self):
+        """Return None: HTTP/2's timers are its own."""
         return None
 
     def idle(self):
@@ -389,6 +399,7 @@
             )
 
     def close(self, connection, why):
+        """Close a connection; `why` goes to the log."""
         if not connection.closed:
             connection.session.close()
             self._ended(connection, why)
--- a/sprucegate/upstream/lines/codec.py
+++ b/sprucegate/upstream/lines/codec.py
@@ -47,6 +47,8 @@
 
 
 class Answer(NamedTuple):
+    """One response: the attempt's id, its word, its fields and its body."""
+
     id: bytes
     word: bytes
     fields: dict
@@ -86,6 +88,7 @@
 
 
 def cancel(get_id):
+    """Return the line that cancels an attempt."""
     return b"cancel %b\r\n" % get_id
 
 
@@ -96,6 +99,7 @@
         self.held, self.head, self.fault = bytearray(), None, None
 
     def partial(self):
+        """Whether a response has begun and is not whole."""
         return self.head is not None or bool(self.held)
 
     def feed(self, data):
@@ -129,6 +133,7 @@
 
 
 def read_head(line):
+    """Return the head of a response: id, word, fields and length; raises MalformedAnswerError."""
     words = line.split(b" ")
     if len(words) != 4 or not words[3].isdigit() or int(words[3]) > BODY_MOST:
         raise MalformedAnswerError(f"no answer: {line[:60]!r}")
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -15,6 +15,8 @@
 
 
 class LineTransport:
+    """Speaks the line protocol with servers: connections, the attempts on them, and their bounds."""
+
     def __init__(self, servers, driver, pool, settings):
         self.servers, self.driver, self.pool = servers, driver, pool
         self.connect_timeout = settings.get("connect_timeout", 400_000_000)
@@ -27,9 +29,11 @@
         self.resting = OrderedDict()  # connections that are up with nothing open, the longest so first
 
     def kept(self, place):
+        """Return what the transport keeps for one server: its connections."""
         return []  # its connections
 
     def open_connections(self, place):
+        """Return how many connections to a server there are."""
         return len(place.held)
 
     def came_up(self, place, since):
@@ -40,15 +44,18 @@
         """Connections made to the old address serve on; new ones go to the new one."""
 
     def leave(self, place):
+        """The server has gone: close what is idle there."""
         for connection in list(place.held):
             if not connection.open:
                 self.close(connection)
 
     def warm(self, place, now):
+        """Connect ahead of the first attempt."""
         if not place.held:
             self._connect(place, now)
 
     def forward(self, place, out, said, source):
+        """Send an attempt; its end is told to the driver."""
         get = out.get
         connection = self._connection(place, get, out.at)
         if connection is None:  # no room here: nothing is known of the cache
@@ -327,6 +334,7 @@
             self.close(connection)
 
     def next_due(self):
+        """Return when `due` is to be called next (monotonic ns), or None."""
         return self.stalls[0][0] if self.stalls else None
 
     def due(self, now):
@@ -349,6 +357,7 @@
         self.driver.armed_by(due)
 
     def sweep(self, now):
+        """Close connections that were idle for too long."""
         while (oldest := next(iter(self.resting), None)) is not None and now - oldest.used > self.idle_most:
             self.close(oldest)
 
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -12,6 +12,8 @@
 
 
 class UpstreamServers:
+    """The servers of the endpoint list, and the transport that each of them speaks."""
+
     def __init__(self, driver, pool, settings, most, wanted=None):
         """`wanted` is what the operator's file says of servers; without it all of them speak lines."""
         self.driver, self.most, self.connections, self.places = driver, most, 0, {}
@@ -23,6 +25,7 @@
             self.transports["http2"] = Http2Transport(self, driver, pool, settings, wanted.http2)
 
     def listed(self, hosts):
+        """Follow an endpoint list."""
         for entry in hosts.entries:
             name, address = hosts.names[entry.id]
             host, _, port = address.rpartition(":")
@@ -46,6 +49,7 @@
                 self.remove(place)
 
     def remove(self, place):
+        """Drop a server that has gone."""
         # What is still open there may yet be answered: only idle connections go at once.
         place.gone = True
         place.transport.leave(place)
@@ -63,6 +67,7 @@
                 self.warm(self.places[at], now)
 
     def warm(self, place, now):
+        """Connect to a server ahead of its first attempt."""
         place.transport.warm(place, now)
 
     def forward(self, out, said):
@@ -95,17 +100,21 @@
         return bool(idle)
 
     def sweep(self, now):
+        """Let the transports close what was idle for too long."""
         for each in self.transports.values():
             each.sweep(now)
 
     def due(self, now):
+        """Let the transports do what is due by `now` (monotonic ns)."""
         for each in self.transports.values():
             each.due(now)
 
     def next_due(self):
+        """Return when `due` is to be called next (monotonic ns), or None."""
         dues = [each.next_due() for each in self.transports.values()]
         return min([due for due in dues if due is not None], default=None)
 
     def stop(self):
+        """Close all connections."""
         for each in self.transports.values():
             each.stop()
