--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -58,10 +58,13 @@
 
 
 class RealFront:
-    """One front's files, and its process while it has one; `lines` has its log."""
+    """One front's files, and its process while it has one; `lines` has its log.
+
+    `checkout`: the folder of another build of sprucegate that the process runs; None for this one."""
 
     def __init__(self, rig, name, number):
         self.rig, self.name, self.number, self.process = rig, name, number, None
+        self.checkout = None
         self.folder = rig.folder / name
         self.folder.mkdir()
         self.faults = Faults(self.folder / "faults")
@@ -104,6 +107,7 @@
                 str(self.folder / "front.kdl"),
             ],
             stdout=subprocess.PIPE,
+            cwd=self.checkout,
             env={**os.environ, "BALANCER_CONFIG": str(self.folder / "config.json")},
         )
         threading.Thread(target=self._read, args=(self.process,), daemon=True).start()
@@ -203,6 +207,7 @@
                 *flags,
             ],
             stdout=subprocess.PIPE,
+            cwd=self.checkout,
         )
         threading.Thread(target=self._read, args=(self.process,), daemon=True).start()
 
