--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -10,67 +10,79 @@
 
 
 class ConsensusComponent(FleetComponent):
-    """The replicated log in a front: starts its driver and passes events on."""
+    """The replicated log in a front: starts its driver and passes events on.
+
+    `agreement` and `rollout` are those nodes of the operator's file.
+    """
 
     name, message_types = "agreed", (ConsensusFrame,)
 
-    def __init__(self, fleet, node, rollout):
-        self.fleet, self.file, self.rollout, self.agreed, self.face = fleet, node, rollout, None, None
-        self.question_handlers = {"agreed": self._shown, "propose": self._propose}
+    def __init__(self, fleet, agreement, rollout):
+        self.fleet = fleet
+        self.agreement = agreement
+        self.rollout = rollout
+        self.consensus = None
+        self.agent = None
+        self.question_handlers = {"agreed": self._status, "propose": self._propose}
 
     async def start(self):
         """Start the maintenance agent and the driver of the replicated log."""
-        fleet, own = self.fleet, self.fleet.peer.members.own
-        self.face = MaintenanceAgent(
+        fleet = self.fleet
+        own = self.fleet.peer.members.own
+        self.agent = MaintenanceAgent(
             fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views
         )
-        node = ConsensusSettings(self.file.addresses, self.file.state, self.rollout.limits)
-        self.agreed = ConsensusDriver(
-            own.name, own.incarnation, node, fleet.seed, fleet.log, fleet.links, self.face
+        settings = ConsensusSettings(self.agreement.addresses, self.agreement.state, self.rollout.limits)
+        self.consensus = ConsensusDriver(
+            own.name, own.incarnation, settings, fleet.seed, fleet.log, fleet.links, self.agent
         )
-        await self.agreed.start()
+        await self.consensus.start()
 
     def on_message(self, sender, message):
         """Pass on a consensus frame of another process."""
-        if self.agreed is not None:
-            self.agreed.heard(message)
+        if self.consensus is not None:
+            self.consensus.heard(message)
 
     def on_view_changed(self, view):
-        """Note whether this front may speak for the endpoints by its own state."""
-        if self.agreed is not None:
-            self.agreed.speaks = view.allows_own(OwnAction.SPEAK)
+        """Note whether this front knows enough of the fleet to propose the list of servers."""
+        if self.consensus is not None:
+            self.consensus.may_report_servers = view.allows_own(OwnAction.SPEAK)
 
-    def on_identity_changed(self, name, life):
+    def on_identity_changed(self, name, incarnation):
         """Follow this process's new name or incarnation."""
-        if self.agreed is not None:
-            self.agreed.renamed(name, life)
-
-    def on_attempt_ended(self, cache, outcome, found, took, asked):
-        """Count the end of an attempt for the report that analysis gates rest on."""
-        if self.face is not None:
-            self.face.forwarded(
-                cache, outcome, found, took, self.fleet.driver.router.latency_objective(asked)
+        if self.consensus is not None:
+            self.consensus.change_identity(name, incarnation)
+
+    def on_attempt_ended(self, endpoint, outcome, cache_status, duration, request):
+        """Count the end of an attempt for the report that the gates of releases evaluate."""
+        if self.agent is not None:
+            self.agent.forwarded(
+                endpoint,
+                outcome,
+                cache_status,
+                duration,
+                self.fleet.driver.router.latency_objective(request),
             )
 
     def on_leaving(self):
-        """Tell the voters that this front leaves."""
-        if self.agreed is not None:
-            self.agreed.leaves()
+        """Tell the voters that this front shuts down."""
+        if self.consensus is not None:
+            self.consensus.leave()
 
     async def stop(self):
         """Stop the driver of the replicated log."""
-        if self.agreed is not None:
-            await self.agreed.stop()
+        if self.consensus is not None:
+            await self.consensus.stop()
 
-    async def _shown(self, _):
-        return self.agreed.shown() if self.agreed is not None else _AWAY
+    async def _status(self, _):
+        return self.consensus.shown() if self.consensus is not None else _NOT_STARTED
 
-    async def _propose(self, given):
+    async def _propose(self, arguments):
         try:
-            command = orjson.loads(given[0])
+            command = orjson.loads(arguments[0])
         except (IndexError, orjson.JSONDecodeError):
             return {"ok": False, "error": "no command"}
-        return await self.agreed.propose(command) if self.agreed is not None else _AWAY
+        return await self.consensus.propose(command) if self.consensus is not None else _NOT_STARTED
 
 
-_AWAY = {"ok": False, "error": "this front has not begun to follow the log yet"}
+_NOT_STARTED = {"ok": False, "error": "this front has not begun to follow the log yet"}
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -1,7 +1,7 @@
-"""The replicated log in a process: its voter (if it is one), a front's log follower, and requests of operators.
+"""The replicated log in a process: its voter (if it is one), a front's log follower, and operators' requests.
 
-A front whose file has `agreement` follows the log; one that the file names among the voters votes as well.
-`sprucegate fleet keeper` only votes. No client request waits for any of it; the disk is written in one thread.
+A front whose operator's file has an `agreement` node follows the log; one that the node lists as a voter votes as well.
+`sprucegate fleet keeper` only votes. No client request waits for any of this; the disk is written by a worker thread.
 """
 
 import asyncio
@@ -37,86 +37,102 @@
 from sprucegate.fleet.rollout.permits import PermitStep
 from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 
-S = 1_000_000_000
-TICK = 0.02  # seconds between two looks at what is due
-DUTIES = 0.1
-REPORT_EVERY = S // 2  # of a front, about all boxes
-PATIENCE = 2 * S  # of an operator's request
+NS_PER_SECOND = 1_000_000_000
+TIMER_INTERVAL_SECONDS = 0.02
+REPORTER_INTERVAL_SECONDS = 0.1  # between two runs of a front's reporter, which proposes commands
+REPORT_INTERVAL = NS_PER_SECOND // 2  # between a front's reports to the leader on all servers
+PROPOSAL_TIMEOUT = 2 * NS_PER_SECOND
 
 
 class ConsensusDriver:
     """The replicated log in one process.
 
-    `face` is the front's MaintenanceAgent (`fleet/maintenance_agent.py`), None in a process that is only a voter.
+    `agent` is the front's MaintenanceAgent (`fleet/maintenance_agent.py`), None in a process that is only a voter.
+    `voter_options` are keyword arguments of VoterDriver.
     """
 
-    def __init__(self, name, life, node, seed, log, links, face=None, disk=None, **trusted):
-        self.name, self.life, self.node, self.log, self.links, self.face = name, life, node, log, links, face
-        self.loop, self.tasks, self.words_at, self.waiting, self.counter = (
-            asyncio.get_running_loop(),
-            [],
-            0,
-            {},
-            0,
-        )
-        self.voting = (
-            VoterDriver(name, node, seed, log, self._send, disk, **trusted)
-            if name in node.addresses
+    def __init__(self, name, incarnation, settings, seed, log, links, agent=None, disk=None, **voter_options):
+        self.name = name
+        self.incarnation = incarnation
+        self.settings = settings
+        self.log = log
+        self.links = links
+        self.agent = agent
+        self.loop = asyncio.get_running_loop()
+        self.tasks = []
+        self.reporter_ran_at = 0
+        self.waiters = {}  # token of an operator's proposal -> future of (result, index)
+        self.proposal_count = 0
+        self.voter = (
+            VoterDriver(name, settings, seed, log, self._send, disk, **voter_options)
+            if name in settings.addresses
             else None
         )
-        self.machine = RolloutStateMachine()
-        chance = RandomSource(f"{name}/follows", seed ^ life)
+        self.state_machine = RolloutStateMachine()
+        random_source = RandomSource(f"{name}/follows", seed ^ incarnation)
         self.follower = (
-            LogFollower(list(node.addresses), life, chance, time.monotonic_ns(), front_lease())
-            if face is not None
+            LogFollower(
+                list(settings.addresses), incarnation, random_source, time.monotonic_ns(), front_lease()
+            )
+            if agent is not None
             else None
         )
-        self.words, self.fenced, self.stale, self.report_at = FrontReporter(name, life), True, False, 0
-        self.compared, self.speaks = (
-            None,
-            True,
-        )  # `speaks`: this front knows enough to say which boxes there are
+        self.reporter = FrontReporter(name, incarnation)
+        self.fenced = True
+        self.incompatible = False  # the log has commands or state of a newer build
+        self.report_at = 0
+        self.compared_inputs = None  # inputs of the last comparison that found the log up to date
+        self.may_report_servers = True  # this front knows enough of the fleet to propose the list of servers
 
     async def start(self):
-        """Start the voter, if this process is one, and the timer."""
-        if self.voting is not None:
-            self.tasks.append(self.loop.create_task(self.voting.begins()))
-        self.tasks.append(self.loop.create_task(self._ticks()))
-
-    def renamed(self, name, life):
-        """This front is another life, or another name beside its twin: it follows and speaks as that from here on."""
-        if self.voting is None:
-            self.name, self.face.name = name, name
-        self.life = self.follower.incarnation = life
-        self.words = FrontReporter(self.name, life)
-
-    def leaves(self):
-        """SIGTERM at a front: obeyed with or without a permit; nobody waits for its lease."""
-        permit = self.machine.permits.of_box.get(self.name)
+        """Start the voter, if this process is one, and the timers."""
+        if self.voter is not None:
+            self.tasks.append(self.loop.create_task(self.voter.recover()))
+        self.tasks.append(self.loop.create_task(self._run_timers()))
+
+    def change_identity(self, name, incarnation):
+        """Follow the log and report under a new incarnation, or a new name beside a front with the same name."""
+        if self.voter is None:
+            self.name = name
+            self.agent.name = name
+        self.incarnation = incarnation
+        self.follower.incarnation = incarnation
+        self.reporter = FrontReporter(self.name, incarnation)
+
+    def leave(self):
+        """Tell the voters that this front shuts down (SIGTERM), with or without a permit.
+
+        The leader then need not wait for the end of its lease.
+        """
+        permit = self.state_machine.permits.of_box.get(self.name)
         if permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT):
             self.log("left_without_permit")
-        self._do(self.follower.propose(["left", self.name, self.life], None, time.monotonic_ns(), PATIENCE))
+        self._perform(
+            self.follower.propose(
+                ["left", self.name, self.incarnation], None, time.monotonic_ns(), PROPOSAL_TIMEOUT
+            )
+        )
 
     async def stop(self):
-        """Stop the voter and the timer."""
-        if self.voting is not None:
-            await self.voting.stop()
+        """Stop the voter and the timers."""
+        if self.voter is not None:
+            await self.voter.stop()
         for task in self.tasks:
             task.cancel()
 
-    async def _ticks(self):
+    async def _run_timers(self):
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TIMER_INTERVAL_SECONDS)
             try:
                 now = time.monotonic_ns()
-                if self.voting is not None:
-                    self.voting.due(now)
+                if self.voter is not None:
+                    self.voter.on_timer(now)
                 if self.follower is not None:
-                    self._follows(now)
-            except Exception as fault:  # one look is lost by it, not the process
+                    self._on_follower_timer(now)
+            except Exception as fault:  # skips the rest of this run only; the timers go on
                 self.log("agreed_fault", error=f"{type(fault).__name__}: {fault}")
 
-    # To and fro.
+    # Messages.
 
     def _send(self, sender, to, message):
         number, data = codec.encode(message)
@@ -125,24 +141,30 @@
             self.loop.call_soon(self.heard, ConsensusFrame(sender, to, number, data))
         else:
             self.links.send(
-                process, self.node.addresses.get(process, ""), ConsensusFrame(sender, to, number, data), False
+                process,
+                self.settings.addresses.get(process, ""),
+                ConsensusFrame(sender, to, number, data),
+                False,
             )
 
-    def heard(self, routed):
-        """Take a consensus frame: to the log follower or to the voter, by its kind."""
+    def heard(self, frame):
+        """Pass a received frame to the log follower or to the voter, by the kind of its message."""
         try:
-            message = codec.decode(routed.number, routed.data)
+            message = codec.decode(frame.number, frame.data)
         except codec.ConsensusMessageError as fault:
-            return self.log("agreed_refused", peer=routed.sender, error=str(fault))
+            return self.log("agreed_refused", peer=frame.sender, error=str(fault))
         if isinstance(message, EntriesResponse | StateResponse | ProposeResponse):
             if self.follower is not None:
-                self._do(self.follower.on_message(base_name(routed.sender), message, time.monotonic_ns()))
-        elif self.voting is not None:
-            self.voting.heard(routed.sender, self._addressed(routed.to, message), message)
+                self._perform(self.follower.on_message(base_name(frame.sender), message, time.monotonic_ns()))
+        elif self.voter is not None:
+            self.voter.receive(frame.sender, self._resolve_voter(frame.to, message), message)
 
-    def _addressed(self, to, message):
-        """A front knows keepers by the file's names; whom it means is whoever votes there now."""
-        own = self.voting.raft_node.name if self.voting.raft_node is not None else ""
+    def _resolve_voter(self, to, message):
+        """Return the voter's name that a message is meant for.
+
+        Followers know voters by their names in the operator's file, so theirs go to whichever identity votes now.
+        """
+        own = self.voter.raft_node.name if self.voter.raft_node is not None else ""
         return (
             own
             if isinstance(message, FollowRequest | ProposeRequest) and base_name(to) == base_name(own)
@@ -151,61 +173,64 @@
 
     # A front's side.
 
-    def _follows(self, now):
+    def _on_follower_timer(self, now):
         fenced = self.follower.is_fenced(now)
-        self.face.follows(self.machine, fenced, now)
+        self.agent.follows(self.state_machine, fenced, now)
         if fenced != self.fenced:
             self.fenced = fenced
             self.log("keepers_lost" if fenced else "keepers_found", index=self.follower.applied_index)
         if now >= self.report_at:
-            self.report_at = now + REPORT_EVERY
-            self.follower.report = self.face.report()
-        self._do(self.follower.on_timer(now))
-        if now - self.words_at >= DUTIES * S and not self.stale:
-            self.words_at = now
-            wanted = self.words.due(self.machine, self.face.drained, self.face.warm, now)
-            # Where nothing changed on either side there is nothing to compare: boxes may be thousands.
-            key = (
-                self.face.changed(),
-                id(self.machine.permits.boxes),
-                len(self.machine.permits.boxes),
-                min(self.machine.permits.fronts, default=""),
+            self.report_at = now + REPORT_INTERVAL
+            self.follower.report = self.agent.report()
+        self._perform(self.follower.on_timer(now))
+        if now - self.reporter_ran_at >= REPORTER_INTERVAL_SECONDS * NS_PER_SECOND and not self.incompatible:
+            self.reporter_ran_at = now
+            proposals = self.reporter.due(self.state_machine, self.agent.drained, self.agent.warm, now)
+            # Servers are compared with the log only where either side changed, as there may be thousands of them.
+            inputs = (
+                self.agent.changed(),
+                id(self.state_machine.permits.boxes),
+                len(self.state_machine.permits.boxes),
+                min(self.state_machine.permits.fronts, default=""),
             )
-            if key != self.compared and self.speaks:
-                said = self.words.view(
-                    self.machine, self.face.boxes(), self.node.limits(self.face.floor()), now
+            if inputs != self.compared_inputs and self.may_report_servers:
+                updates = self.reporter.view(
+                    self.state_machine, self.agent.boxes(), self.settings.limits(self.agent.floor()), now
                 )
-                self.compared = key if self.words.same else None
-                wanted += said
-            for command in wanted:
-                self._do(self.follower.propose(command, None, now, PATIENCE))
+                self.compared_inputs = inputs if self.reporter.same else None
+                proposals += updates
+            for command in proposals:
+                self._perform(self.follower.propose(command, None, now, PROPOSAL_TIMEOUT))
 
-    def _do(self, actions):
+    def _perform(self, actions):
         for action in actions:
             match action:
                 case SendMessage():
                     self._send(self.name, action.to, action.message)
                 case ApplyCommands():
                     for index, command in action.entries:
-                        word, _ = self.machine.apply(index, command)
-                        if word.endswith("is not known here") and not self.stale:
-                            # A newer build's: what it says of boxes is no longer known, so nothing is said to it.
-                            self.stale = True
-                            self.log("agreed_newer", error=word)
-                    self.face.holds(self.machine)
+                        result, _ = self.state_machine.apply(index, command)
+                        if result.endswith("is not known here") and not self.incompatible:
+                            # Of a newer build: the state is no longer complete here, so nothing is proposed from it.
+                            self.incompatible = True
+                            self.log("agreed_newer", error=result)
+                    self.agent.holds(self.state_machine)
                 case ReplaceState():
-                    machine = RolloutStateMachine()
-                    self.stale = not machine.loaded(action.state)
-                    self.machine = machine if not self.stale else self.machine
-                    self.face.holds(self.machine)
+                    state_machine = RolloutStateMachine()
+                    self.incompatible = not state_machine.loaded(action.state)
+                    self.state_machine = state_machine if not self.incompatible else self.state_machine
+                    self.agent.holds(self.state_machine)
                 case ProposalCompleted():
-                    if (waiter := self.waiting.pop(action.token, None)) is not None and not waiter.done():
+                    if (waiter := self.waiters.pop(action.token, None)) is not None and not waiter.done():
                         waiter.set_result((action.result, action.index))
 
     # Operators.
 
     async def propose(self, command):
-        """The word for an operator's request, or an error, within PATIENCE; given again it has no second effect."""
+        """Propose an operator's command. Returns the answer as JSON: the result, or an error within PROPOSAL_TIMEOUT.
+
+        A command that is wrapped in `once` takes effect once, however often it is proposed.
+        """
         if fault := commands.fault(command):
             return {"ok": False, "error": fault}
         inner = command[2] if command[0] == "once" else command
@@ -213,29 +238,30 @@
             return {"ok": False, "error": f"{inner[0]} is not an operator's to say"}
         if self.follower is None:
             return {"ok": False, "error": "a keeper takes no requests; ask a front"}
-        self.counter += 1
-        token, waiter = f"w{self.counter}", self.loop.create_future()
-        self.waiting[token] = waiter
-        self._do(self.follower.propose(command, token, time.monotonic_ns(), PATIENCE))
-        word, index = await waiter
-        if not word:
+        self.proposal_count += 1
+        token = f"w{self.proposal_count}"
+        waiter = self.loop.create_future()
+        self.waiters[token] = waiter
+        self._perform(self.follower.propose(command, token, time.monotonic_ns(), PROPOSAL_TIMEOUT))
+        result, index = await waiter
+        if not result:
             return {
                 "ok": False,
                 "error": "no majority of the keepers could be asked in time; the same request may be "
                 "given again",
                 "quorum": False,
             }
-        return {"ok": True, "word": word, "index": index}
+        return {"ok": True, "word": result, "index": index}
 
     def shown(self):
         """Return the state of the replicated log as `sprucegate fleet` shows it."""
         follower = self.follower
-        heard = time.monotonic_ns() - follower.lease_expiry + front_lease() if follower else None
+        elapsed = time.monotonic_ns() - follower.lease_expiry + front_lease() if follower else None
         return {
-            "index": self.machine.index,
-            "voting": self.voting.shown() if self.voting else None,
+            "index": self.state_machine.index,
+            "voting": self.voter.status() if self.voter else None,
             "leader": follower.leader if follower else "",
             "fenced": self.fenced,
-            "heard_ms": heard // 1_000_000 if heard is not None else None,
-            **rollout_status(self.machine),
+            "heard_ms": elapsed // 1_000_000 if elapsed is not None else None,
+            **rollout_status(self.state_machine),
         }
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -420,23 +420,23 @@
         disk = Fickle()
         node = ConsensusSettings({"k0": "127.0.0.1:1"}, str(tmp_path / "k0"), None)
         one = VoterDriver("k0", node, 7, lambda event, **said: events.append(event), lambda *_: None, disk)
-        await one.begins()
+        await one.recover()
 
         async def until(event):
             for _ in range(2000):
                 if event in events:
                     return
-                one.due(time.monotonic_ns())
+                one.on_timer(time.monotonic_ns())
                 await asyncio.sleep(0.005)
             raise AssertionError((event, events))
 
         await until("keeper_leads")
         index, actions = one.raft_node.propose(["front", "n0", 1, True], time.monotonic_ns())
-        one.do(actions)
-        while "n0" not in one.serving.machine.permits.fronts:
+        one.perform(actions)
+        while "n0" not in one.log_server.machine.permits.fronts:
             await asyncio.sleep(0.005)
         disk.full = True
-        one.do(one.raft_node.propose(["front", "n1", 1, True], time.monotonic_ns())[1])
+        one.perform(one.raft_node.propose(["front", "n1", 1, True], time.monotonic_ns())[1])
         await until("keeper_not_kept")
         await until("keeper_leads_no_more")
         await until("keeper_off")  # no start can be counted, so it says nothing at all
@@ -444,7 +444,7 @@
         disk.full = False
         events.clear()
         await until("keeper_leads")
-        while "n0" not in one.serving.machine.permits.fronts:
+        while "n0" not in one.log_server.machine.permits.fronts:
             await asyncio.sleep(0.005)
         await one.stop()
 
