--- a/sprucegate/fleet/consensus/log_follower.py
+++ b/sprucegate/fleet/consensus/log_follower.py
@@ -1,7 +1,7 @@
 """How a router process follows the replicated log and proposes commands. No I/O: events and the time in, actions out.
 
-It asks one voter after another until it finds the leader, then asks that one again and again, for entries that it has
-not applied, a lease, and answers to its proposals. Nothing on a request's path waits for any of it.
+A follower asks one voter after another until it finds the leader, then polls the leader for entries that it has not
+applied and for a lease, and sends its proposals to it. Client requests never wait for any of this.
 """
 
 from dataclasses import dataclass
@@ -19,8 +19,8 @@
 from sprucegate.units import MILLISECOND
 
 REQUEST_INTERVAL = 100 * MILLISECOND
-RETRY_INTERVAL = 400 * MILLISECOND  # without an answer: the next voter is asked
-PROPOSALS_MAX = 200  # of one process under way
+RETRY_INTERVAL = 400 * MILLISECOND  # without a response; then another voter is asked
+PROPOSALS_MAX = 200  # pending ones of one process
 
 
 class RandomChoice(Protocol):
@@ -31,24 +31,24 @@
 
 
 class ApplyCommands(NamedTuple):
-    """Action: give committed entries, as (index, command), to this process's state machine, in order."""
+    """Action: apply committed entries, as (index, command), to this process's state machine, in order."""
 
     entries: list[tuple[int, object]]
 
 
 class ReplaceState(NamedTuple):
-    """Action: the machine's state stands for all entries up to an index."""
+    """Action: replace the state machine's state; `state` includes all entries up to `index`."""
 
     index: int  # type: ignore[assignment]  # tuple.index isn't called
     state: object
 
 
 class ProposalCompleted(NamedTuple):
-    """Action: a proposal ended.
+    """Action: a proposal was applied or timed out.
 
-    :ivar token: what `LogFollower.propose` was given
-    :ivar result: the machine's answer, or "" where nobody answered in time
-    :ivar index: the entry's index, 0 without an answer
+    :ivar token: the token given to `LogFollower.propose`
+    :ivar result: the state machine's result, or "" after a time-out
+    :ivar index: the entry's index, 0 after a time-out
     """
 
     token: object
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class Proposal:
-    """A command that waits for an answer; times in ns."""
+    """A proposed command without a result yet. Times in ns."""
 
     command: Command
     token: object
@@ -70,25 +70,25 @@
 
 
 class LogFollower:
-    """One process's side. Times in ns on a monotonic clock.
+    """Follows the log in one process. Times in ns on a monotonic clock.
 
     :ivar voters: names of the voters
     :ivar incarnation: of this process
-    :ivar lease: ns for which an answer of the leader holds, counted from its request
-    :ivar applied_index: the last entry given to the machine
-    :ivar commit_index: the latest that a voter told of
+    :ivar lease: ns for which the leader's response extends the lease, counted from when the request was sent
+    :ivar applied_index: the last entry given to the state machine
+    :ivar commit_index: the highest that a voter reported
     :ivar lease_expiry: when the lease ends
-    :ivar report: what the next request tells the leader
-    :ivar voter: whom the requests go to, or ""
-    :ivar leader: the leader as far as is known, or ""
+    :ivar report: sent to the leader with the next request, and then cleared
+    :ivar voter: the voter that requests are sent to, or ""
+    :ivar leader: the last known leader, or ""
     """
 
     def __init__(
-        self, voters: list[str], incarnation: int, chance: RandomChoice, now: int, lease: int
+        self, voters: list[str], incarnation: int, random_choice: RandomChoice, now: int, lease: int
     ) -> None:
         self.voters = list(voters)
         self.incarnation = incarnation
-        self.chance = chance
+        self.random_choice = random_choice
         self.lease = lease
         self.applied_index = 0
         self.commit_index = 0
@@ -104,26 +104,31 @@
         self.proposal_number = 0
 
     def is_fenced(self, now: int) -> bool:
-        """Return whether the leader may count without this process. To be asked before each act that rests on it."""
+        """Return whether the lease is over, so that the leader may no longer wait for this process.
+
+        To be checked before each action that relies on the lease.
+        """
         return now >= self.lease_expiry
 
     def next_deadline(self) -> int:
         """Return when the next request is due."""
         return self.request_deadline
 
-    def propose(self, command: Command, token: object, now: int, patience: int) -> list[FollowerAction]:
-        """Propose to the leader, and again to the next one, until `patience` (ns) is over."""
+    def propose(self, command: Command, token: object, now: int, timeout: int) -> list[FollowerAction]:
+        """Propose a command to the leader, and to its successors, until `timeout` (ns) is over."""
         if len(self.proposals) >= PROPOSALS_MAX:
             return [ProposalCompleted(token, "", 0)]
         self.proposal_number += 1
-        self.proposals[self.proposal_number] = Proposal(command, token, now + patience, 0)
+        self.proposals[self.proposal_number] = Proposal(command, token, now + timeout, 0)
         return self._send_proposals(now)
 
     def on_timer(self, now: int) -> list[FollowerAction]:
-        """End proposals that are out of time; ask a voter where that is due."""
-        expired = [one for one in self.proposals.values() if now >= one.deadline]
-        actions: list[FollowerAction] = [ProposalCompleted(one.token, "", 0) for one in expired]
-        self.proposals = {number: one for number, one in self.proposals.items() if now < one.deadline}
+        """Time out expired proposals, and send what is due: a request to a voter, and proposals."""
+        expired = [proposal for proposal in self.proposals.values() if now >= proposal.deadline]
+        actions: list[FollowerAction] = [ProposalCompleted(proposal.token, "", 0) for proposal in expired]
+        self.proposals = {
+            number: proposal for number, proposal in self.proposals.items() if now < proposal.deadline
+        }
         if now >= self.request_deadline:
             self.request_deadline = now + REQUEST_INTERVAL
             if self.answered or now - self.requested_at >= RETRY_INTERVAL:
@@ -135,7 +140,7 @@
     def on_message(
         self, sender: str, message: EntriesResponse | StateResponse | ProposeResponse, now: int
     ) -> list[FollowerAction]:
-        """Take a voter's answer; one to an earlier request changes nothing."""
+        """Handle a voter's response. Responses to an earlier request are ignored."""
         if isinstance(message, ProposeResponse):
             return self._on_propose_response(message, now)
         if message.number != self.request_number or sender != self.voter or self.answered:
@@ -147,7 +152,7 @@
         return self._on_entries(message, now)
 
     def _note_leader(self, sender: str, message: EntriesResponse | StateResponse, now: int) -> None:
-        """Extend the lease, or turn to the leader that the voter names, or to another voter."""
+        """Extend the lease if the sender leads; else switch to the leader that it names, or to another voter."""
         if message.is_leader:
             self.leader = sender
             self.lease_expiry = max(self.lease_expiry, self.requested_at + self.lease)
@@ -166,20 +171,20 @@
 
     def _on_entries(self, message: EntriesResponse, now: int) -> list[FollowerAction]:
         self.commit_index = max(self.commit_index, message.commit_index)
-        fresh = [entry for entry in message.entries if entry[0] > self.applied_index]
-        if message.after_index > self.applied_index or not fresh:
+        new_entries = [entry for entry in message.entries if entry[0] > self.applied_index]
+        if message.after_index > self.applied_index or not new_entries:
             return []
-        self.applied_index = fresh[-1][0]
+        self.applied_index = new_entries[-1][0]
         if self.applied_index < self.commit_index:
-            self.request_deadline = now  # the voter has more
-        return [ApplyCommands(fresh)]
+            self.request_deadline = now  # the voter has more entries
+        return [ApplyCommands(new_entries)]
 
     def _on_propose_response(self, message: ProposeResponse, now: int) -> list[FollowerAction]:
         proposal = self.proposals.get(message.number)
         if proposal is None:
             return []
         if not message.index:
-            # Not at once: while there is no leader each voter would point to another.
+            # Retried after REQUEST_INTERVAL, not at once: without a leader the voters refer to each other in a loop.
             self.leader = message.leader if message.leader in self.voters else ""
             proposal.sent_at = now - RETRY_INTERVAL + REQUEST_INTERVAL
             return []
@@ -191,13 +196,13 @@
         self.requested_at = now
         self.answered = False
         report = self.report
-        self.report = []  # sent once: the leader hears all fronts' reports
+        self.report = []  # not repeated: the leader goes by the reports of all fronts
         request = FollowRequest(self.applied_index, self.incarnation, self.request_number, report)
         return [SendMessage(self.voter, request)]
 
     def _choose_other_voter(self) -> None:
         others = [voter for voter in self.voters if voter != self.voter] or self.voters
-        self.voter = self.chance.pick("keeper", sorted(others), 1)[0]
+        self.voter = self.random_choice.pick("keeper", sorted(others), 1)[0]
 
     def _send_proposals(self, now: int) -> list[FollowerAction]:
         receiver = self.leader or self.voter
--- a/sprucegate/fleet/consensus/log_server.py
+++ b/sprucegate/fleet/consensus/log_server.py
@@ -1,4 +1,4 @@
-"""What a voter does for those that follow the log: answers, its own state machine, results of proposals. No I/O."""
+"""A voter's service to followers of the log: committed entries, leases, and results of proposals. No I/O."""
 
 from typing import NamedTuple, Protocol
 
@@ -14,19 +14,19 @@
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.consensus.raft_state import Role
 
-ENTRIES_PER_ANSWER = 200
-RECENT_ENTRIES_MAX = 5 * ENTRIES_PER_ANSWER
+ENTRIES_PER_RESPONSE = 200
+RECENT_ENTRIES_MAX = 5 * ENTRIES_PER_RESPONSE
 PENDING_PROPOSALS_MAX = 1000
-FOLLOWERS_MAX = 2000  # fronts that a voter remembers
+FOLLOWERS_MAX = 2000  # fronts whose last contact a voter keeps
 
 
 class StateMachine(Protocol):
-    """What the log drives."""
+    """The state machine that the replicated log drives."""
 
     index: int
 
     def apply(self, index: int, command: object) -> tuple[str, list[object]]:
-        """Apply an entry. Returns the result for its proposer, and the permits that it granted."""
+        """Apply an entry. Returns the result for its proposer, and the permits that the entry granted."""
 
     def told(self) -> object:
         """Return the whole state."""
@@ -36,12 +36,12 @@
 
 
 class FrontContact(NamedTuple):
-    """A front's last request; times in ns on the voter's clock.
+    """A front's last request. Times in ns on the voter's clock.
 
-    :ivar incarnation: the front's
-    :ivar at: when the request came
-    :ivar report: its last report
-    :ivar reported_at: when that came; few requests have one
+    :ivar incarnation: of the front
+    :ivar at: when the request arrived
+    :ivar report: the last report of this incarnation
+    :ivar reported_at: when that report arrived; few requests carry one
     """
 
     incarnation: int
@@ -51,10 +51,10 @@
 
 
 class PendingProposal(NamedTuple):
-    """Who waits for the result of an entry.
+    """A proposal whose entry isn't applied yet.
 
-    :ivar proposer: the process's name
-    :ivar number: its request's number
+    :ivar proposer: name of the process that waits for the result
+    :ivar number: number of its request
     :ivar term: the term in which the entry was appended
     """
 
@@ -64,13 +64,13 @@
 
 
 class LogServer:
-    """A voter's side.
+    """Answers the followers of the log and applies committed entries at one voter.
 
     :ivar node: the voter's Raft node
     :ivar machine: its state machine
     :ivar recent_entries: [index, command] of the latest applied entries
-    :ivar pending_proposals: who waits for a result, by the entry's index
-    :ivar contacts: the last contact of each front, whoever was heard longest ago first
+    :ivar pending_proposals: proposals that wait for a result, by the entry's index
+    :ivar contacts: the last contact of each front, least recent first
     """
 
     def __init__(self, node: RaftNode, machine: StateMachine) -> None:
@@ -81,13 +81,13 @@
         self.contacts: dict[str, FrontContact] = {}
 
     def on_snapshot_restored(self, index: int, state: object) -> None:
-        """Replace the machine's state by a leader's snapshot up to `index`."""
+        """Replace the state machine's state by a leader's snapshot up to `index`."""
         self.machine.loaded(state)
         self.machine.index = index
         self.recent_entries = []
 
     def on_committed(self, entries: list[LogEntry]) -> tuple[list[RaftAction], list[object]]:
-        """Apply committed entries. Returns the answers to proposers, and the permits that were granted."""
+        """Apply committed entries. Returns the responses to proposers, and the permits that were granted."""
         actions: list[RaftAction] = []
         granted: list[object] = []
         for entry in entries:
@@ -96,19 +96,19 @@
             granted += permits
             self.recent_entries.append((entry.index, command))
             for proposal in self.pending_proposals.pop(entry.index, ()):
-                actions.append(self._result(proposal, entry, result))
+                actions.append(self._propose_response(proposal, entry, result))
         del self.recent_entries[:-RECENT_ENTRIES_MAX]
         return actions, granted
 
     @staticmethod
-    def _result(proposal: PendingProposal, entry: LogEntry, result: str) -> SendMessage:
-        """Answer a proposer; where another leader's entry took the index, nothing is known of the proposal here."""
+    def _propose_response(proposal: PendingProposal, entry: LogEntry, result: str) -> SendMessage:
+        """Return the response to a proposer, without a result where another leader's entry took the index."""
         if proposal.term == entry.term:
             return SendMessage(proposal.proposer, ProposeResponse(proposal.number, entry.index, result, ""))
         return SendMessage(proposal.proposer, ProposeResponse(proposal.number, 0, "", ""))
 
     def on_message(self, sender: str, message: FollowRequest | ProposeRequest, now: int) -> list[RaftAction]:
-        """Answer a follower's request, or append what it proposes."""
+        """Answer a follower's request, or append the command that it proposes."""
         if isinstance(message, FollowRequest):
             self._note_contact(sender, message, now)
             return [SendMessage(sender, self._follow_response(message, now))]
@@ -121,18 +121,18 @@
         return actions
 
     def on_leadership_lost(self) -> list[RaftAction]:
-        """Tell proposers that another voter may commit what this one took, or not."""
+        """Answer all pending proposals without a result: whether a new leader commits them isn't known here."""
         pending = self.pending_proposals
         self.pending_proposals = {}
         return [
-            SendMessage(one.proposer, ProposeResponse(one.number, 0, "", self._leader()))
+            SendMessage(proposal.proposer, ProposeResponse(proposal.number, 0, "", self._leader()))
             for proposals in pending.values()
-            for one in proposals
+            for proposal in proposals
         ]
 
     def _note_contact(self, sender: str, request: FollowRequest, now: int) -> None:
         if not request.incarnation:
-            return  # an agent
+            return  # an agent: the leader waits for fronts only
         last = self.contacts.pop(sender, None)
         while len(self.contacts) >= FOLLOWERS_MAX:
             del self.contacts[next(iter(self.contacts))]
@@ -146,14 +146,14 @@
 
     def _follow_response(self, request: FollowRequest, now: int) -> EntriesResponse | StateResponse:
         machine = self.machine
-        # By a majority heard within an election timeout: a leader that stood still gives no lease.
+        # A leader that was suspended may have been replaced: it grants no lease until a majority has answered it.
         is_leader = self.node.in_contact_with_quorum(now)
         first = self.recent_entries[0][0] if self.recent_entries else machine.index + 1
         if request.applied_index + 1 < first and request.applied_index < machine.index:
             state = machine.told()
             return StateResponse(request.number, machine.index, state, is_leader, self._leader())
-        begin = request.applied_index + 1 - first
-        entries = self.recent_entries[begin : begin + ENTRIES_PER_ANSWER]
+        offset = request.applied_index + 1 - first
+        entries = self.recent_entries[offset : offset + ENTRIES_PER_RESPONSE]
         return EntriesResponse(
             request.number, request.applied_index, entries, machine.index, is_leader, self._leader()
         )
