--- a/sprucegate/fleet/consensus/durability_check.py
+++ b/sprucegate/fleet/consensus/durability_check.py
@@ -1,17 +1,18 @@
-"""Whether a voter may vote by what its folder says, and how one that may not comes back. No I/O, no clock.
+"""Detects that a voter lost persistent state, and gives such a voter a new identity. No I/O, no clock.
 
-A voter whose folder was lost, or restored from an older copy, would vote a second time in a term and forget what it had
-promised. It can't tell by itself; others can: each start is counted on disk and announced to the other voters, which
-persist it, before the voter says anything else. Whoever announces a start that isn't later than the one known of it has
-lost state: it comes back under another name, as a member that has promised nothing, and the leader admits it.
+A voter whose folder was lost, or restored from an older copy, could vote twice in a term and forget entries that it
+acknowledged. It can't detect this alone, but its peers can: each start is counted on disk and announced to the other
+voters, which persist it, before the voter sends anything else. A voter that announces a start that isn't later than the
+one known of it has lost state: it rejoins under another name, as a new member without votes or entries, and the leader
+admits it.
 
-A voter whose folder has voted before needs as many confirmations as make a majority with itself, and must have asked
-all peers `ANNOUNCEMENTS_MIN` times, so that a peer that knows a later start could have said so. Known starts are passed
-on to all peers, as the one that knows can be gone later. A folder that never voted needs most of its peers, and its own
-confirmation counts only for other such folders.
+A voter whose folder has voted before needs as many confirmations as form a majority with itself. It must also have
+announced its start `ANNOUNCEMENTS_MIN` times to all peers, so that a peer that knows a later start had time to say so.
+Known starts are passed on to all peers, as the peer that knows one may be gone later. A voter whose folder never voted
+needs confirmations of most of its peers, and its own confirmations count only for other such voters.
 
-Not covered: a restored folder votes where no peer that knows of its later start can be asked; it stops at the first
-message of such a peer. Two folders that are restored at one time are not told apart.
+Not covered: a voter with a restored folder may vote while no peer that knows its later start can be reached; it stops
+at the first message of such a peer. Two folders that are restored at the same time are not told apart.
 """
 
 from typing import NamedTuple
@@ -20,23 +21,24 @@
 from sprucegate.units import MILLISECOND, SECOND
 
 ANNOUNCEMENT_INTERVAL = 100 * MILLISECOND
-ANNOUNCEMENTS_MIN = 6  # before some peers are enough; a count, as a process may stand still
-GOSSIP_INTERVAL = SECOND  # between announcements to peers that lack a known start
-KNOWN_STARTS_MAX = 1000
-NAME_SEPARATOR = (
-    "^"  # before what distinguishes a later identity of one voter; a twin among fronts has ~ there
+ANNOUNCEMENTS_MIN = (
+    6  # before less than all peers suffice; a count, not a time, as the process may be suspended
 )
+GOSSIP_INTERVAL = SECOND  # between announcements to peers that may lack a known start
+KNOWN_STARTS_MAX = 1000
+# Separates a voter's configured name from the suffix of a later identity. Fronts with duplicate names use "~" instead.
+NAME_SEPARATOR = "^"
 NEVER = 1 << 62
 
-Starts = dict[str, tuple[int, int]]  # voter -> (count of starts, incarnation)
+Starts = dict[str, tuple[int, int]]  # voter -> (start count, incarnation)
 
 
 class StartAnnouncement(NamedTuple):
-    """A voter's start, for its peers to persist, and all starts that it knows.
+    """Announces a voter's start, for its peers to persist, with all starts that it knows.
 
     :ivar start_count: how often the folder was opened
     :ivar incarnation: random number of this start
-    :ivar known_starts: the starts known to the sender, its own among them
+    :ivar known_starts: the starts known to the sender, including its own
     """
 
     start_count: int
@@ -45,13 +47,13 @@
 
 
 class StartConfirmation(NamedTuple):
-    """The answer to a StartAnnouncement, once the start is on the sender's disk.
+    """Response to a StartAnnouncement, sent once the start is on the sender's disk.
 
     :ivar start_count: as announced
     :ivar incarnation: as announced
-    :ivar accepted: the start is persisted; else a start as late is known already
-    :ivar never_voted: the sender itself never took part in a vote
-    :ivar known_starts: the starts known to the sender, its own among them
+    :ivar accepted: whether the start is persisted; False if the sender knows another start that is as late or later
+    :ivar never_voted: whether the sender itself never took part in an election
+    :ivar known_starts: the starts known to the sender, including its own
     """
 
     start_count: int
@@ -62,7 +64,7 @@
 
 
 class VotingAllowed(NamedTuple):
-    """Action: this voter may vote from here on.
+    """Action: this voter may vote from now on.
 
     :ivar confirmed_by: the peers that confirmed its start
     """
@@ -71,10 +73,10 @@
 
 
 class StorageRolledBack(NamedTuple):
-    """Action: the folder lost state; set it aside and begin under another name.
+    """Action: the folder lost state; set it aside and rejoin under another name.
 
-    :ivar name: the name to be used from here on
-    :ivar by: the peer that knew of a later start
+    :ivar name: the new name
+    :ivar by: the peer that knew a later start
     """
 
     name: str
@@ -92,27 +94,27 @@
 
 
 def base_name(name: str) -> str:
-    """Return the name by which the operator's file has a voter, without the mark of a later identity."""
+    """Return a voter's name as in the operator's file, without the suffix of a later identity."""
     return name.partition(NAME_SEPARATOR)[0]
 
 
 class DurabilityCheck:
-    """One voter's check of its own start, and its answers to its peers. Times in ns on a monotonic clock.
+    """Checks one voter's own start with its peers, and confirms theirs. Times in ns on a monotonic clock.
 
     :ivar name: the voter's name
     :ivar start_count: how often its folder was opened
     :ivar incarnation: random number of this start
-    :ivar peers: the other voters by the operator's file
+    :ivar peers: the other voters in the operator's file
     :ivar known_starts: the latest start known of each other voter
-    :ivar trusted: an operator says that the folder is whole
-    :ivar never_voted: by its folder it never took part in a vote
-    :ivar may_vote: the outcome
+    :ivar trusted: an operator vouches that the folder lost nothing
+    :ivar never_voted: by its folder, this voter never took part in an election
+    :ivar may_vote: whether this voter may vote: the result of the check
     :ivar confirmed_by: peers that confirmed this start
     :ivar deadline: when the next announcement is due
     :ivar uninformed_peers: peers that may lack a known start
     """
 
-    def __init__(  # noqa: PLR0913  identity, peers and the operator's word are independent inputs
+    def __init__(  # noqa: PLR0913  identity, peers and the operator's override are independent inputs
         self,
         name: str,
         start_count: int,
@@ -139,7 +141,7 @@
         self.uninformed_peers: list[str] = [] if trusted else list(peers)
 
     def confirmations_needed(self) -> int:
-        """Return how many peers must confirm: most of them for a new folder, else a majority together with itself."""
+        """Return how many peers must confirm: most of them for a new folder, else enough for a majority with itself."""
         if self.never_voted:
             return len(self.peers) // 2 + 1
         return (len(self.peers) + 1) // 2
@@ -151,7 +153,7 @@
         return NEVER
 
     def on_timer(self, now: int, is_member: bool = True) -> list[CheckAction]:
-        """Announce the start until voting is allowed, then while this name is no member or peers lack a start."""
+        """Announce the start until voting is allowed, then while this name is no member or peers may lack a start."""
         if now < self.next_deadline(is_member):
             return []
         if not self.may_vote:
@@ -170,22 +172,22 @@
     def on_message(
         self, sender: str, message: StartAnnouncement | StartConfirmation, now: int
     ) -> list[CheckAction]:
-        """Take a peer's message. A start of this name that isn't before its own means lost state."""
+        """Handle a peer's message. If it knows another start of this voter that is as late or later, state was lost."""
         if not self.trusted and self._is_later_self(message.known_starts.get(self.name)):
             return self._roll_back(sender)
-        has_news = self._learn(message.known_starts)
+        learned = self._learn(message.known_starts)
         if isinstance(message, StartAnnouncement):
-            return self._on_announcement(sender, message, has_news)
-        return self._on_confirmation(base_name(sender), message, has_news)
+            return self._on_announcement(sender, message, learned)
+        return self._on_confirmation(base_name(sender), message, learned)
 
     def on_persisted(self, number: int, now: int) -> list[CheckAction]:
-        """Known starts up to that write are on disk: send the confirmations that waited for it."""
+        """Send the confirmations that waited for writes up to `number`, which are on disk now."""
         ready: list[CheckAction] = [send for at, send in self.held_confirmations if at <= number]
         self.held_confirmations = [(at, send) for at, send in self.held_confirmations if at > number]
         return ready
 
-    def _on_confirmation(self, sender: str, message: StartConfirmation, has_news: bool) -> list[CheckAction]:
-        actions = self._persist_starts() if has_news else []
+    def _on_confirmation(self, sender: str, message: StartConfirmation, learned: bool) -> list[CheckAction]:
+        actions = self._persist_starts() if learned else []
         own = (self.start_count, self.incarnation)
         if (message.start_count, message.incarnation) != own or sender not in self.peers:
             return actions
@@ -199,21 +201,21 @@
             return actions + self._allow_voting()
         return actions
 
-    def _on_announcement(self, sender: str, message: StartAnnouncement, has_news: bool) -> list[CheckAction]:
+    def _on_announcement(self, sender: str, message: StartAnnouncement, learned: bool) -> list[CheckAction]:
         known = self.known_starts.get(sender, (0, 0))
         announced = (message.start_count, message.incarnation)
         if announced == known:
-            # Repeated while its confirmation waits for the disk: another write each time would postpone it for ever,
-            # as each write makes this voter announce again in turn.
-            actions = self._persist_starts() if has_news else []
+            # Repeated while its confirmation waits for the disk: a write each time would postpone the confirmation
+            # for ever, as each write makes this voter announce again in turn.
+            actions = self._persist_starts() if learned else []
             if any(send.to == sender for _, send in self.held_confirmations):
                 return actions
             return [*actions, self._confirmation(sender, announced, accepted=True)]
         if message.start_count <= known[0]:
-            actions = self._persist_starts() if has_news else []
+            actions = self._persist_starts() if learned else []
             return [*actions, self._confirmation(sender, announced, accepted=False)]
         if len(self.known_starts) >= KNOWN_STARTS_MAX and sender not in self.known_starts:
-            return []  # it can't be kept, so nothing is confirmed
+            return []  # can't be persisted, so it isn't confirmed
         self.known_starts[sender] = announced
         actions = self._persist_starts()
         self.held_confirmations = [(at, send) for at, send in self.held_confirmations if send.to != sender]
@@ -233,7 +235,7 @@
         return all(starts.get(name, (0, 0))[0] >= count for name, (count, _) in self._all_starts().items())
 
     def _is_later_self(self, known: tuple[int, int] | None) -> bool:
-        """Return whether that start of this name is another one, and not before its own."""
+        """Return whether `known` is another start of this voter that is as late as the present one, or later."""
         if known is None or known[0] < self.start_count:
             return False
         return tuple(known) != (self.start_count, self.incarnation)
@@ -247,19 +249,19 @@
         return [StorageRolledBack(name, base_name(sender))]
 
     def _learn(self, starts: Starts) -> bool:
-        """Take over later starts than those known here. Returns whether there were any."""
-        news = {
+        """Merge starts that are later than those known here. Returns whether there were any."""
+        later = {
             name: tuple(start)
             for name, start in starts.items()
             if name != self.name and start[0] > self.known_starts.get(name, (0, 0))[0]
         }
-        for name in sorted(news):
+        for name in sorted(later):
             if name in self.known_starts or len(self.known_starts) < KNOWN_STARTS_MAX:
-                self.known_starts[name] = (news[name][0], news[name][1])
-        return bool(news)
+                self.known_starts[name] = (later[name][0], later[name][1])
+        return bool(later)
 
     def _persist_starts(self) -> list[CheckAction]:
         self.uninformed_peers = [] if self.trusted else list(self.peers)
-        self.deadline = 0  # passed on at once
+        self.deadline = 0  # pass them on at once
         self.write_number += 1
         return [PersistStarts(self.write_number, dict(self.known_starts))]
--- a/sprucegate/fleet/consensus/status.py
+++ b/sprucegate/fleet/consensus/status.py
@@ -1,4 +1,4 @@
-"""The state of the replicated log and of the rollout, as the JSON answers to operators give it. The keys are fixed."""
+"""The state of the replicated log and of the rollout, as JSON for operators. The keys are part of the interface."""
 
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.consensus.raft_state import Role
@@ -7,7 +7,7 @@
 from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 
 PERMITS_MAX = 500  # in one answer
-# The words of operators' answers for a voter's role.
+# A voter's role as operators see it.
 ROLE_WORDS = {
     Role.FOLLOWER: "follower",
     Role.PRE_CANDIDATE: "asking",
@@ -17,7 +17,7 @@
 
 
 def voter_status(node: RaftNode) -> dict[str, object]:
-    """Return what is told of a voter that may vote."""
+    """Return the status of a voter that may vote."""
     configuration = node.configuration()
     return {
         "name": node.name,
@@ -32,7 +32,7 @@
 
 
 def rollout_status(machine: RolloutStateMachine) -> dict[str, object]:
-    """Return what is told of permits and releases."""
+    """Return the status of permits and releases."""
     permits = machine.permits
     out = permits.out()
     waits = machine.waits()
--- a/sprucegate/fleet/consensus/storage.py
+++ b/sprucegate/fleet/consensus/storage.py
@@ -1,11 +1,12 @@
-"""What a voter keeps on disk: its identity, its starts, its term, vote and log, the starts of others. Blocking.
+"""A voter's persistent state: its identity, count of starts, term, vote and log, and other voters' starts. Blocking.
 
-    self                        [name, start]: who it is and how often it began
-    known                       {voter: [start, incarnation]}: the latest start that others told this one of
-    agreed-NNNN.snap            storage/snapshots: index, term, members and the machine's state
-    agreed-NNNN.log             storage/log: what came since
+    self                        [name, start]: the voter's identity, and how often it was started
+    known                       {voter: [start, incarnation]}: the latest start known of each other voter
+    agreed-NNNN.snap            storage/snapshots: index, term, members and the state machine's state
+    agreed-NNNN.log             storage/log: what was written since
 
-A log begins with all that follows its snapshot, and is there before it: a crash between the two loses neither.
+A log begins with all entries that follow its snapshot, and is synced before the snapshot is written, so a crash between
+the two loses nothing.
 """
 
 import os
@@ -34,21 +35,21 @@
 LOG_MAX_BYTES = 64 << 20
 IDENTITY_FILE = "self"
 KNOWN_STARTS_FILE = "known"
-AGE_UNLIMITED = 1 << 62  # ns: no snapshot of a voter is too old
+AGE_UNLIMITED = 1 << 62  # ns; a voter's snapshot never expires
 
 
 class ConsensusStorageError(StorageError):
-    """The folder can't be used; the text says why."""
+    """The folder's content can't be used; the text says why."""
 
 
 class StoredState(NamedTuple):
-    """What a start finds in the folder.
+    """The state that is read from the folder at a start.
 
     :ivar term: the current term
-    :ivar voted_for: whom this voter voted for in that term, or ""
-    :ivar snapshot: the newest whole snapshot, or None
+    :ivar voted_for: the candidate that got this voter's vote in that term, or ""
+    :ivar snapshot: the latest valid snapshot, or None
     :ivar entries: the entries after it
-    :ivar refused: why files, or the end of one, were not taken
+    :ivar refused: for each file that was rejected or truncated, the reason
     """
 
     term: int
@@ -59,7 +60,7 @@
 
 
 def entry_of(row: _Row) -> LogEntry:
-    """Return the entry that a row on disk or wire stands for."""
+    """Return the entry that a row on disk or on the wire encodes."""
     index, term, kind, data = row
     if kind == CONFIG:
         return LogEntry(index, term, kind, ClusterConfiguration(*map(tuple, data)))
@@ -69,9 +70,9 @@
 class RaftStorage:
     """One voter's folder.
 
-    :ivar name: who the voter is, by the folder
-    :ivar start_count: how often it began
-    :ivar generation: number of the log that is written
+    :ivar name: the voter's identity as stored
+    :ivar start_count: how often the folder was opened
+    :ivar generation: number of the current log file
     """
 
     def __init__(self, disk: Disk, folder: str) -> None:
@@ -85,23 +86,23 @@
         self.log_name = re.compile(r"agreed-([0-9]{16})\.log")
 
     def count_start(self, name: str) -> tuple[str, int]:
-        """Return the voter's identity and its count of starts, synced; `name` is for a new folder.
+        """Count this start on disk. Returns the voter's identity and its count of starts; a new folder gets `name`.
 
         Raises OSError or ConsensusStorageError.
         """
         self.disk.make_folder(self.folder)
-        self.name, self.start_count = self._read_small(IDENTITY_FILE, _decode_identity, (name, 0))
+        self.name, self.start_count = self._read_file(IDENTITY_FILE, _decode_identity, (name, 0))
         self.start_count += 1
         replace_file(self.disk, self.folder, IDENTITY_FILE, _encode((self.name, self.start_count)))
         return self.name, self.start_count
 
     def begin_new_identity(self, name: str) -> None:
-        """Set aside all that the folder holds, and be another member from here on. Raises OSError."""
+        """Set aside all files of the folder and store a new identity. Raises OSError."""
         self.close()
         prefix = f"put-back-{self.start_count:08d}-"
-        for found in self.disk.names(self.folder):
-            if self._is_own(found):
-                self.disk.rename(self._path(found), self._path(prefix + found))
+        for file in self.disk.names(self.folder):
+            if self._is_state_file(file):
+                self.disk.rename(self._path(file), self._path(prefix + file))
         self.log = None
         self.generation = 0
         self.name = name
@@ -110,11 +111,11 @@
         self.disk.sync_folder(self.folder)
 
     def read_known_starts(self) -> Starts:
-        """Return the starts of others. Raises OSError or ConsensusStorageError."""
-        return self._read_small(KNOWN_STARTS_FILE, _decode_known_starts, {})
+        """Return the known starts of other voters. Raises OSError or ConsensusStorageError."""
+        return self._read_file(KNOWN_STARTS_FILE, _decode_known_starts, {})
 
     def write_known_starts(self, known_starts: Starts) -> str | None:
-        """Return None once they are synced, or the fault as text."""
+        """Write and sync the known starts. Returns None, or the fault as text."""
         try:
             replace_file(self.disk, self.folder, KNOWN_STARTS_FILE, _encode(known_starts))
         except OSError as fault:
@@ -122,40 +123,40 @@
         return None
 
     def load(self, now: float) -> StoredState:
-        """Return the newest whole snapshot and what was written since; `now` is unix time.
+        """Return the latest valid snapshot and what was written since; `now` is unix time.
 
-        Raises OSError or ConsensusStorageError, also where an entry is missing: the voter would go by a log with a gap
-        as if it were whole.
+        Raises OSError or ConsensusStorageError. A missing entry is an error: the voter would otherwise take a log with
+        a gap for a complete one.
         """
         names = self.disk.names(self.folder)
-        taken, refused_snapshots = self.snapshots.newest(now, AGE_UNLIMITED)
-        refused = [f"{one.name} {one.why}" for one in refused_snapshots]
+        latest, rejected = self.snapshots.newest(now, AGE_UNLIMITED)
+        refused = [f"{snapshot_file.name} {snapshot_file.why}" for snapshot_file in rejected]
         snapshot = None
-        if taken is not None:
-            index, term, members, state = _decode_snapshot(taken.payload)
+        if latest is not None:
+            index, term, members, state = _decode_snapshot(latest.payload)
             snapshot = Snapshot(index, term, ClusterConfiguration(*map(tuple, members)), state)
         logs = sorted(int(match[1]) for name in names if (match := self.log_name.fullmatch(name)))
         records = [
             record
             for number in logs
-            if taken is None or number >= taken.generation
-            for record in self._recovered(number, refused)
+            if latest is None or number >= latest.generation
+            for record in self._recover_records(number, refused)
         ]
         base = snapshot.index if snapshot else 0
-        stored = self._replayed(records, snapshot, refused)
+        stored = self._replay(records, snapshot, refused)
         if [entry.index for entry in stored.entries] != list(range(base + 1, base + 1 + len(stored.entries))):
-            text = f"{self.folder}: entries are missing after {base}"
+            text = f"{self.folder}: the log has a gap after index {base}"
             raise ConsensusStorageError(text)
-        self.generation = max([*logs, taken.generation if taken is not None else 0], default=0)
-        self._begin_next_log()
+        self.generation = max([*logs, latest.generation if latest is not None else 0], default=0)
+        self._open_next_log()
         return stored
 
     def write(self, state: PersistState, now: float) -> str | None:
-        """Return None once it is synced, or the fault as text; `now` is unix time."""
+        """Write and sync a state. Returns None, or the fault as text; `now` is unix time."""
         try:
             if state.snapshot is None:
                 return self._append(state)
-            self._begin_next_log()
+            self._open_next_log()
             if fault := self._append(state):
                 return fault
         except OSError as fault:
@@ -166,12 +167,12 @@
         return None
 
     def close(self) -> None:
-        """Close the log that is written."""
+        """Close the current log."""
         if self.log is not None:
             self.log.close()
 
-    def _recovered(self, number: int, refused: list[str]) -> list[tuple[int, str, int, list[_Row]]]:
-        """Return a log's whole records, and note where it ends with a fault."""
+    def _recover_records(self, number: int, refused: list[str]) -> list[tuple[int, str, int, list[_Row]]]:
+        """Return a log's valid records; a fault at its end is added to `refused`."""
         log = AppendLog(self.disk, self._log_path(number), LOG_MAX_BYTES)
         scanned = log.recover()
         log.close()
@@ -180,7 +181,7 @@
         return [_decode_record(record) for record in scanned.records]
 
     @staticmethod
-    def _replayed(
+    def _replay(
         records: list[tuple[int, str, int, list[_Row]]], snapshot: Snapshot | None, refused: list[str]
     ) -> StoredState:
         term = 0
@@ -198,11 +199,11 @@
 
     def _append(self, state: PersistState) -> str | None:
         record = _encode((state.term, state.voted_for, state.truncate_from, state.entries))
-        assert self.log is not None, "load() comes first"
+        assert self.log is not None, "load() must be called before write()"
         fault: str | None = self.log.append(record)
         return fault
 
-    def _read_small(self, name: str, decode: Callable[[bytes], _Value], default: _Value) -> _Value:
+    def _read_file(self, name: str, decode: Callable[[bytes], _Value], default: _Value) -> _Value:
         try:
             data = self.disk.read(self._path(name), SMALL_FILE_MAX_BYTES)
         except FileNotFoundError:
@@ -213,12 +214,12 @@
             text = f"{self.folder}/{name}: {fault}"
             raise ConsensusStorageError(text) from None
 
-    def _is_own(self, name: str) -> bool:
+    def _is_state_file(self, name: str) -> bool:
         if name in (IDENTITY_FILE, KNOWN_STARTS_FILE):
             return True
         return bool(self.log_name.fullmatch(name) or self.snapshots.name_pattern.fullmatch(name))
 
-    def _begin_next_log(self) -> None:
+    def _open_next_log(self) -> None:
         log = AppendLog(self.disk, self._log_path(self.generation + 1), LOG_MAX_BYTES)
         log.recover()
         self.close()
