--- a/sprucegate/fleet/consensus/actions.py
+++ b/sprucegate/fleet/consensus/actions.py
@@ -1,4 +1,4 @@
-"""What a Raft node asks its driver to do, in the order of the list that it returns."""
+"""Actions that a Raft node returns to its driver, to be performed in their order."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,10 @@
 
 
 class SendMessage(NamedTuple):
-    """Send a message to a node by name; it may be lost, doubled or late.
+    """Send a message to a node by name. It may be lost, duplicated or delayed.
 
     :ivar to: the receiver's name
-    :ivar message: one of `messages`, or of another protocol of this package
+    :ivar message: one of `messages`, `follow_messages` or `durability_check`
     """
 
     to: str
@@ -17,14 +17,14 @@
 
 
 class PersistState(NamedTuple):
-    """Write to disk and sync, in the order of the numbers; then call `RaftNode.on_persisted(number)`.
+    """Write to disk and sync, in the order of the numbers, then call `RaftNode.on_persisted(number)`.
 
     :ivar number: counts the writes of one node from 1
     :ivar term: the current term
-    :ivar voted_for: whom this node voted for in that term, "" for nobody
-    :ivar truncate_from: stored entries from this index on are void; 0: none
-    :ivar entries: entries to be appended; with a snapshot, all that follow it
-    :ivar snapshot: stands for the log before it, or None
+    :ivar voted_for: the candidate that got this node's vote in that term, or ""
+    :ivar truncate_from: drop stored entries from this index on; 0: none
+    :ivar entries: entries to be appended; with a snapshot, all entries that follow it
+    :ivar snapshot: replaces the log up to its index; or None
     """
 
     number: int
@@ -36,7 +36,7 @@
 
 
 class ApplyEntries(NamedTuple):
-    """Give committed entries to the state machine: in order, each once in the life of a process."""
+    """Apply committed entries to the state machine: in order, and each once while the process runs."""
 
     entries: list[LogEntry]
 
@@ -44,8 +44,8 @@
 class RestoreSnapshot(NamedTuple):
     """Replace the state machine's state by a leader's snapshot.
 
-    :ivar index: the last entry that it stands for
-    :ivar state: the machine's state
+    :ivar index: the last entry that the state includes
+    :ivar state: the state machine's state
     """
 
     index: int  # type: ignore[assignment]  # tuple.index isn't called
@@ -53,9 +53,9 @@
 
 
 class LeadershipChanged(NamedTuple):
-    """This node was elected, or leads no longer.
+    """This node became the leader, or stopped leading.
 
-    :ivar is_leader: whether it leads from here on
+    :ivar is_leader: whether it leads from now on
     :ivar term: its current term
     """
 
@@ -64,10 +64,10 @@
 
 
 class ReadIndexReady(NamedTuple):
-    """The end of a linearizable read (6.4).
+    """A linearizable read may proceed, or failed (thesis, section 6.4).
 
-    :ivar token: what `RaftNode.read_index` was given
-    :ivar index: the state applied up to here is as new as the read requires; -1: this node can't tell
+    :ivar token: the token given to `RaftNode.read_index`
+    :ivar index: the read must see the state applied up to this index; -1: this node can't serve the read
     """
 
     token: object
--- a/sprucegate/fleet/consensus/codec.py
+++ b/sprucegate/fleet/consensus/codec.py
@@ -1,6 +1,6 @@
-"""Messages of the replicated log to and from bytes. They go inside a ConsensusFrame, which carries the kind's number.
+"""Encodes and decodes messages of the replicated log. A ConsensusFrame carries the bytes and the kind's number.
 
-A kind's number and the order of a message's fields are fixed: a number is never given to another message.
+A kind's number and the order of a message's fields are fixed. The number of a retired kind is never reused.
 """
 
 from typing import NamedTuple
@@ -47,55 +47,55 @@
 
 
 class ConsensusMessageError(ProtocolError):
-    """The bytes are no message of the log; the text says why."""
+    """The bytes are not a valid message of the log; the text says why."""
 
 
 def encode(message):
-    """Return (the kind's number, the message as bytes)."""
+    """Return (the kind's number, the encoded message)."""
     return _NUMBER_BY_CLASS[type(message)], _encode(tuple(message))
 
 
 def decode(number, data):
-    """Return the message. Raises ConsensusMessageError where it is unknown, unreadable or can't be applied."""
+    """Return the message. Raises ConsensusMessageError if its kind is unknown or its content is invalid."""
     if number not in KIND_BY_NUMBER:
-        text = f"a word of kind {number}, which is not known here"
+        text = f"consensus message of unknown kind {number}"
         raise ConsensusMessageError(text)
     kind = KIND_BY_NUMBER[number].message
     try:
         message = kind(*_decoders[number](data))
     except msgspec.MsgspecError as fault:
-        text = f"a word that can't be read: {fault}"
+        text = f"consensus message can't be decoded: {fault}"
         raise ConsensusMessageError(text) from None
     check = _CHECKS.get(kind)
     return message if check is None else check(message)
 
 
-def _checked_append_entries(message):
+def _check_append_entries(message):
     entries = [entry_of(row) for row in message.entries]
     first = message.prev_log_index + 1
     if [entry.index for entry in entries] != list(range(first, first + len(entries))):
-        text = "entries with a hole"
+        text = f"entries after index {message.prev_log_index} are not consecutive"
         raise ConsensusMessageError(text)
     return message._replace(entries=entries)
 
 
-def _checked_install_snapshot(message):
+def _check_install_snapshot(message):
     return message._replace(configuration=ClusterConfiguration(*map(tuple, message.configuration)))
 
 
-def _checked_propose_request(message):
+def _check_propose_request(message):
     if fault := commands.fault(message.command):
         raise ConsensusMessageError(fault)
     return message
 
 
-def _checked_follow_request(message):
+def _check_follow_request(message):
     return message._replace(report=commands.report(message.report))
 
 
 _CHECKS = {
-    messages.AppendEntries: _checked_append_entries,
-    messages.InstallSnapshot: _checked_install_snapshot,
-    follow_messages.ProposeRequest: _checked_propose_request,
-    follow_messages.FollowRequest: _checked_follow_request,
+    messages.AppendEntries: _check_append_entries,
+    messages.InstallSnapshot: _check_install_snapshot,
+    follow_messages.ProposeRequest: _check_propose_request,
+    follow_messages.FollowRequest: _check_follow_request,
 }
--- a/sprucegate/fleet/consensus/election.py
+++ b/sprucegate/fleet/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, vote, and who wins (Ongaro's thesis, sections 3.4, 3.6, 6.2, 9.6)."""
+"""Leader election: pre-vote, vote and majority (Ongaro's thesis, sections 3.4, 3.6, 6.2, 9.6)."""
 
 from sprucegate.fleet.consensus.actions import LeadershipChanged, RaftAction, SendMessage
 from sprucegate.fleet.consensus.log_entry import NOTHING
@@ -8,10 +8,10 @@
 
 
 class Election(Replication):
-    """How a node stands for election and how it votes."""
+    """How a node becomes a candidate, votes and becomes the leader."""
 
     def _start_pre_vote(self, now: int) -> list[RaftAction]:
-        """Ask whether an election could be won. Nothing changes by it, so a node cut off disturbs nobody."""
+        """Ask whether an election could be won. No term changes, so a partitioned node doesn't disrupt the cluster."""
         self.leader = ""
         self.role = Role.PRE_CANDIDATE
         self.votes = {self.name: True}
@@ -22,7 +22,7 @@
         return actions + self._count_votes(now)
 
     def _start_election(self, now: int, leadership_transfer: bool) -> list[RaftAction]:
-        """Stand in the next term; the requests wait until this node's own vote is on disk."""
+        """Become a candidate in the next term; vote requests are held until this node's own vote is on disk."""
         self.leader = ""
         self.role = Role.CANDIDATE
         self.current_term += 1
@@ -38,9 +38,9 @@
         return actions + self._count_votes(now)
 
     def _on_request_vote(self, sender: str, request: RequestVote, now: int) -> list[RaftAction]:
-        """Vote for a candidate whose log is at least as new, once a term.
+        """Vote for one candidate per term, whose log is at least as up to date as this node's.
 
-        A node that hears a leader doesn't help to depose it, unless that leader hands over itself.
+        A node that has a live leader ignores candidates, unless that leader itself transfers leadership (6.2).
         """
         own = (self.log.last_term(), self.log.last_index())
         up_to_date = (request.last_log_term, request.last_log_index) >= own
@@ -83,7 +83,7 @@
         return self._count_votes(now)
 
     def _count_votes(self, now: int) -> list[RaftAction]:
-        """Go on once a majority is for this node; its own vote counts when it is on disk."""
+        """Proceed once a majority voted for this node; its own vote counts once it is on disk."""
         if not self._is_quorum([name for name, granted in self.votes.items() if granted]):
             return []
         if self.role is Role.PRE_CANDIDATE:
@@ -93,7 +93,7 @@
         return self._become_leader(now)
 
     def _become_leader(self, now: int) -> list[RaftAction]:
-        """Lead: the entry without a command commits what earlier terms left (3.6.2)."""
+        """Become the leader. An entry without a command lets entries of earlier terms commit (3.6.2)."""
         self.role = Role.LEADER
         self.leader = self.name
         self.round = 0
--- a/sprucegate/fleet/consensus/follow_messages.py
+++ b/sprucegate/fleet/consensus/follow_messages.py
@@ -1,17 +1,17 @@
-"""Messages by which a process follows the log and proposes commands. Their fields go on the wire in this order."""
+"""Messages for following the log and proposing commands. Their fields are encoded in this order."""
 
 from typing import NamedTuple
 
-Command = list[object]  # its name first; None in the log stands for an entry without a command
+Command = list[object]  # name, then arguments; entries without a command have None instead
 
 
 class FollowRequest(NamedTuple):
-    """A follower asks a voter for what it has not applied.
+    """A follower asks a voter for entries that it has not applied.
 
-    :ivar applied_index: what the follower has applied
-    :ivar incarnation: the follower's, 0 for an agent, which nobody waits for
+    :ivar applied_index: the last entry that the follower applied
+    :ivar incarnation: of the follower; 0 for an agent, which the leader doesn't wait for
     :ivar number: counts the follower's requests
-    :ivar report: what a front tells the leader (see rollout/leader), empty in most requests
+    :ivar report: a front's report to the leader (see rollout/leader); empty in most requests
     """
 
     applied_index: int
@@ -21,14 +21,14 @@
 
 
 class EntriesResponse(NamedTuple):
-    """The answer to a FollowRequest: committed entries.
+    """Response to a FollowRequest: committed entries.
 
-    :ivar number: the request's
+    :ivar number: number of the request
     :ivar after_index: the entries follow this index
     :ivar entries: (index, command), in order
-    :ivar commit_index: what the voter has applied
-    :ivar is_leader: the voter leads, and the answer counts for a lease
-    :ivar leader: the leader as far as the voter knows, or ""
+    :ivar commit_index: the last entry that the voter applied
+    :ivar is_leader: whether the voter leads, so that the response extends the lease
+    :ivar leader: the leader that the voter knows, or ""
     """
 
     number: int
@@ -40,11 +40,11 @@
 
 
 class StateResponse(NamedTuple):
-    """The answer to a FollowRequest of a follower that is too far behind: the state machine's whole state.
+    """Response to a FollowRequest of a follower that is too far behind: the state machine's whole state.
 
-    :ivar number: the request's
-    :ivar index: the last entry in the state
-    :ivar state: the machine's state
+    :ivar number: number of the request
+    :ivar index: the last entry that the state includes
+    :ivar state: the state machine's state
     :ivar is_leader: as in EntriesResponse
     :ivar leader: as in EntriesResponse
     """
@@ -57,19 +57,19 @@
 
 
 class ProposeRequest(NamedTuple):
-    """A follower proposes a command; repeated until it is answered."""
+    """A follower proposes a command. Repeated until it is answered."""
 
     number: int
     command: Command
 
 
 class ProposeResponse(NamedTuple):
-    """The answer to a ProposeRequest, once the command is applied at the leader.
+    """Response to a ProposeRequest, sent once the leader applied the command.
 
-    :ivar number: the request's
-    :ivar index: the entry's index; 0: not taken here, ask `leader`
-    :ivar result: the machine's answer
-    :ivar leader: the leader as far as the voter knows, or ""
+    :ivar number: number of the request
+    :ivar index: the entry's index; 0: not accepted here, ask `leader`
+    :ivar result: the state machine's result
+    :ivar leader: the leader that the voter knows, or ""
     """
 
     number: int
--- a/sprucegate/fleet/consensus/log_entry.py
+++ b/sprucegate/fleet/consensus/log_entry.py
@@ -1,18 +1,18 @@
-"""One entry of the replicated log, and the configuration of the cluster that some entries carry."""
+"""Entries and snapshots of the replicated log, and the cluster configuration that some entries carry."""
 
 from typing import NamedTuple
 
-# What an entry holds. The words stand in stored logs and in messages.
+# Kinds of entries. The values are part of stored logs and of messages.
 DATA = "data"  # a command for the state machine
 CONFIG = "config"  # a ClusterConfiguration
-NOTHING = "nothing"  # a new leader's first entry
+NOTHING = "nothing"  # the no-op entry that a new leader appends first
 
 
 class LogEntry(NamedTuple):
     """An entry of the log.
 
     :ivar index: its position, counted from 1
-    :ivar term: the term of the leader that made it
+    :ivar term: the term of the leader that appended it
     :ivar kind: DATA, CONFIG or NOTHING
     :ivar data: the command, a ClusterConfiguration, or None
     """
@@ -26,8 +26,8 @@
 class ClusterConfiguration(NamedTuple):
     """The members of the cluster.
 
-    :ivar voters: names of those that vote
-    :ivar learners: names of those that receive the log and don't vote
+    :ivar voters: names of the voting members
+    :ivar learners: names of the members that receive the log and don't vote
     """
 
     voters: tuple[str, ...]
@@ -35,12 +35,12 @@
 
 
 class Snapshot(NamedTuple):
-    """The state machine's state, in place of the log up to an index.
+    """The state machine's state, which replaces the log up to an index.
 
-    :ivar index: index of the last entry that it stands for
+    :ivar index: index of the last entry that the state includes
     :ivar term: that entry's term
-    :ivar configuration: the latest one up to that entry
-    :ivar state: the machine's state; the node doesn't look into it
+    :ivar configuration: the latest configuration up to that entry
+    :ivar state: the state machine's state; opaque to the Raft node
     """
 
     index: int  # type: ignore[assignment]  # tuple.index isn't called
--- a/sprucegate/fleet/consensus/messages.py
+++ b/sprucegate/fleet/consensus/messages.py
@@ -1,4 +1,4 @@
-"""Messages between Raft nodes, by the names of Ongaro's thesis. Their fields go on the wire in this order."""
+"""Messages between Raft nodes, named as in Ongaro's thesis. Their fields are encoded in this order."""
 
 from typing import NamedTuple
 
@@ -6,13 +6,13 @@
 
 
 class RequestVote(NamedTuple):
-    """A candidate asks for a vote (thesis, section 3.4), or asks in advance whether it would get one (9.6).
+    """A candidate asks for a vote (thesis, section 3.4), or for a pre-vote (9.6).
 
-    :ivar term: the term to be elected for
+    :ivar term: the term of the election
     :ivar last_log_index: index of the candidate's last entry
     :ivar last_log_term: that entry's term
-    :ivar pre_vote: only the question in advance; the receiver's state doesn't change
-    :ivar leadership_transfer: the leader itself asked the candidate to stand (3.10)
+    :ivar pre_vote: whether this is a pre-vote, which doesn't change the receiver's state
+    :ivar leadership_transfer: whether the leader itself asked the candidate to start the election (3.10)
     """
 
     term: int
@@ -23,11 +23,11 @@
 
 
 class RequestVoteResponse(NamedTuple):
-    """The answer to a RequestVote.
+    """Response to a RequestVote.
 
-    :ivar term: the term asked for where a pre-vote is granted, else the sender's own
-    :ivar pre_vote: answers a question in advance
-    :ivar vote_granted: whether the vote is given
+    :ivar term: the requested term if a pre-vote is granted, else the sender's current term
+    :ivar pre_vote: whether this answers a pre-vote
+    :ivar vote_granted: whether the vote or pre-vote is granted
     """
 
     term: int
@@ -43,7 +43,7 @@
     :ivar prev_log_term: that entry's term
     :ivar entries: entries to be appended; none in a heartbeat
     :ivar leader_commit: the leader's commit index
-    :ivar round: number of the heartbeat round, given back in the response
+    :ivar round: number of the heartbeat round, echoed in the response
     """
 
     term: int
@@ -55,12 +55,12 @@
 
 
 class AppendEntriesResponse(NamedTuple):
-    """The answer to AppendEntries or InstallSnapshot, sent once the entries are on disk.
+    """Response to AppendEntries or InstallSnapshot, sent once the entries are on disk.
 
     :ivar term: the follower's term
-    :ivar success: whether the follower's log agrees with the leader's at the entry before
-    :ivar match_index: last index known to agree; without success, the index to go on after
-    :ivar round: the round of the message that is answered
+    :ivar success: whether the follower's log matches the leader's at `prev_log_index`
+    :ivar match_index: last index known to match; without success, the index after which to retry
+    :ivar round: the round of the request
     """
 
     term: int
@@ -70,12 +70,12 @@
 
 
 class InstallSnapshot(NamedTuple):
-    """A leader's snapshot, for a follower whose next entry is no longer in the log (chapter 5).
+    """A leader's snapshot, for a follower whose next entry was compacted away (chapter 5).
 
     :ivar term: the leader's term
-    :ivar last_included_index: index of the last entry that the snapshot stands for
+    :ivar last_included_index: index of the last entry that the snapshot includes
     :ivar last_included_term: that entry's term
-    :ivar configuration: the members up to that entry
+    :ivar configuration: the cluster configuration up to that entry
     :ivar state: the state machine's state
     :ivar round: number of the heartbeat round
     """
@@ -89,7 +89,7 @@
 
 
 class TimeoutNow(NamedTuple):
-    """The leader hands leadership over: the receiver begins an election at once (3.10)."""
+    """The leader transfers leadership: the receiver starts an election at once (3.10)."""
 
     term: int
 
--- a/sprucegate/fleet/consensus/raft_log.py
+++ b/sprucegate/fleet/consensus/raft_log.py
@@ -1,10 +1,10 @@
-"""The replicated log in memory: a snapshot's position, and the entries after it."""
+"""The replicated log in memory: the latest snapshot, and the entries after it."""
 
 from sprucegate.fleet.consensus.log_entry import CONFIG, ClusterConfiguration, LogEntry, Snapshot
 
 
 class RaftLog:
-    """Entries after `base_index`, up to which a snapshot stands for the log.
+    """The entries after `base_index`, up to which the log is compacted into a snapshot.
 
     :ivar base_index: index of the last entry in the snapshot, 0 without one
     :ivar base_term: that entry's term
@@ -33,7 +33,7 @@
         return self.term_of(self.last_index())
 
     def term_of(self, index: int) -> int:
-        """Return an entry's term; 0 where the entry is compacted away, or not there yet."""
+        """Return an entry's term, or 0 if the entry is compacted away or doesn't exist."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index():
@@ -46,30 +46,30 @@
         return self.entries[first:] if limit is None else self.entries[first : first + limit]
 
     def between(self, after: int, last: int) -> list[LogEntry]:
-        """Return the entries after `after`, up to `last`."""
+        """Return the entries after index `after`, up to and including `last`."""
         return self.entries[after - self.base_index : last - self.base_index]
 
     def append(self, entry: LogEntry) -> None:
-        """Add the next entry."""
+        """Append the next entry."""
         self.entries.append(entry)
 
     def replace_from(self, entries: list[LogEntry]) -> None:
-        """Put `entries` in place of all from the first one's index on."""
+        """Replace all entries from the index of the first of `entries` on by `entries`."""
         self.entries[entries[0].index - self.base_index - 1 :] = entries
 
     def snapshot_at(self, index: int, state: object) -> Snapshot:
-        """Return the snapshot that could stand for the log up to `index`."""
+        """Return a snapshot of the log up to `index`; `state` is the state machine's state there."""
         configuration = self._configuration_in(self.entries[: index - self.base_index])
         return Snapshot(index, self.term_of(index), configuration, state)
 
     def rebase(self, snapshot: Snapshot) -> None:
-        """Let the snapshot stand for the log up to its index; what follows stays where it agrees with it."""
-        agrees = self.term_of(snapshot.index) == snapshot.term
-        self.entries = self.after(snapshot.index) if agrees else []
+        """Replace the log up to the snapshot's index by the snapshot; later entries are kept if the log matches it."""
+        matches = self.term_of(snapshot.index) == snapshot.term
+        self.entries = self.after(snapshot.index) if matches else []
         self.base_index, self.base_term, self.base_configuration, self.base_state = snapshot
 
     def load(self, snapshot: Snapshot | None, entries: list[LogEntry]) -> None:
-        """Take over what the disk holds: the entries follow the snapshot."""
+        """Load the snapshot and the entries after it from what is stored."""
         self.entries = list(entries)
         if snapshot is not None:
             self.base_index, self.base_term, self.base_configuration, self.base_state = snapshot
--- a/sprucegate/fleet/consensus/raft_node.py
+++ b/sprucegate/fleet/consensus/raft_node.py
@@ -1,12 +1,12 @@
-"""One voter or learner of the replicated log: Raft, without I/O and without a clock.
+"""One voter or learner of the replicated log: the Raft algorithm, without I/O and without a clock.
 
 Ongaro, "Consensus: Bridging Theory and Practice" (2014): elections and replication (chapter 3), leadership transfer
 (3.10), membership changes of one server at a time with learners first (4.2), never before an entry of the leader's own
 term is committed (his correction of 2015), snapshots (5), linearizable reads by a round of heartbeats (6.4), pre-vote
-(9.6), check-quorum (6.2). Events and the time go in, a list of `actions` comes out. Times are ns on a clock that never
-goes back; `chance` gives numbers from 0 to 1.
+(9.6), check-quorum (6.2). Each event, with the time, returns a list of `actions`. Times are ns on a monotonic clock;
+`random_source` returns numbers from 0 up to 1.
 
-A message that rests on a PersistState is held until `on_persisted` confirms the write.
+A message that depends on a PersistState is held until `on_persisted` confirms the write.
 """
 
 from sprucegate.fleet.consensus.actions import RaftAction, ReadIndexReady, SendMessage
@@ -34,16 +34,16 @@
 
 
 class RaftNode(Election):
-    """A member of the cluster: what happens to it, and what it is asked for.
+    """A member of the cluster: its events and requests.
 
-    `configuration` is the first one, the same at all voters that begin a cluster; a member that joins later begins
-    with no voters.
+    `configuration` is the initial one: the same for all voters that form a new cluster, and empty for a member that
+    joins later.
     """
 
-    # State from the disk.
+    # Stored state.
 
     def load(self, term: int, voted_for: str, snapshot: Snapshot | None, entries: list[LogEntry]) -> None:
-        """Take over what the disk holds, before anything else."""
+        """Load the stored state; called before anything else."""
         self.current_term = term
         self.voted_for = voted_for
         self.log.load(snapshot, entries)
@@ -53,9 +53,9 @@
         self.persisted_index = self.log.last_index()
 
     def force_single_voter(self) -> list[RaftAction]:
-        """Make this node the only voter, by an operator's word that the others are gone for good.
+        """Make this node the only voter, after an operator declared the others gone for good.
 
-        What only they had is lost.
+        Committed entries that only the others have are lost.
         """
         self.current_term += 1
         self.voted_for = ""
@@ -71,13 +71,13 @@
         return self.timer_deadline
 
     def in_contact_with_quorum(self, now: int) -> bool:
-        """Return whether this node leads and a majority answered within an election timeout."""
+        """Return whether this node leads and a majority responded within an election timeout."""
         timeout = self.timing.election_timeout
         recent = [name for name, at in self.last_contact.items() if now - at <= timeout]
         return self.role is Role.LEADER and self._is_quorum(recent)
 
     def on_timer(self, now: int) -> list[RaftAction]:
-        """Begin a heartbeat round or an election where it is due."""
+        """Start a heartbeat round or an election if one is due."""
         if self.storage_failed:
             self.timer_deadline = max(self.timer_deadline, now + self.timing.heartbeat_interval)
             return []
@@ -91,7 +91,7 @@
         return self._start_pre_vote(now)
 
     def _on_heartbeat_timer(self, now: int) -> list[RaftAction]:
-        """Send a round; a leader that is cut off steps down, as another may lead on the other side (6.2)."""
+        """Send a heartbeat round. A partitioned leader steps down, as the other side may elect another (6.2)."""
         if not self.in_contact_with_quorum(now):
             return self._become_follower(self.current_term, "", now)
         if now >= self.transfer_deadline:
@@ -100,7 +100,7 @@
         return self._start_round()
 
     def on_message(self, sender: str, message: RaftMessage, now: int) -> list[RaftAction]:
-        """Take a message of another node; it may be doubled, late or out of order."""
+        """Handle a message of another node. It may be duplicated, delayed or out of order."""
         if self.storage_failed:
             return []
         if isinstance(message, RequestVote):
@@ -132,7 +132,7 @@
         return actions + self._on_install_snapshot(sender, message)
 
     def on_persisted(self, number: int, now: int) -> list[RaftAction]:
-        """All writes up to that number are on disk: send what waited for them, and count this node's own copy."""
+        """Handle that all writes up to `number` are on disk: send held messages, and count this node's own copy."""
         self.persisted_number = max(self.persisted_number, number)
         while self.write_ends and self.write_ends[0][0] <= number:
             self.persisted_index = self.write_ends.popleft()[1]
@@ -144,7 +144,7 @@
         return actions + self._advance_commit(now)
 
     def on_persist_failed(self, now: int) -> list[RaftAction]:
-        """The disk failed: this node promises nothing more until a new start, and another leads."""
+        """Handle a failed write: step down, and vote for or acknowledge nothing until the next start."""
         self.storage_failed = True
         self.held_messages.clear()
         if self.role is Role.LEADER:
@@ -156,7 +156,7 @@
     def propose(self, data: object, now: int) -> tuple[int, list[RaftAction]]:
         """Append a command. Returns its index and the actions.
 
-        The index is 0 where this node doesn't lead, hands leadership over, or has too much uncommitted.
+        The index is 0 if this node doesn't lead, is transferring leadership, or has too many uncommitted entries.
         """
         uncommitted = self.log.last_index() - self.commit_index
         if self.role is not Role.LEADER or self.transfer_target or uncommitted >= UNCOMMITTED_MAX:
@@ -166,10 +166,10 @@
     def change_membership(
         self, voters: tuple[str, ...], learners: tuple[str, ...], now: int
     ) -> tuple[int, list[RaftAction]]:
-        """Append a new configuration. Returns its index and the actions; the index is 0 where it may not be made now.
+        """Append a new configuration. Returns its index and the actions; index 0: the change isn't allowed now.
 
-        One voter more or fewer at a time, a new one from among the learners (4.2). Not before the last change and an
-        entry of this term are committed: two majorities that don't meet could each decide.
+        It adds or removes one voter at a time, and only learners become voters (4.2). The last change and an entry of
+        this term must be committed first: two disjoint majorities could otherwise decide.
         """
         new = ClusterConfiguration(tuple(voters), tuple(learners))
         ready = self.role is Role.LEADER and not self.transfer_target and not self._is_change_pending()
@@ -192,18 +192,18 @@
     def read_index(self, token: object, now: int) -> list[RaftAction]:
         """Ask for a linearizable read (6.4).
 
-        ReadIndexReady follows once a majority has answered a round that began after this call, so that a leader that
-        stood still finds out.
+        ReadIndexReady follows once a majority has answered a heartbeat round that started after this call, so a leader
+        that was suspended and replaced doesn't serve stale reads.
         """
-        current = self.role is Role.LEADER and self.log.term_of(self.commit_index) == self.current_term
-        if not current or len(self.pending_reads) >= PENDING_READS_MAX:
+        can_read = self.role is Role.LEADER and self.log.term_of(self.commit_index) == self.current_term
+        if not can_read or len(self.pending_reads) >= PENDING_READS_MAX:
             return [ReadIndexReady(token, -1)]
         actions = self._start_round()
         self.pending_reads.append(PendingRead(self.round, self.commit_index, token))
         return actions + self._finish_reads()
 
     def transfer_leadership(self, to: str, now: int) -> list[RaftAction]:
-        """Hand leadership to that voter, once it has the whole log (3.10)."""
+        """Transfer leadership to voter `to`, once it has the whole log (3.10)."""
         is_candidate = to in self.configuration().voters and to != self.name
         if self.role is not Role.LEADER or not is_candidate:
             return []
@@ -212,7 +212,7 @@
         return self._continue_transfer()
 
     def compact_log(self, index: int, state: object) -> list[RaftAction]:
-        """Let the state at `index`, which is applied, stand for the log up to there (chapter 5)."""
+        """Replace the log up to `index`, which is applied, by a snapshot with `state` (chapter 5)."""
         if not self.log.base_index < index <= self.last_applied:
             return []
         snapshot = self.log.snapshot_at(index, state)
--- a/sprucegate/fleet/consensus/raft_state.py
+++ b/sprucegate/fleet/consensus/raft_state.py
@@ -1,4 +1,4 @@
-"""What all parts of a Raft node share: its state, the quorum rule, and the order of writing before sending."""
+"""State and rules that all parts of a Raft node share: quorums, and holding messages until writes are on disk."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -19,7 +19,7 @@
 
 
 class Role(Enum):
-    """What a node is at present."""
+    """A node's role in its current term."""
 
     FOLLOWER = auto()
     PRE_CANDIDATE = auto()
@@ -30,8 +30,8 @@
 class RaftTiming(NamedTuple):
     """Times of the protocol in ns.
 
-    :ivar election_timeout: without a leader for this long, and by chance up to twice as long, a follower stands
-    :ivar heartbeat_interval: time between two rounds of a leader
+    :ivar election_timeout: minimum; a follower without a leader starts an election after one to two times as long
+    :ivar heartbeat_interval: time between two heartbeat rounds of a leader
     """
 
     election_timeout: int = 300 * MILLISECOND
@@ -39,11 +39,11 @@
 
 
 class PendingRead(NamedTuple):
-    """A linearizable read that waits for a majority to answer a round.
+    """A linearizable read that waits for a majority to answer a heartbeat round.
 
-    :ivar round: that round, or a later one
-    :ivar index: the commit index when the read was asked for
-    :ivar token: names the read to whoever asked
+    :ivar round: number of that round; a later round counts too
+    :ivar index: the commit index when the read was requested
+    :ivar token: identifies the read to its requester
     """
 
     round: int
@@ -52,43 +52,44 @@
 
 
 class RaftState:
-    """A node's state, and what elections and replication both do with it. All times are ns on one monotonic clock.
+    """A node's state, and operations that elections and replication share. Times are ns on a monotonic clock.
 
+    :ivar random_source: returns a random number from 0 up to 1 for a purpose
     :ivar current_term: latest term seen; persistent
-    :ivar voted_for: who got this node's vote in that term, "" for nobody; persistent
-    :ivar leader: the leader as far as is known, or ""
+    :ivar voted_for: the candidate that got this node's vote in that term, or ""; persistent
+    :ivar leader: the known leader, or ""
     :ivar log: entries and snapshot; persistent
     :ivar commit_index: the last entry known to be committed
     :ivar last_applied: the last entry given to the state machine
     :ivar persisted_index: the last entry on this node's disk
     :ivar write_number: number of the latest PersistState
-    :ivar persisted_number: up to which writes are on disk
-    :ivar held_messages: (number of the write that it waits for, message), in order
-    :ivar write_ends: (number, last index) of writes that are under way
+    :ivar persisted_number: number of the last PersistState that is on disk
+    :ivar held_messages: (number of the write to wait for, message), in order
+    :ivar write_ends: (number, last index) of writes that are in progress
     :ivar next_index: leader: the next entry to be sent, by follower
-    :ivar match_index: leader: the last entry known to be on the disk, by follower
-    :ivar last_contact: leader: when the last answer came, by follower
-    :ivar votes: candidate: whether the vote was given, by voter
+    :ivar match_index: leader: the last entry known to be on the follower's disk, by follower
+    :ivar last_contact: leader: when the last response arrived, by follower
+    :ivar votes: candidate: whether the vote was granted, by voter
     :ivar round: leader: number of the latest heartbeat round
     :ivar acknowledged_round: leader: the latest round that was answered, by follower
-    :ivar pending_reads: leader: reads that wait, in order
-    :ivar transfer_target: leader: who is to take over, or ""
-    :ivar transfer_deadline: leader: the transfer is given up then
-    :ivar leader_contact: follower: when the leader was last heard
+    :ivar pending_reads: leader: waiting reads, in order
+    :ivar transfer_target: leader: the voter that leadership is being transferred to, or ""
+    :ivar transfer_deadline: leader: when the transfer is abandoned
+    :ivar leader_contact: follower: when the leader was last heard from
     :ivar timer_deadline: when the election or the next heartbeat is due
-    :ivar storage_failed: the disk failed: this node promises nothing more
+    :ivar storage_failed: a write failed: this node votes for and acknowledges nothing more
     """
 
     def __init__(
         self,
         name: str,
         configuration: ClusterConfiguration,
-        chance: Callable[[str], float],
+        random_source: Callable[[str], float],
         now: int,
         timing: RaftTiming | None = None,
     ) -> None:
         self.name = name
-        self.chance = chance
+        self.random_source = random_source
         self.timing = timing or RaftTiming()
         self.current_term = 0
         self.voted_for = ""
@@ -125,7 +126,7 @@
         return self.name in self.configuration().voters
 
     def _is_quorum(self, names: Iterable[str]) -> bool:
-        """Return whether these nodes together with this one are a majority of the voters."""
+        """Return whether these nodes, together with this one, are a majority of the voters."""
         voters = self.configuration().voters
         return 2 * len({*names, self.name} & set(voters)) > len(voters)
 
@@ -143,7 +144,7 @@
         )
 
     def _send_once_persisted(self, send: SendMessage) -> list[RaftAction]:
-        """Send now where nothing is being written; else hold the message until all that is lies on disk."""
+        """Send now if no write is in progress; else hold the message until all present writes are on disk."""
         if self.write_number == self.persisted_number:
             return [send]
         self.held_messages.append((self.write_number, send))
@@ -159,10 +160,10 @@
 
     def _reset_election_timer(self, now: int) -> None:
         timeout = self.timing.election_timeout
-        self.timer_deadline = now + timeout + int(timeout * self.chance("election"))
+        self.timer_deadline = now + timeout + int(timeout * self.random_source("election"))
 
     def _become_follower(self, term: int, leader: str, now: int) -> list[RaftAction]:
-        """Follow `leader`, "" for none yet, in `term`: its own leadership and its reads end."""
+        """Become a follower in `term`; `leader` is "" if unknown. Ends this node's leadership and pending reads."""
         actions: list[RaftAction] = []
         if self.role is Role.LEADER:
             actions.append(LeadershipChanged(False, self.current_term))
--- a/sprucegate/fleet/consensus/replication.py
+++ b/sprucegate/fleet/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication of the log: the leader's and the follower's side (Ongaro's thesis, sections 3.5, 3.6, 6.4; chapter 5)."""
+"""Log replication: the leader's and the follower's side (Ongaro's thesis, sections 3.5, 3.6, 6.4; chapter 5)."""
 
 from collections import deque
 
@@ -16,12 +16,12 @@
 
 
 class Replication(RaftState):
-    """How a leader sends its log, when an entry is committed, and what a follower does with it."""
+    """How a leader replicates and commits entries, and how a follower appends them."""
 
     # The leader.
 
     def _append_entry(self, kind: str, data: object, now: int) -> tuple[int, list[RaftAction]]:
-        """Append an entry of its own and send it. Returns its index and the actions."""
+        """Append an entry as the leader and replicate it. Returns its index and the actions."""
         entry = LogEntry(self.log.last_index() + 1, self.current_term, kind, data)
         self.log.append(entry)
         actions: list[RaftAction] = [self._persist(entries=[entry])]
@@ -35,12 +35,15 @@
         return entry.index, actions
 
     def _start_round(self) -> list[RaftAction]:
-        """Send to all what they lack, as a new heartbeat round."""
+        """Start a heartbeat round: send each member the entries that it lacks."""
         self.round += 1
         return [self._replicate_to(name) for name in self._other_members()]
 
     def _replicate_to(self, name: str) -> SendMessage:
-        """Send what that one lacks. It may go before this disk has it: a leader counts itself only once it has."""
+        """Return the message with the entries or the snapshot that the member lacks.
+
+        It may be sent before the entries are on the leader's disk: the leader counts its own copy only once they are.
+        """
         log = self.log
         first = self.next_index[name]
         if first <= log.base_index:
@@ -86,7 +89,7 @@
         return actions + self._continue_transfer()
 
     def _advance_commit(self, now: int) -> list[RaftAction]:
-        """Commit what a majority has on disk, counted by entries of the leader's own term (3.6.2)."""
+        """Commit entries that a majority has on disk, up to one of the leader's own term (3.6.2)."""
         if self.role is not Role.LEADER:
             return self._apply_committed()
         index = self._majority_match()
@@ -114,14 +117,16 @@
         actions: list[RaftAction] = []
         while self.pending_reads:
             read = self.pending_reads[0]
-            if not self._is_quorum([n for n, done in self.acknowledged_round.items() if done >= read.round]):
+            if not self._is_quorum(
+                [name for name, answered in self.acknowledged_round.items() if answered >= read.round]
+            ):
                 break
             self.pending_reads.popleft()
             actions.append(ReadIndexReady(read.token, read.index))
         return actions
 
     def _continue_transfer(self) -> list[RaftAction]:
-        """Tell the successor to stand, once it has the whole log (3.10)."""
+        """Tell the successor to start an election, once it has the whole log (3.10)."""
         if self.transfer_target and self.match_index.get(self.transfer_target, 0) == self.log.last_index():
             return [SendMessage(self.transfer_target, TimeoutNow(self.current_term))]
         return []
@@ -142,7 +147,7 @@
         return actions + self._send_once_persisted(SendMessage(sender, response))
 
     def _without_compacted(self, message: AppendEntries) -> AppendEntries:
-        """Drop entries that the snapshot stands for: they are committed, so they agree."""
+        """Drop entries that the snapshot includes: they are committed, so they match."""
         skipped = self.log.base_index - message.prev_log_index
         if skipped <= 0:
             return message
@@ -153,14 +158,17 @@
         )
 
     def _conflict_hint(self, message: AppendEntries) -> int:
-        """Return the index after which the leader may try: entries of later terms than its own can't agree."""
+        """Return the index after which the leader should retry.
+
+        Skips uncommitted entries of later terms than the leader's previous entry, as they can't match.
+        """
         hint = min(self.log.last_index(), message.prev_log_index - 1)
         while hint > self.commit_index and self.log.term_of(hint) > message.prev_log_term:
             hint -= 1
         return hint
 
     def _append_new(self, entries: list[LogEntry]) -> list[RaftAction]:
-        """Append the entries from the first that differs on; those that agree are kept."""
+        """Append the entries from the first that differs on; matching ones are kept."""
         for at, entry in enumerate(entries):
             if self.log.term_of(entry.index) != entry.term:
                 return [self._replace_from(entries[at:])]
