--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -91,7 +91,7 @@
         self.tasks.append(self.loop.create_task(self._run_timers()))
 
     def change_identity(self, name, incarnation):
-        """Follow the log and report under a new incarnation, or a new name beside a front with the same name."""
+        """Follow the log and report under a new incarnation, or a new name if another front has the same one."""
         if self.voter is None:
             self.name = name
             self.agent.name = name
--- a/sprucegate/fleet/consensus/election.py
+++ b/sprucegate/fleet/consensus/election.py
@@ -1,7 +1,7 @@
 """Leader election: pre-vote, vote and majority (Ongaro's thesis, sections 3.4, 3.6, 6.2, 9.6)."""
 
 from sprucegate.fleet.consensus.actions import LeadershipChanged, RaftAction, SendMessage
-from sprucegate.fleet.consensus.log_entry import NOTHING
+from sprucegate.fleet.consensus.log_entry import NO_OP
 from sprucegate.fleet.consensus.messages import RequestVote, RequestVoteResponse
 from sprucegate.fleet.consensus.raft_state import Role
 from sprucegate.fleet.consensus.replication import Replication
@@ -102,7 +102,7 @@
         self.acknowledged_round = dict.fromkeys(self.next_index, 0)
         self.last_contact = dict.fromkeys(self.next_index, now)
         self.timer_deadline = now + self.timing.heartbeat_interval
-        return [LeadershipChanged(True, self.current_term), *self._append_entry(NOTHING, None, now)[1]]
+        return [LeadershipChanged(True, self.current_term), *self._append_entry(NO_OP, None, now)[1]]
 
     def _other_voters(self) -> list[str]:
         return [name for name in self.configuration().voters if name != self.name]
--- a/sprucegate/fleet/consensus/log_entry.py
+++ b/sprucegate/fleet/consensus/log_entry.py
@@ -5,7 +5,7 @@
 # Kinds of entries. The values are part of stored logs and of messages.
 DATA = "data"  # a command for the state machine
 CONFIG = "config"  # a ClusterConfiguration
-NOTHING = "nothing"  # the no-op entry that a new leader appends first
+NO_OP = "nothing"  # without a command; a new leader appends one first
 
 
 class LogEntry(NamedTuple):
@@ -13,7 +13,7 @@
 
     :ivar index: its position, counted from 1
     :ivar term: the term of the leader that appended it
-    :ivar kind: DATA, CONFIG or NOTHING
+    :ivar kind: DATA, CONFIG or NO_OP
     :ivar data: the command, a ClusterConfiguration, or None
     """
 
--- a/sprucegate/fleet/consensus/member_replacement.py
+++ b/sprucegate/fleet/consensus/member_replacement.py
@@ -11,7 +11,7 @@
 from sprucegate.fleet.consensus.raft_state import Role
 from sprucegate.units import SECOND
 
-PRESENT_FOR = 2 * SECOND  # a process counts as present for so long after its last StartAnnouncement
+PRESENCE_TIMEOUT = 2 * SECOND  # a process counts as present for so long after its last StartAnnouncement
 
 Members = tuple[tuple[str, ...], tuple[str, ...]]  # voters, learners
 
@@ -47,7 +47,7 @@
         older = [voter for voter in others if len(voter) < len(name)]
         if older:
             return older[0]
-        if others and now - announced_at.get(name, -PRESENT_FOR) > PRESENT_FOR:
+        if others and now - announced_at.get(name, -PRESENCE_TIMEOUT) > PRESENCE_TIMEOUT:
             return name
     return ""
 
@@ -58,7 +58,7 @@
     """Return the members with a present process added as learner, or an up-to-date learner promoted to voter."""
     voters, learners = node.configuration()
     for name, last_announced in sorted(announced_at.items()):
-        if now - last_announced > PRESENT_FOR or name in voters or base_name(name) not in names:
+        if now - last_announced > PRESENCE_TIMEOUT or name in voters or base_name(name) not in names:
             continue
         if name not in learners:
             others = [learner for learner in learners if base_name(learner) != base_name(name)]
