--- a/sprucegate/fleet/consensus/voter_driver.py
+++ b/sprucegate/fleet/consensus/voter_driver.py
@@ -130,7 +130,7 @@
             last=self.raft_node.log.last_index(),
         )
         if self.durability.may_vote:
-            self.log("keeper_fit", raft_node=name, by="an operator" if self.trusted else "no other voters")
+            self.log("keeper_fit", raft_node=name, by="an operator" if self.trusted else "itself alone")
         if self.alone:
             self.alone = False
             self.log("keeper_alone", raft_node=name, last=self.raft_node.log.last_index())
