--- a/sprucegate/assembly/keep.py
+++ b/sprucegate/assembly/keep.py
@@ -23,12 +23,12 @@
 
     def heard(_, message):
         if isinstance(message, codec.ConsensusFrame):
-            agreed.heard(message)
+            agreed.receive(message)
 
     async def asked(question):
         if question.what != "agreed":
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known to a keeper"})
-        return orjson.dumps({"ok": True, "front": name, **agreed.shown()})
+        return orjson.dumps({"ok": True, "front": name, **agreed.status()})
 
     links = PeerLinks(fleet.address, log, greeting, heard, asked, VOTER_CONNECTIONS_MAX)
     agreed = ConsensusDriver(
--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -41,7 +41,7 @@
     def on_message(self, sender, message):
         """Pass on a consensus frame of another process."""
         if self.consensus is not None:
-            self.consensus.heard(message)
+            self.consensus.receive(message)
 
     def on_view_changed(self, view):
         """Note whether this front knows enough of the fleet to propose the list of servers."""
@@ -75,7 +75,7 @@
             await self.consensus.stop()
 
     async def _status(self, _):
-        return self.consensus.shown() if self.consensus is not None else _NOT_STARTED
+        return self.consensus.status() if self.consensus is not None else _NOT_STARTED
 
     async def _propose(self, arguments):
         try:
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -138,7 +138,7 @@
         number, data = codec.encode(message)
         process = base_name(to)
         if process == self.name:
-            self.loop.call_soon(self.heard, ConsensusFrame(sender, to, number, data))
+            self.loop.call_soon(self.receive, ConsensusFrame(sender, to, number, data))
         else:
             self.links.send(
                 process,
@@ -147,7 +147,7 @@
                 False,
             )
 
-    def heard(self, frame):
+    def receive(self, frame):
         """Pass a received frame to the log follower or to the voter, by the kind of its message."""
         try:
             message = codec.decode(frame.number, frame.data)
@@ -253,7 +253,7 @@
             }
         return {"ok": True, "word": result, "index": index}
 
-    def shown(self):
+    def status(self):
         """Return the state of the replicated log as `sprucegate fleet` shows it."""
         follower = self.follower
         elapsed = time.monotonic_ns() - follower.lease_expiry + front_lease() if follower else None
