--- a/sprucegate/cli/rollout.py
+++ b/sprucegate/cli/rollout.py
@@ -137,7 +137,7 @@
                 said.rollout,
                 structured(name),
                 trusted=trust_folder,
-                alone=only_one_left,
+                only_one_left=only_one_left,
             )
         )
     )
--- a/sprucegate/fleet/consensus/voter_driver.py
+++ b/sprucegate/fleet/consensus/voter_driver.py
@@ -51,10 +51,10 @@
     """Runs one voter: its Raft node, its storage, and its answers to processes that follow the log.
 
     `send(sender, to, message)` sends a message to a process by name. `trusted`: an operator vouches that the folder
-    lost nothing. `alone`: the other voters are gone for good, and this one continues as the only voter.
+    lost nothing. `only_one_left`: the other voters are gone for good, and this one continues as the only voter.
     """
 
-    def __init__(self, name, settings, seed, log, send, disk=None, trusted=False, alone=False):
+    def __init__(self, name, settings, seed, log, send, disk=None, trusted=False, only_one_left=False):
         self.configured_name = name  # as in the operator's file; a later identity has a suffix
         self.settings = settings
         self.seed = seed
@@ -63,8 +63,8 @@
         self.loop = asyncio.get_running_loop()
         self.disk_thread = ThreadPoolExecutor(1, "keeper-disk")
         self.storage = RaftStorage(disk or Disk(), settings.state)
-        self.trusted = trusted or alone
-        self.alone = alone
+        self.trusted = trusted or only_one_left
+        self.only_one_left = only_one_left
         self.raft_node = None
         self.log_server = None
         self.rollout_leader = None
@@ -131,8 +131,8 @@
         )
         if self.durability.may_vote:
             self.log("keeper_fit", raft_node=name, by="an operator" if self.trusted else "itself alone")
-        if self.alone:
-            self.alone = False
+        if self.only_one_left:
+            self.only_one_left = False
             self.log("keeper_alone", raft_node=name, last=self.raft_node.log.last_index())
             self.perform(self.raft_node.force_single_voter())
 
