--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -217,7 +217,7 @@
                     self.agent.holds(self.state_machine)
                 case ReplaceState():
                     state_machine = RolloutStateMachine()
-                    self.incompatible = not state_machine.loaded(action.state)
+                    self.incompatible = not state_machine.load_state(action.state)
                     self.state_machine = state_machine if not self.incompatible else self.state_machine
                     self.agent.holds(self.state_machine)
                 case ProposalCompleted():
--- a/sprucegate/fleet/consensus/voter_driver.py
+++ b/sprucegate/fleet/consensus/voter_driver.py
@@ -114,7 +114,7 @@
             name, initial_configuration, RandomSource(name, self.seed ^ incarnation), now
         )
         state_machine = RolloutStateMachine()
-        if stored.snapshot is not None and not state_machine.loaded(
+        if stored.snapshot is not None and not state_machine.load_state(
             msgspec.msgpack.decode(stored.snapshot[3])
         ):
             self.log("keeper_off", error="the stored snapshot's state has an unknown format")
@@ -210,7 +210,7 @@
                             )
                     pending.extend(responses)
                     if self.raft_node.last_applied - self.raft_node.log.base_index >= COMPACTION_ENTRIES:
-                        state = msgspec.msgpack.encode(self.log_server.machine.told())
+                        state = msgspec.msgpack.encode(self.log_server.machine.dump_state())
                         pending.extend(self.raft_node.compact_log(self.raft_node.last_applied, state))
                 case RestoreSnapshot():
                     self.log_server.on_snapshot_restored(action.index, msgspec.msgpack.decode(action.state))
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -43,11 +43,11 @@
             "trouble": releases.trouble,
         }
 
-    def told(self):
+    def dump_state(self):
         """Return the state in its stored form."""
         return [FORMAT, self.index, self.permits.told(), self.releases.told(), self.once]
 
-    def loaded(self, told):
+    def load_state(self, told):
         """Returns whether it could be read."""
         if told[0] != FORMAT:
             return False
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -262,11 +262,11 @@
     release(log)
     log.do("once", "q1", ["ask", "h", "c5", "op", "by hand"])
     other = RolloutStateMachine()
-    assert other.loaded(msgspec.msgpack.decode(msgspec.msgpack.encode(log.machine.told())))
-    assert msgspec.msgpack.encode(other.told()) == msgspec.msgpack.encode(log.machine.told())
+    assert other.load_state(msgspec.msgpack.decode(msgspec.msgpack.encode(log.machine.dump_state())))
+    assert msgspec.msgpack.encode(other.dump_state()) == msgspec.msgpack.encode(log.machine.dump_state())
     assert other.apply(99, ["drained", "h", "x", 1]) == log.machine.apply(99, ["drained", "h", "x", 1])
-    assert other.told() == log.machine.told()
-    assert not RolloutStateMachine().loaded([2])
+    assert other.dump_state() == log.machine.dump_state()
+    assert not RolloutStateMachine().load_state([2])
 
 
 # Releases.
