--- a/sprucegate/fleet/links/send_queue.py
+++ b/sprucegate/fleet/links/send_queue.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict, deque
 
 from sprucegate.fleet.links import codec
-from sprucegate.fleet.replica.replica import CHUNK, EvidenceMessage, SpreadRecords
+from sprucegate.fleet.replica.replica import RECORDS_PER_MESSAGE, EvidenceMessage, SpreadRecords
 
 CONTROL_BYTES_MAX = 512 << 10
 TRANSFER_BYTES_MAX = 4 << 20
@@ -83,7 +83,7 @@
             self.control_bytes -= len(data)
             return data
         if self.records:
-            count = min(CHUNK, len(self.records))
+            count = min(RECORDS_PER_MESSAGE, len(self.records))
             chosen = [self.records.popitem(last=False)[1] for _ in range(count)]
             return codec.frame(SpreadRecords(chosen, 0, 0))
         if self._transfers:
--- a/sprucegate/fleet/replica/facts.py
+++ b/sprucegate/fleet/replica/facts.py
@@ -1,16 +1,16 @@
-"""Guard facts: keyed, each under a dot, joined by the greater value. No I/O, no clock of its own.
+"""The store of replicated records: by key, each of one version, joined by the greater value. No I/O, no clock.
 
-Every value is a tuple made so that the one that must hold is the greater; of equal values the greater dot stands. So
-the join is the same in any order, however often a fact comes. The kinds:
+A value is a tuple made so that the one that must hold is the greater; of equal values the greater version stands. So
+the join has the same result in any order, however often a record arrives. Keys and values by kind:
 
-    ("purge", "object" | "group", id)            (Unix time of the purge, ns,)      the later floor holds
-    ("word", server, start, source, owner)       (life, counter, state)             the owner's newer word holds
-    ("held", digest)                             (state,)                           a confirmed removal stays confirmed
+    ("purge", "object" | "group", id)            (Unix time of the invalidation, ns,)  the later one holds
+    ("word", server, start, source, owner)       (incarnation, counter, state)         the owner's newer state holds
+    ("held", digest)                             (state,)                              a confirmed list stays confirmed
 
-A word is what one front heard from one source of its own of one server's start: DRAINING, GONE or LIFTED. Its owner
-alone makes a new one (its life and counter order them). Where the owner is gone, another front that itself hears the
-source lift it may say LIFTED upon the very word that it knows (the same life and counter): a newer word of the owner
-still stands against that.
+A "word" record is what one front heard from one of its own sources of one start of a server: DRAINING, GONE or LIFTED.
+Only its owner makes a new one, ordered by the owner's incarnation and counter. Where the owner is gone, another front
+that itself hears the source lift the state may write LIFTED with the incarnation and counter of the record that it
+knows: a newer record of the owner still overrides that.
 """
 
 from bisect import bisect_left, insort
@@ -23,11 +23,11 @@
 from sprucegate.fleet.replica.version_vector import VersionVector
 
 BUCKETS = 256  # ranges of keys that are compared by digest
-RECORDS_MAX = 250_000  # a snapshot of as many stays within its bound in bytes
+RECORDS_MAX = 250_000  # a snapshot of this many records stays within its bound in bytes
 
 
 class SourceState(IntEnum):
-    """What one source says of a server: it drains, it is gone, or the former word is lifted. Stored by number."""
+    """What one source says of a server: draining, gone, or the earlier state lifted. Stored by number."""
 
     DRAINING = 0
     GONE = 1
@@ -51,98 +51,111 @@
     """What became of a record that was offered to the store."""
 
     NEW = auto()  # it holds from here on
-    OLD = auto()  # seen before, or what is held stands against it
-    OTHER = auto()  # another content under a dot that was seen: a twin of its owner, or a disk put back
+    OLD = auto()  # seen before, or overridden by the record held
+    OTHER = (
+        auto()
+    )  # other content under a version that was seen: two processes of one identity, or a restored disk
     FULL = auto()  # no room; what is held stays
 
 
-_packed = msgspec.msgpack.Encoder().encode
+_pack = msgspec.msgpack.Encoder().encode
 
 
 def key_range(key):
     """Return the range of keys that a key belongs to, 0 to BUCKETS - 1."""
-    return xxhash.xxh64_intdigest(_packed(key)) % BUCKETS
+    return xxhash.xxh64_intdigest(_pack(key)) % BUCKETS
 
 
-def digest(fact):
+def digest(record):
     """Return a record's digest, 64 bits."""
-    return xxhash.xxh64_intdigest(_packed(fact))
+    return xxhash.xxh64_intdigest(_pack(record))
 
 
 class RecordStore:
-    """Facts, what was seen, and digests of ranges of keys, kept in step."""
+    """Records, the versions seen, and digests of ranges of keys, kept in step.
 
-    def __init__(self, most=RECORDS_MAX):
-        self.most, self.held, self.seen = most, {}, VersionVector()
-        self.kinds = {}  # how many are held, by kind
-        self.counters, self.at = {}, {}  # (owner, life) -> counters, sorted; -> {counter: key}
-        self.ranges = [0] * BUCKETS  # xor of the digests of the facts in each
-        self.in_range = [
-            {} for _ in range(BUCKETS)
-        ]  # key -> digest: a packed fact is not hashed anew to be compared
+    :ivar held: records by key
+    :ivar seen: versions seen, also of records that were replaced or removed
+    :ivar count_by_kind: how many records are held, by kind
+    :ivar range_digests: XOR of the digests of the records in each range of keys
+    """
+
+    def __init__(self, max_records=RECORDS_MAX):
+        self.max_records = max_records
+        self.held = {}
+        self.seen = VersionVector()
+        self.count_by_kind = {}
+        self.counters = {}  # (owner, incarnation) -> counters of the records held, sorted
+        self.key_by_counter = {}  # (owner, incarnation) -> {counter: key}
+        self.range_digests = [0] * BUCKETS
+        # Per range, key -> digest: records are not hashed again to be compared.
+        self.digests_by_key = [{} for _ in range(BUCKETS)]
 
     def root(self):
         """Return one digest over the digests of all ranges."""
-        return xxhash.xxh64_intdigest(b"".join(one.to_bytes(8, "big") for one in self.ranges))
-
-    def join(self, fact):
-        """(Joined, the fact that held before under this key, or None)."""
-        mine = self.held.get(fact.key)
-        if self.seen.contains(fact.dot):
-            there = self.at.get(fact.dot[:2], {}).get(fact.dot[2])
-            if there is None or there == fact.key and mine.value == fact.value:
-                return JoinResult.OLD, mine  # let go, replaced, or the same once more
-            return JoinResult.OTHER, mine
-        if mine is None and len(self.held) >= self.most:
-            return JoinResult.FULL, None  # not seen either: it may come again once there is room
-        self.seen.add(fact.dot)
-        if mine is not None and (mine.value, mine.dot) >= (fact.value, fact.dot):
-            return JoinResult.OLD, mine
-        if mine is not None:
-            self._out(mine)
-        self.put(fact)
-        return JoinResult.NEW, mine
-
-    def let_go(self, key):
-        """The fact is forgotten, its dot stays seen: it never comes back under it."""
-        self._out(self.held[key])
-
-    def between(self, owner, life, first, past, most):
-        """At most `most` facts under the counters [first, past), and up to which counter these are all."""
-        counters, at = self.counters.get((owner, life), []), self.at.get((owner, life), {})
+        return xxhash.xxh64_intdigest(b"".join(one.to_bytes(8, "big") for one in self.range_digests))
+
+    def join(self, record):
+        """Offer a record; return the JoinResult and the record held before under its key, or None."""
+        current = self.held.get(record.key)
+        if self.seen.contains(record.dot):
+            held_key = self.key_by_counter.get(record.dot[:2], {}).get(record.dot[2])
+            if held_key is None or held_key == record.key and current.value == record.value:
+                return JoinResult.OLD, current  # removed, replaced, or a duplicate
+            return JoinResult.OTHER, current
+        if current is None and len(self.held) >= self.max_records:
+            return JoinResult.FULL, None  # nor counted as seen: it may arrive again once there is room
+        self.seen.add(record.dot)
+        if current is not None and (current.value, current.dot) >= (record.value, record.dot):
+            return JoinResult.OLD, current
+        if current is not None:
+            self._take_out(current)
+        self.put(record)
+        return JoinResult.NEW, current
+
+    def remove(self, key):
+        """Remove a record. Its version stays seen, so it never returns under that version."""
+        self._take_out(self.held[key])
+
+    def in_interval(self, owner, incarnation, first, end, limit):
+        """Return at most `limit` records with counters in [first, end), and the counter up to which these are all."""
+        counters = self.counters.get((owner, incarnation), [])
+        keys = self.key_by_counter.get((owner, incarnation), {})
         begin = bisect_left(counters, first)
-        taken = counters[begin : begin + most]
-        upto = past if len(taken) < most or taken[-1] >= past else taken[-1] + 1
-        return [self.held[at[n]] for n in taken if n < past], min(past, upto)
+        taken = counters[begin : begin + limit]
+        complete_to = end if len(taken) < limit or taken[-1] >= end else taken[-1] + 1
+        return [self.held[keys[n]] for n in taken if n < end], min(end, complete_to)
 
-    def keys_in(self, chosen):
-        """(fact, digest) of those whose keys lie in those ranges."""
+    def in_ranges(self, chosen):
+        """Return the records of these ranges of keys, each with its digest."""
         return [
-            (self.held[key], hashed) for at in sorted(chosen) for key, hashed in self.in_range[at].items()
+            (self.held[key], hashed)
+            for at in sorted(chosen)
+            for key, hashed in self.digests_by_key[at].items()
         ]
 
-    def put(self, fact):
-        """Hold a record; one that its key had has been let go before."""
-        self.held[fact.key] = fact
-        self.kinds[fact.key[0]] = self.kinds.get(fact.key[0], 0) + 1
-        owner = fact.dot[:2]
+    def put(self, record):
+        """Hold a record; one held before under its key must have been removed."""
+        self.held[record.key] = record
+        self.count_by_kind[record.key[0]] = self.count_by_kind.get(record.key[0], 0) + 1
+        owner = record.dot[:2]
         counters = self.counters.setdefault(owner, [])
-        if not counters or counters[-1] < fact.dot[2]:
-            counters.append(fact.dot[2])
+        if not counters or counters[-1] < record.dot[2]:
+            counters.append(record.dot[2])
         else:
-            insort(counters, fact.dot[2])
-        self.at.setdefault(owner, {})[fact.dot[2]] = fact.key
-        at = key_range(fact.key)
-        self.in_range[at][fact.key] = hashed = digest(fact)
-        self.ranges[at] ^= hashed
-
-    def _out(self, fact):
-        del self.held[fact.key]
-        self.kinds[fact.key[0]] -= 1
-        owner, counters = fact.dot[:2], self.counters[fact.dot[:2]]
-        del counters[bisect_left(counters, fact.dot[2])]
-        del self.at[owner][fact.dot[2]]
+            insort(counters, record.dot[2])
+        self.key_by_counter.setdefault(owner, {})[record.dot[2]] = record.key
+        at = key_range(record.key)
+        self.digests_by_key[at][record.key] = hashed = digest(record)
+        self.range_digests[at] ^= hashed
+
+    def _take_out(self, record):
+        del self.held[record.key]
+        self.count_by_kind[record.key[0]] -= 1
+        owner, counters = record.dot[:2], self.counters[record.dot[:2]]
+        del counters[bisect_left(counters, record.dot[2])]
+        del self.key_by_counter[owner][record.dot[2]]
         if not counters:
-            del self.counters[owner], self.at[owner]
-        at = key_range(fact.key)
-        self.ranges[at] ^= self.in_range[at].pop(fact.key)
+            del self.counters[owner], self.key_by_counter[owner]
+        at = key_range(record.key)
+        self.range_digests[at] ^= self.digests_by_key[at].pop(record.key)
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -1,8 +1,10 @@
-"""How facts spread, are repaired, caught up with and let go. No I/O, no clock: (event, now) in, actions out.
+"""One process's replica of the fleet's records: spread, repair, catch-up and removal. No I/O, no clock.
 
-Own facts are told to others once they are on disk; what is said to have been seen is what is on disk. Three ways lead
-to the same state: a new fact goes to all neighbours at once; who hears another digest from a neighbour twice says what
-it has seen and gets what it lacks; of two that have seen the same and differ, ranges of keys are compared.
+Events and the time go in, actions come out. Own records are sent to others once they are durable here, and only
+durable versions are reported as seen. Three mechanisms lead to the same state on all replicas. A new record is pushed
+to all neighbours at once. A replica that twice gets a digest from a peer that differs from its own reports what it has
+seen, and is sent what it lacks. Two replicas that have seen the same versions and still differ compare digests of
+ranges of keys.
 """
 
 import heapq
@@ -25,29 +27,30 @@
 from sprucegate.fleet.replica.version_vector import VersionVector
 
 MS, S = 1_000_000, 1_000_000_000
-FAN_OUT = 4  # neighbours that a front chooses; as many choose it, on average
+FAN_OUT = 4  # neighbours that a replica chooses; as many choose it, on average
 HELD_EVERY = 250 * MS  # a digest to each neighbour
-HAVE_AGAIN = 500 * MS  # between two lists of what was seen to one peer: they cost bytes by the fleet's size
-SEEN_EVERY = 5 * S  # what was seen to one front at random, so that all can tell what may be let go
-NEIGHBOURS_FOR = 30 * S  # then others are chosen: a split of the choice must not last
-CALLER_FOR = 2 * S
-CHUNK = 200  # facts in one message
-FACT_BYTES, SPAN_BYTES = 90, 40  # of one on the way, about: what is sent is held to a rate by it
-ASKED = 3  # peers from which a front that returns gets what it lacks
-SLOW_FOR = 10 * MS  # until a peer that takes nothing is looked at again
-TWINS = 50  # facts in one repair: each with another content under its dot costs 0.1 ms
-BLOCK = 4096  # counters that one of them is asked for in one piece
-ASK_EVERY = 50 * MS  # how it stands is looked at, while a front catches up
-MEET = 100 * MS  # from the first peer that is met until some are asked
-STUCK = 500 * MS  # without progress: others are asked
-LET_GO_EVERY = 2 * S
-RANGES_AGAIN = 500 * MS
-KEYS_MOST = 1500  # facts whose keys are compared in one go: one turn of the loop on either side
+SEEN_REPORT_INTERVAL_MIN = 500 * MS  # to one peer: a report's size grows with that of the fleet
+SEEN_REPORT_PERIOD = 5 * S  # to one random peer, so that each replica learns which records may be removed
+NEIGHBOURS_PERIOD = 30 * S  # then others are chosen: a choice that happens to split the fleet must not last
+INCOMING_NEIGHBOUR_TIMEOUT = 2 * S
+RECORDS_PER_MESSAGE = 200
+RECORD_BYTES, INTERVAL_BYTES = 90, 40  # approximate size on the wire, by which transfers are rate-limited
+CATCH_UP_PEERS = 3  # asked by a returning replica for what it lacks
+SLOW_PEER_PERIOD = 10 * MS  # until a peer that reads nothing is looked at again
+RECORDS_PER_REPAIR = 50  # each record with other content under its version costs the receiver 0.1 ms
+SHARE_BLOCK = 4096  # counters of one owner that are requested from one peer in one piece
+CATCH_UP_PERIOD = 50 * MS  # between two checks of the progress of catching up
+CATCH_UP_DELAY = 100 * MS  # from the first peer met until some are asked
+CATCH_UP_STALL = 500 * MS  # without progress: other peers are asked
+EXPIRY_PERIOD = 2 * S
+FORMER_PEERS_MAX = 1000
+RANGE_DIGESTS_INTERVAL_MIN = 500 * MS
+COMPARED_KEYS_MAX = 1500  # records compared by key in one message: one turn of the event loop on either side
 INVALIDATION, SERVER_STATE, HELD_LIST = "purge", "word", "held"
 
 
 class SpreadRecords(NamedTuple):
-    """New facts that spread (`transfer` 0), or the piece `at` of what one peer lacks."""
+    """New records pushed to neighbours (`transfer` 0), or the piece `at` of a transfer of what one peer lacks."""
 
     facts: list
     transfer: int
@@ -55,9 +58,9 @@
 
 
 class TransferEnd(NamedTuple):
-    """The end of a transfer: once all its pieces are there, `claims` (lives, as of `VersionVector`) has been seen.
+    """The end of a transfer: once all pieces are there, the versions in `claims` count as seen (see `VersionVector`).
 
-    Not before: what replaced one of them, and so is not among its facts, may stand in any piece.
+    Not earlier: a record that replaced one of them, which therefore isn't sent itself, may be in any piece.
     """
 
     transfer: int
@@ -72,8 +75,10 @@
 
 
 class SeenReport(NamedTuple):
-    """What the sender has seen, on its disk; with `number` it asks for a share of the rest, `part` (which of how
-    many)."""
+    """The versions that the sender has seen and made durable.
+
+    With `number` it requests a share of the rest, `part`: which of how many shares.
+    """
 
     lives: list
     root: int
@@ -82,7 +87,10 @@
 
 
 class EvidenceMessage(NamedTuple):
-    """What one front has seen of caches and parents, told at `at` (Unix ns): worth less as it ages, never kept."""
+    """What one front has observed of caches and parents, sent at `at` (Unix ns).
+
+    It loses weight as it ages, and is never stored.
+    """
 
     at: int
     believed: list
@@ -90,9 +98,9 @@
 
 
 class CatchUpMark(NamedTuple):
-    """What the answering front had seen when it was asked: who asked is as new as that once it has seen it all.
+    """What the answering replica had seen when it was asked: the asker is as new as that once it has seen all of it.
 
-    `live`: it has itself caught up with others, or went on alone.
+    `live`: the answering replica has itself caught up, or went on alone.
     """
 
     number: int
@@ -107,7 +115,7 @@
 
 
 class RangeKeys(NamedTuple):
-    """The sender's facts of some ranges, by key, dot and digest."""
+    """The sender's records of some ranges, each by key, version and digest. `answer`: the receiver's are requested."""
 
     ranges: list
     facts: list
@@ -115,40 +123,43 @@
 
 
 class RepairRecords(NamedTuple):
-    """Facts that differ under one key between fronts that have seen the same."""
+    """Records that differ under one key between replicas that have seen the same."""
 
     facts: list
 
 
 class SendMessage(NamedTuple):
-    """Send a message to one process. `guard` says that it carries records, which are bounded apart."""
+    """Send a message to one process.
+
+    :ivar carries_records: queued under a bound of its own, apart from the protocol's control messages
+    """
 
     to: str
     message: tuple
-    guard: bool = False  # facts: bounded apart from what the protocol itself says
+    carries_records: bool = False
 
 
 class PersistRecords(NamedTuple):
-    """To be kept and synced; then `synced(number)` is called, or `not_kept` with the fault."""
+    """Write and sync the record; then call `synced(number)`, or `not_kept` with the fault."""
 
     number: int
-    record: tuple  # (facts, claims, keys let go)
+    record: tuple  # (records, versions seen, keys removed)
 
 
 class RecordInForce(NamedTuple):
-    """A fact that others told and that holds from here on."""
+    """A record from another process that holds from here on."""
 
     fact: ReplicatedRecord
 
 
 class RecordDiscarded(NamedTuple):
-    """A fact that is held no more: of no use any longer, or lifted and let go elsewhere."""
+    """A record that is no longer held: it expired, or was lifted and removed elsewhere."""
 
     fact: ReplicatedRecord
 
 
 class CaughtUp(NamedTuple):
-    """As new as the peers asked were ("caught-up"), or "alone"; what it took."""
+    """Catching up is over: `how` is "caught-up" if as new as the peers `asked` were, or "alone"."""
 
     how: str
     asked: list
@@ -158,31 +169,36 @@
     """An event for the log."""
 
     event: str
-    said: dict
+    fields: dict
 
 
 class VersionConflict(NamedTuple):
-    """A dot of this front's own life has another content elsewhere: it has to be another life."""
+    """`peer` has other content under a version of this process's incarnation: it has to take a new incarnation."""
 
-    by: str
+    peer: str
 
 
-class TransferPlan:
-    """What one peer is to get, and what it may then take as seen."""
+class OutgoingTransfer:
+    """What is still to be sent to one peer, and the versions that it may count as seen after that."""
 
-    def __init__(self, number, spans, claims):
-        self.number, self.spans, self.claims, self.pieces = number, spans, claims, 0
+    def __init__(self, number, intervals, claims):
+        self.number = number
+        self.intervals = intervals
+        self.claims = claims
+        self.pieces = 0
 
 
 class IncomingTransfer:
-    """What comes from one peer: the pieces that are there, and its end where that came first."""
+    """The pieces that have arrived from one peer, and the transfer's end if that arrived before them."""
 
     def __init__(self, number):
-        self.number, self.pieces, self.done = number, set(), None
+        self.number = number
+        self.pieces = set()
+        self.end = None
 
 
 class CatchUpPhase(Enum):
-    """Whether this replica looks for peers, asks them for what it lacks, is as new as they were, or goes on alone."""
+    """Not begun; asking peers for what is missing; as new as they were; or going on alone."""
 
     IDLE = auto()
     ASKING = auto()
@@ -190,543 +206,640 @@
     ALONE = auto()
 
 
-_packed = msgspec.msgpack.Encoder().encode
+_pack = msgspec.msgpack.Encoder().encode
 
 
 class Replica:
-    """One process's replica of the fleet's records. (event, now) in, actions out; times in monotonic ns."""
+    """One process's replica of the fleet's records. (event, now) in, actions out; times in monotonic ns.
+
+    :ivar facts: the record store
+    :ivar on_disk: versions seen, as far as they are durable
+    :ivar kept: whether the disk accepts writes
+    :ivar slow_peers: peers with unsent data in their queue; set by the caller
+    :ivar seeds_unmet: whether some configured members aren't known yet; set by the caller
+    """
 
     def __init__(
         self,
         name,
-        life,
+        incarnation,
         chance,
         now,
         rate=8 << 20,
         purge_life=60 * S,
         word_life=86_400 * S,
         alone_after=5 * S,
-        most=RECORDS_MAX,
+        max_records=RECORDS_MAX,
     ):
-        """`rate`: bytes a second for all that catch up from here; lives: ns after which a purge, and the word of a
-        server that is gone, may be let go."""
-        self.name, self.life, self.chance = name, life, chance
-        self.rate, self.alone_after = rate, alone_after
-        self.lives = {INVALIDATION: purge_life, SERVER_STATE: word_life}
-        self.facts, self.counter, self.phase = RecordStore(most), 0, CatchUpPhase.IDLE
-        self.ageing, self.order, self.transfers = (
-            [],
-            count(),
-            count(1),
-        )  # (when, order, key) of what may be let go
-        self.unsaved, self.writing, self.number = ([], [], []), None, 0
-        self.on_disk, self.kept = (
-            VersionVector(),
-            True,
-        )  # seen, as far as it is synced; whether the disk takes it
-        self.capturing = False  # a snapshot is under way after the disk failed
-        self.waiting = []  # own facts, until they are on disk
-        self.peers, self.gone = {}, {}  # names there -> what they were last known to have seen; not there
-        self.epoch, self.neighbours, self.callers = 0, [], {}
-        self.differs, self.have_at, self.ranges_at = {}, {}, {}
-        self.plans, self.tokens, self.tokens_at = {}, 0, now
-        self.slow = ()  # peers that have not taken what waits for them: told from outside
-        self.coming, self.repaired_at = {}, -S  # peer -> Transfer; when a repair last brought something
-        self.asked, self.marks, self.ask_number, self.ask_until, self.ask_at, self.moved = (
-            {},
-            {},
-            0,
-            0,
-            0,
-            now,
-        )
-        self.meet_at = 0  # until when peers are met before some are asked; 0: none was met
-        self.unmet = False  # whether some of the file's fronts are not known yet: told from outside
-        self.sharing = {}  # asked ones whose share is not there yet
-        self.waiting_too = {}  # peers that answered -> whether they still catch up as well
-        self.cached, self.changes, self.full, self.bytes_out = (-1, 0), 0, False, 0
-        self.timers = {"held": now, "seen": now + SEEN_EVERY, "let_go": now + LET_GO_EVERY, "choose": now}
-
-    # Asked.
+        """`rate`: bytes a second for all transfers from here.
+
+        `purge_life` and `word_life`: ns after which an invalidation, and the state of a server that is gone, may be
+        removed.
+        """
+        self.name = name
+        self.incarnation = incarnation
+        self.chance = chance
+        self.rate = rate
+        self.alone_after = alone_after
+        self.retention = {INVALIDATION: purge_life, SERVER_STATE: word_life}
+        self.facts = RecordStore(max_records)
+        self.counter = 0
+        self.phase = CatchUpPhase.IDLE
+        self.expiry_queue = []  # heap of (time, order, key)
+        self.expiry_order = count()
+        self.transfer_numbers = count(1)
+        self.unsaved = ([], [], [])
+        self.writing = None
+        self.write_number = 0
+        self.on_disk = VersionVector()
+        self.kept = True
+        self.recovery_snapshot_begun = False  # a snapshot is under way after the disk failed
+        self.waiting = []  # own records that aren't durable yet
+        self.peers = {}  # reachable peers -> what they were last known to have seen
+        self.former_peers = {}  # the same of peers that aren't reachable
+        self.epoch = 0
+        self.neighbours = []
+        self.incoming_neighbours = {}  # peers that chose this replica -> when their last digest arrived
+        self.digest_differed_at = {}
+        self.have_at = {}
+        self.range_digests_sent_at = {}
+        self.outgoing_transfers = {}
+        self.tokens = 0
+        self.tokens_at = now
+        self.slow_peers = ()
+        self.incoming_transfers = {}
+        self.repaired_at = -S  # when a transfer last arrived or was requested
+        self.asked_peers = {}
+        self.marks = {}
+        self.request_number = 0
+        self.catch_up_deadline = 0
+        self.catch_up_check_at = 0
+        self.progress_at = now
+        self.ask_not_before = 0  # until then peers are met before some are asked; 0: none was met
+        self.seeds_unmet = False
+        self.pending_shares = {}  # asked peers whose share hasn't arrived completely
+        self.is_catching_up = {}  # peers that answered -> whether they still catch up as well
+        self.cached_digest = (-1, 0)
+        self.change_count = 0
+        self.full_logged = False
+        self.bytes_out = 0
+        self.timers = {
+            "digest": now,
+            "seen_report": now + SEEN_REPORT_PERIOD,
+            "expiry": now + EXPIRY_PERIOD,
+            "neighbours": now,
+        }
+
+    # Queries.
 
     def digest(self):
-        """Of all that is held and was seen: equal where two fronts have nothing to tell each other."""
-        if self.cached[0] != self.changes:
-            seen = xxhash.xxh64_intdigest(_packed(self.facts.seen.as_ranges()))
-            self.cached = self.changes, self.facts.root() ^ seen
-        return self.cached[1]
+        """Return a digest of all that is held and was seen: equal where two replicas have nothing to exchange."""
+        if self.cached_digest[0] != self.change_count:
+            seen = xxhash.xxh64_intdigest(_pack(self.facts.seen.as_ranges()))
+            self.cached_digest = self.change_count, self.facts.root() ^ seen
+        return self.cached_digest[1]
 
     def next_due(self):
         """Return when `due` is to be called next (monotonic ns)."""
-        due = min(self.timers.values())
-        if self.plans:
+        deadline = min(self.timers.values())
+        if self.outgoing_transfers:
             wait = (
-                SLOW_FOR
-                if all(name in self.slow for name in self.plans)
-                else CHUNK * FACT_BYTES * S // self.rate
+                SLOW_PEER_PERIOD
+                if all(name in self.slow_peers for name in self.outgoing_transfers)
+                else RECORDS_PER_MESSAGE * RECORD_BYTES * S // self.rate
             )
-            due = min(due, self.tokens_at + wait)
-        return min(due, self.ask_at) if self.phase is CatchUpPhase.ASKING else due
-
-    def to(self, now):
-        """Whom new facts go to: those chosen and those that chose this front."""
-        self.callers = {name: at for name, at in self.callers.items() if now - at < CALLER_FOR}
-        return list(dict.fromkeys([*self.neighbours, *[n for n in self.callers if n in self.peers]]))
+            deadline = min(deadline, self.tokens_at + wait)
+        return min(deadline, self.catch_up_check_at) if self.phase is CatchUpPhase.ASKING else deadline
+
+    def push_targets(self, now):
+        """Return the peers that new records are pushed to: chosen neighbours and those that chose this replica."""
+        self.incoming_neighbours = {
+            name: at for name, at in self.incoming_neighbours.items() if now - at < INCOMING_NEIGHBOUR_TIMEOUT
+        }
+        return list(
+            dict.fromkeys([*self.neighbours, *[n for n in self.incoming_neighbours if n in self.peers]])
+        )
 
-    # What happens.
+    # Events.
 
-    def loaded(self, facts, lives, now):
-        """What the disk had, before anything else happens."""
+    def loaded(self, records, lives, now):
+        """Take what the disk had, before any other event."""
         self.facts.seen = VersionVector(lives)
-        for fact in facts:
-            self.facts.seen.add(fact.dot)
-            mine = self.facts.held.get(fact.key)
-            if mine is None or (mine.value, mine.dot) < (fact.value, fact.dot):
-                if mine is not None:
-                    self.facts.let_go(fact.key)
-                self.facts.put(fact)
-        for fact in self.facts.held.values():
-            self._ages(fact, now)
-        self.on_disk, self.changes = self.facts.seen.copy(), self.changes + 1
+        for record in records:
+            self.facts.seen.add(record.dot)
+            current = self.facts.held.get(record.key)
+            if current is None or (current.value, current.dot) < (record.value, record.dot):
+                if current is not None:
+                    self.facts.remove(record.key)
+                self.facts.put(record)
+        for record in self.facts.held.values():
+            self._schedule_expiry(record, now)
+        self.on_disk = self.facts.seen.copy()
+        self.change_count += 1
 
     def told(self, key, value, now):
-        """A fact of this front's own. Nothing is made of what is known already."""
+        """Take a record from a source of this process's own; one that changes nothing is ignored."""
         if key[0] == SERVER_STATE:
             state = value[0]
-            mine = self.facts.held.get(key)
-            if mine is not None and mine.value[2] == state or mine is None and state == SourceState.LIFTED:
-                return self._orphans(key, now) if state == SourceState.LIFTED else []
-            value = self.life, self.counter + 1, state
-        elif (mine := self.facts.held.get(key)) is not None and mine.value >= value:
+            current = self.facts.held.get(key)
+            if (
+                current is not None
+                and current.value[2] == state
+                or current is None
+                and state == SourceState.LIFTED
+            ):
+                return self._lift_for_former_peers(key, now) if state == SourceState.LIFTED else []
+            value = self.incarnation, self.counter + 1, state
+        elif (current := self.facts.held.get(key)) is not None and current.value >= value:
             return []
-        done = self._own(key, value, now)
+        actions = self._put_own(key, value, now)
         if key[0] == SERVER_STATE and value[2] == SourceState.LIFTED:
-            done += self._orphans(key, now)
-        return done + self._saved() + self._unkept(now)
+            actions += self._lift_for_former_peers(key, now)
+        return actions + self._start_write() + self._push_unwritable(now)
 
     def heard(self, sender, message, now):
         """Take a message of another replica."""
         match message:
             case SpreadRecords():
-                return _together(self._tell(sender, message, now))
+                return _merge_conflicts(self._on_spread_records(sender, message, now))
             case TransferEnd():
-                return self._done(sender, message, now)
+                return self._on_transfer_end(sender, message, now)
             case DigestAnnouncement():
-                self.callers[sender] = now
-                return self.compared(sender, message.digest, now)
+                self.incoming_neighbours[sender] = now
+                return self.on_digest(sender, message.digest, now)
             case SeenReport():
-                return self._have(sender, message, now)
+                return self._on_seen_report(sender, message, now)
             case CatchUpMark():
-                if message.number == self.ask_number and self.phase is CatchUpPhase.ASKING:
-                    self.marks[sender], self.moved = VersionVector(message.lives), now
-                    self.waiting_too[sender] = not message.live
-                return self._caught_up(now)
+                if message.number == self.request_number and self.phase is CatchUpPhase.ASKING:
+                    self.marks[sender] = VersionVector(message.lives)
+                    self.progress_at = now
+                    self.is_catching_up[sender] = not message.live
+                return self._end_catch_up_if_complete(now)
             case RangeDigests():
-                return self._ranges(sender, message)
+                return self._on_range_digests(sender, message)
             case RangeKeys():
-                return self._keys(sender, message, now)
+                return self._on_range_keys(sender, message, now)
             case RepairRecords():
-                done = [a for fact in message.facts for a in self._joined(sender, fact, now, repair=True)]
-                return _together(done + self._saved())
+                actions = [
+                    a for record in message.facts for a in self._join(sender, record, now, repair=True)
+                ]
+                return _merge_conflicts(actions + self._start_write())
         return []
 
-    def stands(self, name, there, now):
-        """A member came, or went: what it had seen counts no more for what may be let go once it is fenced."""
-        if there and name not in self.peers and name != self.name:
-            self.peers[name] = self.gone.pop(name, None) or VersionVector()
-            self._choose(now)
+    def stands(self, name, reachable, now):
+        """A peer became reachable or unreachable; one that is declared dead is not waited for before removals."""
+        if reachable and name not in self.peers and name != self.name:
+            self.peers[name] = self.former_peers.pop(name, None) or VersionVector()
+            self._choose_neighbours(now)
             if self.phase is CatchUpPhase.ALONE:
-                return self.asks(now)
-        elif not there and name in self.peers:
-            self.gone[name] = self.peers.pop(name)
-            while len(self.gone) > 1000:
-                del self.gone[next(iter(self.gone))]
-            for table in (self.plans, self.coming, self.differs, self.have_at, self.ranges_at, self.callers):
+                return self.begin_catch_up(now)
+        elif not reachable and name in self.peers:
+            self.former_peers[name] = self.peers.pop(name)
+            while len(self.former_peers) > FORMER_PEERS_MAX:
+                del self.former_peers[next(iter(self.former_peers))]
+            for table in (
+                self.outgoing_transfers,
+                self.incoming_transfers,
+                self.digest_differed_at,
+                self.have_at,
+                self.range_digests_sent_at,
+                self.incoming_neighbours,
+            ):
                 table.pop(name, None)
             if name in self.neighbours:
-                self._choose(now)
+                self._choose_neighbours(now)
         return []
 
-    def fenced(self, now):
-        """The others went on without this front: what they let go is learnt before anything is told."""
+    def on_declared_dead(self, now):
+        """The others went on without this process: it learns what they removed before it sends anything."""
         return [
             SendMessage(peer, self._have_message())
-            for peer in self.chance.pick("fenced", sorted(self.peers), ASKED)
+            for peer in self.chance.pick("fenced", sorted(self.peers), CATCH_UP_PEERS)
         ]
 
-    def renewed(self, name, life):
-        """This front is another life from here on; what waited for the disk goes out as it is."""
-        self.name, self.life, self.counter = name, life, 0
+    def renewed(self, name, incarnation):
+        """Go on as a new incarnation; records that wait for the disk keep their versions."""
+        self.name = name
+        self.incarnation = incarnation
+        self.counter = 0
 
     def synced(self, number, now):
-        """The write of that number is on disk; what waited for it goes out."""
+        """The write of that number is durable: push what waited for it."""
         if self.writing is None or self.writing[0] != number:
             return []
-        self.on_disk, released = self.writing[1], self.writing[2]
-        self.writing, self.kept = None, True
-        done = self._spread(released, "", now)
-        return done + self._saved() + self._caught_up(now)
+        self.on_disk = self.writing[1]
+        released = self.writing[2]
+        self.writing = None
+        self.kept = True
+        actions = self._push(released, "", now)
+        return actions + self._start_write() + self._end_catch_up_if_complete(now)
 
     def not_kept(self, number, fault, now):
-        """The disk fails. A guard fact makes others more careful, so it goes on; what was seen is not said any more."""
-        released, self.writing, was, self.kept = (
-            self.writing[2] if self.writing else [],
-            None,
-            self.kept,
-            False,
-        )
+        """A write failed: records only make peers more careful, so they are still pushed, but not reported as seen."""
+        released = self.writing[2] if self.writing else []
+        self.writing = None
+        was_writable = self.kept
+        self.kept = False
         self.waiting = released + self.waiting
-        note = [LogEvent("fleet_not_kept", {"error": fault})] if was else []
-        return note + self._unkept(now) + self._caught_up(now)
+        events = [LogEvent("fleet_not_kept", {"error": fault})] if was_writable else []
+        return events + self._push_unwritable(now) + self._end_catch_up_if_complete(now)
 
-    def _unkept(self, now):
-        """Own facts that come while the disk fails: no write follows that would let them go out."""
+    def _push_unwritable(self, now):
+        """Push own records while the disk fails, as no write will follow that would release them."""
         if self.kept:
             return []
-        released, self.waiting = self.waiting, []
-        return self._spread(released, "", now)
+        released = self.waiting
+        self.waiting = []
+        return self._push(released, "", now)
 
     def due(self, now):
         """Run what is due by `now` (monotonic ns)."""
-        done = []
-        for what in [what for what, at in self.timers.items() if at <= now]:
-            done += getattr(self, "_due_" + what)(now)
+        actions = []
+        for timer in [timer for timer, at in self.timers.items() if at <= now]:
+            actions += getattr(self, "_on_timer_" + timer)(now)
         return (
-            done
-            + self._unkept(now)
-            + self._feed(now)
-            + (self._asking(now) if self.phase is CatchUpPhase.ASKING else [])
+            actions
+            + self._push_unwritable(now)
+            + self._send_transfers(now)
+            + (self._check_catch_up(now) if self.phase is CatchUpPhase.ASKING else [])
         )
 
-    # Own facts and the disk.
+    # Own records and the disk.
 
-    def _own(self, key, value, now):
+    def _put_own(self, key, value, now):
         self.counter += 1
-        fact = ReplicatedRecord(key, value, (self.name, self.life, self.counter))
-        joined, _ = self.facts.join(fact)
-        if joined is JoinResult.FULL:
+        record = ReplicatedRecord(key, value, (self.name, self.incarnation, self.counter))
+        result, _ = self.facts.join(record)
+        if result is JoinResult.FULL:
             self.counter -= 1
-            return self._no_room(fact)
-        if joined is JoinResult.NEW:
-            self._keep(fact, now)
-            self.waiting.append(fact)
+            return self._report_full(record)
+        if result is JoinResult.NEW:
+            self._note_change(record, now)
+            self.waiting.append(record)
         return []
 
-    def _orphans(self, key, now):
-        """This front heard its source lift it: so falls the word of one who heard the same and is there no more."""
-        for owner in sorted(self.gone):
+    def _lift_for_former_peers(self, key, now):
+        """A source of this process lifted a state: lift it too where its owner, which heard the same, is gone."""
+        for owner in sorted(self.former_peers):
             theirs = self.facts.held.get((*key[:4], owner))
             if theirs is not None and theirs.value[2] != SourceState.LIFTED:
-                self._own(theirs.key, (*theirs.value[:2], int(SourceState.LIFTED)), now)
-        return self._saved()
-
-    def _keep(self, fact, now):
-        self.changes += 1
-        self.unsaved[0].append(fact)
-        self._ages(fact, now)
-        for plan in self.plans.values():
-            # Or its end could claim a counter whose fact this one replaces, and the peer had neither.
-            plan.spans.append((*fact.dot[:2], fact.dot[2], fact.dot[2] + 1))
-
-    def _saved(self):
-        """One write at a time: what comes meanwhile goes out with the next one."""
+                self._put_own(theirs.key, (*theirs.value[:2], int(SourceState.LIFTED)), now)
+        return self._start_write()
+
+    def _note_change(self, record, now):
+        """Queue a record that was just stored for the next write, its expiry, and the transfers under way."""
+        self.change_count += 1
+        self.unsaved[0].append(record)
+        self._schedule_expiry(record, now)
+        for transfer in self.outgoing_transfers.values():
+            # Otherwise the end could claim a version whose record this one replaced, and the peer had neither.
+            transfer.intervals.append((*record.dot[:2], record.dot[2], record.dot[2] + 1))
+
+    def _start_write(self):
+        """Begin a write if none is under way; what arrives meanwhile is written with the next one."""
         if self.writing is not None or not any(self.unsaved):
             return []
         if not self.kept:
-            # Kept as a mere list of what a later snapshot has anyway, it would grow for as long as the disk is full.
-            if not self.capturing:
+            # A later snapshot contains these anyway; as a list they would grow for as long as the disk is full.
+            if not self.recovery_snapshot_begun:
                 self.unsaved = [], [], []
             return []
-        self.number += 1
-        record, self.unsaved = self.unsaved, ([], [], [])
-        self.writing, self.waiting = (self.number, self.facts.seen.copy(), self.waiting), []
-        return [PersistRecords(self.number, record)]
+        self.write_number += 1
+        record = self.unsaved
+        self.unsaved = ([], [], [])
+        self.writing = (self.write_number, self.facts.seen.copy(), self.waiting)
+        self.waiting = []
+        return [PersistRecords(self.write_number, record)]
 
     def captured(self):
-        """(facts, what was seen) for a snapshot; where the disk failed, what comes from here on follows it."""
-        self.capturing = not self.kept
-        if self.capturing:
+        """Return (records, versions seen) for a snapshot; after a disk failure, later changes are written after it."""
+        self.recovery_snapshot_begun = not self.kept
+        if self.recovery_snapshot_begun:
             self.unsaved = [], [], []
         return list(self.facts.held.values()), self.facts.seen.as_ranges()
 
     def disk_is_back(self, lives, now):
-        """That snapshot is on disk."""
-        self.kept, self.capturing, self.on_disk = True, False, VersionVector(lives)
-        return self._saved() + self._caught_up(now)
-
-    def _no_room(self, fact):
-        first, self.full = not self.full, True
+        """The snapshot of a disk that failed before is durable; `lives`: the versions seen that it has."""
+        self.kept = True
+        self.recovery_snapshot_begun = False
+        self.on_disk = VersionVector(lives)
+        return self._start_write() + self._end_catch_up_if_complete(now)
+
+    def _report_full(self, record):
+        is_first = not self.full_logged
+        self.full_logged = True
         return (
-            [LogEvent("fleet_full", {"facts": len(self.facts.held), "key": list(fact.key)})] if first else []
+            [LogEvent("fleet_full", {"facts": len(self.facts.held), "key": list(record.key)})]
+            if is_first
+            else []
         )
 
     # Spread.
 
-    def _spread(self, facts, sender, now):
-        if not facts:
+    def _push(self, records, sender, now):
+        if not records:
             return []
-        message = SpreadRecords(facts, 0, 0)
-        return [SendMessage(peer, message, True) for peer in self.to(now) if peer != sender]
+        message = SpreadRecords(records, 0, 0)
+        return [SendMessage(peer, message, True) for peer in self.push_targets(now) if peer != sender]
 
-    def _tell(self, sender, message, now):
-        done = [a for fact in message.facts for a in self._joined(sender, fact, now)]
+    def _on_spread_records(self, sender, message, now):
+        actions = [a for record in message.facts for a in self._join(sender, record, now)]
         if message.transfer:
-            coming = self._coming(sender, message.transfer, now)
-            coming.pieces.add(message.at)
-            return done + self._whole(sender, coming) + self._saved()  # who else lacks it asks as well
-        # What a full table has no room for is obeyed and not passed on: it would go round for ever.
-        new = [a.fact for a in done if isinstance(a, RecordInForce) and a.fact.key in self.facts.held]
-        return done + self._spread(new, sender, now) + self._saved()
-
-    def _done(self, sender, message, now):
-        coming = self._coming(sender, message.transfer, now)
-        coming.done = message
-        self.sharing.pop(sender, None)
-        return self._whole(sender, coming) + self._saved() + self._caught_up(now)
-
-    def _coming(self, sender, number, now):
-        self.moved = self.repaired_at = now
-        if sender not in self.coming or self.coming[sender].number != number:
-            self.coming[sender] = IncomingTransfer(number)
-        return self.coming[sender]
-
-    def _whole(self, sender, coming):
-        if coming.done is None or len(coming.pieces) < coming.done.pieces:
+            transfer = self._incoming_transfer(sender, message.transfer, now)
+            transfer.pieces.add(message.at)
+            # Not pushed on: other peers that lack these records request them as well.
+            return actions + self._complete_transfer(sender, transfer) + self._start_write()
+        # Records for which a full store has no room are obeyed but not pushed on: they would circulate for ever.
+        new = [a.fact for a in actions if isinstance(a, RecordInForce) and a.fact.key in self.facts.held]
+        return actions + self._push(new, sender, now) + self._start_write()
+
+    def _on_transfer_end(self, sender, message, now):
+        transfer = self._incoming_transfer(sender, message.transfer, now)
+        transfer.end = message
+        self.pending_shares.pop(sender, None)
+        return (
+            self._complete_transfer(sender, transfer)
+            + self._start_write()
+            + self._end_catch_up_if_complete(now)
+        )
+
+    def _incoming_transfer(self, sender, number, now):
+        self.progress_at = self.repaired_at = now
+        if sender not in self.incoming_transfers or self.incoming_transfers[sender].number != number:
+            self.incoming_transfers[sender] = IncomingTransfer(number)
+        return self.incoming_transfers[sender]
+
+    def _complete_transfer(self, sender, transfer):
+        """Count the claimed versions as seen once all pieces and the end have arrived."""
+        if transfer.end is None or len(transfer.pieces) < transfer.end.pieces:
             return []
-        for owner, life, ends in coming.done.claims:
-            for first, past in zip(ends[::2], ends[1::2], strict=True):
-                self.facts.seen.add_range(owner, life, first, past)
-                self.unsaved[1].append((owner, life, first, past))
-        self.changes += 1
-        del self.coming[sender]
+        for owner, incarnation, bounds in transfer.end.claims:
+            for first, end in zip(bounds[::2], bounds[1::2], strict=True):
+                self.facts.seen.add_range(owner, incarnation, first, end)
+                self.unsaved[1].append((owner, incarnation, first, end))
+        self.change_count += 1
+        del self.incoming_transfers[sender]
         return []
 
-    def _joined(self, sender, fact, now, repair=False):
-        mine = self.facts.held.get(fact.key)
-        joined, _ = self.facts.join(fact)
-        if joined is JoinResult.NEW:
-            self._keep(fact, now)
-            return [RecordInForce(fact)]
-        if joined is JoinResult.FULL:
-            return [*self._no_room(fact), RecordInForce(fact)]
-        if joined is JoinResult.OLD:
-            if mine is None or fact.dot != mine.dot:
-                self.unsaved[1].append((*fact.dot[:2], fact.dot[2], fact.dot[2] + 1))
-                self.changes += 1
-            if not repair or mine is None or mine.value >= fact.value:
+    def _join(self, sender, record, now, repair=False):
+        current = self.facts.held.get(record.key)
+        result, _ = self.facts.join(record)
+        if result is JoinResult.NEW:
+            self._note_change(record, now)
+            return [RecordInForce(record)]
+        if result is JoinResult.FULL:
+            return [*self._report_full(record), RecordInForce(record)]
+        if result is JoinResult.OLD:
+            if current is None or record.dot != current.dot:
+                self.unsaved[1].append((*record.dot[:2], record.dot[2], record.dot[2] + 1))
+                self.change_count += 1
+            if not repair or current is None or current.value >= record.value:
                 return []
-        return self._twice(sender, fact, now)
-
-    def _twice(self, sender, fact, now):
-        """One dot, two contents. Neither may be lost, others have seen the dot: both go on under dots of this front."""
-        done = [LogEvent("fleet_dot_twice", {"dot": list(fact.dot), "key": list(fact.key), "by": sender})]
-        mine, there = self.facts.held.get(fact.key), self.facts.at.get(fact.dot[:2], {}).get(fact.dot[2])
-        if there is not None and (there != fact.key or mine.value > fact.value):
-            if fact.dot[0] not in (self.name, sender) and fact.dot[0] in self.peers:
-                done.append(SendMessage(fact.dot[0], RepairRecords([self.facts.held[there], fact]), True))
-            self._out_under_own(self.facts.held[there], now)
-        if mine is None or mine.value < fact.value:
-            done += [*self._own(fact.key, fact.value, now), RecordInForce(fact)]
-        if fact.dot[:2] == (self.name, self.life):
-            done.append(VersionConflict(sender))
-        return done + self._saved()
-
-    def _out_under_own(self, fact, now):
-        """The same fact under a dot of this front's own, which no one has seen yet."""
+        return self._resolve_conflict(sender, record, now)
+
+    def _resolve_conflict(self, sender, record, now):
+        """Two contents under one version: write both again under versions of this process.
+
+        Neither may be lost, and others that have seen the version would not take the other content under it.
+        """
+        actions = [
+            LogEvent("fleet_dot_twice", {"dot": list(record.dot), "key": list(record.key), "by": sender})
+        ]
+        current = self.facts.held.get(record.key)
+        held_key = self.facts.key_by_counter.get(record.dot[:2], {}).get(record.dot[2])
+        if held_key is not None and (held_key != record.key or current.value > record.value):
+            if record.dot[0] not in (self.name, sender) and record.dot[0] in self.peers:
+                actions.append(
+                    SendMessage(record.dot[0], RepairRecords([self.facts.held[held_key], record]), True)
+                )
+            self._rewrite_as_own(self.facts.held[held_key], now)
+        if current is None or current.value < record.value:
+            actions += [*self._put_own(record.key, record.value, now), RecordInForce(record)]
+        if record.dot[:2] == (self.name, self.incarnation):
+            actions.append(VersionConflict(sender))
+        return actions + self._start_write()
+
+    def _rewrite_as_own(self, record, now):
+        """Put the same content under a version of this process, which nobody has seen yet."""
         self.counter += 1
-        fresh = ReplicatedRecord(fact.key, fact.value, (self.name, self.life, self.counter))
-        self.facts.let_go(fact.key)
-        self.facts.join(fresh)
-        self._keep(fresh, now)
-        self.waiting.append(fresh)
+        rewritten = ReplicatedRecord(record.key, record.value, (self.name, self.incarnation, self.counter))
+        self.facts.remove(record.key)
+        self.facts.join(rewritten)
+        self._note_change(rewritten, now)
+        self.waiting.append(rewritten)
 
     # Repair.
 
     def _have_message(self, part=(0, 1), number=0):
-        # To ask for the rest, what is here: by what is on disk all that is being written would be sent once more.
+        # A request lists what is in memory: by what is durable, all that is being written would be sent once more.
         seen = self.facts.seen if number else self.on_disk
         return SeenReport(seen.as_ranges(), self.facts.root(), part, number)
 
-    def _due_held(self, now):
-        self.timers["held"] = now + HELD_EVERY
-        return [SendMessage(peer, DigestAnnouncement(self.digest())) for peer in self.to(now)]
+    def _on_timer_digest(self, now):
+        self.timers["digest"] = now + HELD_EVERY
+        return [SendMessage(peer, DigestAnnouncement(self.digest())) for peer in self.push_targets(now)]
 
-    def compared(self, sender, theirs, now):
-        """A peer's digest, from a neighbour or with a probe."""
+    def on_digest(self, sender, theirs, now):
+        """Take a peer's digest, announced by a neighbour or sent with a probe."""
         if theirs == self.digest() or sender not in self.peers:
-            self.differs.pop(sender, None)
+            self.digest_differed_at.pop(sender, None)
             return []
-        # What is just spreading differs as well: only what differs twice is asked after, and from one peer at a time.
-        first = sender not in self.differs
-        self.differs[sender] = now
-        if first or self.phase is CatchUpPhase.ASKING or now - self.repaired_at < HELD_EVERY:
+        # Records that are just spreading differ as well: only a second difference starts a repair, with one peer at a
+        # time.
+        is_first = sender not in self.digest_differed_at
+        self.digest_differed_at[sender] = now
+        if is_first or self.phase is CatchUpPhase.ASKING or now - self.repaired_at < HELD_EVERY:
             return []
-        if now - self.have_at.get(sender, -S) < HAVE_AGAIN:
+        if now - self.have_at.get(sender, -S) < SEEN_REPORT_INTERVAL_MIN:
             return []
         self.have_at[sender] = self.repaired_at = now
         return [SendMessage(sender, self._have_message())]
 
-    def _due_seen(self, now):
-        self.timers["seen"] = now + SEEN_EVERY
+    def _on_timer_seen_report(self, now):
+        self.timers["seen_report"] = now + SEEN_REPORT_PERIOD
         return [
             SendMessage(peer, self._have_message()) for peer in self.chance.pick("seen", sorted(self.peers))
         ]
 
-    def _have(self, sender, message, now):
+    def _on_seen_report(self, sender, message, now):
         theirs = VersionVector(message.lives)
         if sender in self.peers and not message.number:
             self.peers[sender] = theirs
         live = self.phase in (CatchUpPhase.TOGETHER, CatchUpPhase.ALONE)
-        done = (
+        actions = (
             [SendMessage(sender, CatchUpMark(message.number, self.on_disk.as_ranges(), live))]
             if message.number
             else []
         )
-        lacks = _share(theirs.missing(self.on_disk), message.part)
-        if lacks:
-            # A share makes no claims: what replaced one of its facts may come with another peer's share.
+        missing = _share_of(theirs.missing(self.on_disk), message.part)
+        if missing:
+            # A share claims no versions: what replaced one of its records may arrive with another peer's share.
             claims = VersionVector()
-            for span in lacks if message.part[1] <= 1 else ():
-                claims.add_range(*span)
-            self.plans[sender] = TransferPlan(next(self.transfers), lacks, claims.as_ranges())
-            return done + self._feed(now)
-        self.plans.pop(sender, None)
+            for interval in missing if message.part[1] <= 1 else ():
+                claims.add_range(*interval)
+            self.outgoing_transfers[sender] = OutgoingTransfer(
+                next(self.transfer_numbers), missing, claims.as_ranges()
+            )
+            return actions + self._send_transfers(now)
+        self.outgoing_transfers.pop(sender, None)
         if message.number:
-            return [*done, SendMessage(sender, TransferEnd(next(self.transfers), 0, []), True)]
+            return [*actions, SendMessage(sender, TransferEnd(next(self.transfer_numbers), 0, []), True)]
         if not self.facts.seen.covers(theirs):
-            # While it catches up, or a transfer comes, one more list would have all of it sent twice.
-            under_way = self.phase is CatchUpPhase.ASKING or now - self.repaired_at < HAVE_AGAIN
-            if not under_way and now - self.have_at.get(sender, -S) >= HAVE_AGAIN:
+            # While catching up, or while a transfer arrives, a further report would have all of it sent twice.
+            is_under_way = (
+                self.phase is CatchUpPhase.ASKING or now - self.repaired_at < SEEN_REPORT_INTERVAL_MIN
+            )
+            if not is_under_way and now - self.have_at.get(sender, -S) >= SEEN_REPORT_INTERVAL_MIN:
                 self.have_at[sender] = now
-                done.append(SendMessage(sender, self._have_message()))
-        elif message.root != self.facts.root() and now - self.ranges_at.get(sender, -S) >= RANGES_AGAIN:
-            self.ranges_at[sender] = now
-            done.append(SendMessage(sender, RangeDigests(list(self.facts.ranges))))
-        return done
-
-    def _feed(self, now):
-        """Facts for those that lack some, in turn, held to the rate."""
-        if not self.plans:
+                actions.append(SendMessage(sender, self._have_message()))
+        elif (
+            message.root != self.facts.root()
+            and now - self.range_digests_sent_at.get(sender, -S) >= RANGE_DIGESTS_INTERVAL_MIN
+        ):
+            self.range_digests_sent_at[sender] = now
+            actions.append(SendMessage(sender, RangeDigests(list(self.facts.range_digests))))
+        return actions
+
+    def _send_transfers(self, now):
+        """Send the next pieces of all transfers in turn, limited by a token bucket of `rate` bytes a second."""
+        if not self.outgoing_transfers:
             self.tokens_at = now
             return []
-        burst = CHUNK * FACT_BYTES * 2
+        burst = RECORDS_PER_MESSAGE * RECORD_BYTES * 2
         self.tokens = min(burst, self.tokens + (now - self.tokens_at) * self.rate // S)
-        self.tokens_at, done = now, []
+        self.tokens_at = now
+        actions = []
         while self.tokens > 0:
-            # What a slow peer has not taken yet would be dropped at the bound of its queue, and sent all over again.
-            peer = next((name for name in self.plans if name not in self.slow), None)
+            # More for a slow peer would be dropped at the bound of its send queue, and then be requested again.
+            peer = next((name for name in self.outgoing_transfers if name not in self.slow_peers), None)
             if peer is None:
                 break
-            plan, facts = self.plans.pop(peer), []
-            looked = 0
-            while plan.spans and len(facts) < CHUNK and looked < CHUNK:
-                owner, life, first, past = plan.spans.pop()
-                found, upto = self.facts.between(owner, life, first, past, CHUNK - len(facts))
-                facts += found
-                looked += 1
-                if upto < past:
-                    plan.spans.append((owner, life, upto, past))
-            cost = len(facts) * FACT_BYTES
-            if facts:
-                done.append(SendMessage(peer, SpreadRecords(facts, plan.number, plan.pieces), True))
-                plan.pieces += 1
-            if plan.spans:
-                self.plans[peer] = plan  # at the end: the next one's turn
+            transfer = self.outgoing_transfers.pop(peer)
+            records = []
+            searched = 0
+            while (
+                transfer.intervals and len(records) < RECORDS_PER_MESSAGE and searched < RECORDS_PER_MESSAGE
+            ):
+                owner, incarnation, first, end = transfer.intervals.pop()
+                found, complete_to = self.facts.in_interval(
+                    owner, incarnation, first, end, RECORDS_PER_MESSAGE - len(records)
+                )
+                records += found
+                searched += 1
+                if complete_to < end:
+                    transfer.intervals.append((owner, incarnation, complete_to, end))
+            cost = len(records) * RECORD_BYTES
+            if records:
+                actions.append(
+                    SendMessage(peer, SpreadRecords(records, transfer.number, transfer.pieces), True)
+                )
+                transfer.pieces += 1
+            if transfer.intervals:
+                self.outgoing_transfers[peer] = transfer  # moved to the end: round robin
             else:
-                done.append(SendMessage(peer, TransferEnd(plan.number, plan.pieces, plan.claims), True))
-                cost += len(plan.claims) * SPAN_BYTES
+                actions.append(
+                    SendMessage(peer, TransferEnd(transfer.number, transfer.pieces, transfer.claims), True)
+                )
+                cost += len(transfer.claims) * INTERVAL_BYTES
             self.tokens -= cost
             self.bytes_out += cost
-        return done
+        return actions
 
-    def _ranges(self, sender, message):
+    def _on_range_digests(self, sender, message):
         if len(message.digests) != BUCKETS:
             return []
-        chosen, size, own = [], 0, self.facts
-        for at in [at for at in range(BUCKETS) if message.digests[at] != own.ranges[at]]:
-            size += len(own.in_range[at])
-            if size <= KEYS_MOST or not chosen:
+        chosen = []
+        size = 0
+        own = self.facts
+        for at in [at for at in range(BUCKETS) if message.digests[at] != own.range_digests[at]]:
+            size += len(own.digests_by_key[at])
+            if size <= COMPARED_KEYS_MAX or not chosen:
                 chosen.append(at)
-        return [SendMessage(sender, self._keys_of(chosen, True))] if chosen else []
-
-    def _keys_of(self, ranges, answer):
-        facts = [(f.key, f.dot, hashed) for f, hashed in self.facts.keys_in(set(ranges))]
-        return RangeKeys(ranges, facts, answer)
-
-    def _keys(self, sender, message, now):
-        """What differs goes there; a word that the other has seen and let go is let go here as well."""
-        chosen, theirs = (
-            {at for at in message.ranges if 0 <= at < BUCKETS},
-            {k: h for k, _, h in message.facts},
-        )
-        differ, done, seen = [], [], self.peers.get(sender) or VersionVector()
-        for fact, hashed in self.facts.keys_in(chosen):
-            if fact.key not in theirs:
-                if fact.key[0] == SERVER_STATE and seen.contains(fact.dot):
-                    done += [
-                        *self._forget(fact.key),
-                        RecordInForce(fact._replace(value=(*fact.value[:2], int(SourceState.LIFTED)))),
+        return [SendMessage(sender, self._range_keys(chosen, True))] if chosen else []
+
+    def _range_keys(self, ranges, answer):
+        records = [(r.key, r.dot, hashed) for r, hashed in self.facts.in_ranges(set(ranges))]
+        return RangeKeys(ranges, records, answer)
+
+    def _on_range_keys(self, sender, message, now):
+        """Send what differs; remove a server's state that the peer has seen and removed."""
+        chosen = {at for at in message.ranges if 0 <= at < BUCKETS}
+        theirs = {key: hashed for key, _, hashed in message.facts}
+        different = []
+        actions = []
+        seen = self.peers.get(sender) or VersionVector()
+        for record, hashed in self.facts.in_ranges(chosen):
+            if record.key not in theirs:
+                if record.key[0] == SERVER_STATE and seen.contains(record.dot):
+                    actions += [
+                        *self._remove(record.key),
+                        RecordInForce(record._replace(value=(*record.value[:2], int(SourceState.LIFTED)))),
                     ]
-            elif theirs[fact.key] != hashed:
-                differ.append(fact)
-        # In pieces: each fact takes a new dot over there, and thousands in one turn would hold up its GETs.
-        done += [
-            SendMessage(sender, RepairRecords(differ[at : at + TWINS]), True)
-            for at in range(0, len(differ), TWINS)
+            elif theirs[record.key] != hashed:
+                different.append(record)
+        # In pieces: the peer writes each record under a new version, and thousands in one turn would delay its GETs.
+        actions += [
+            SendMessage(sender, RepairRecords(different[at : at + RECORDS_PER_REPAIR]), True)
+            for at in range(0, len(different), RECORDS_PER_REPAIR)
         ]
         if message.answer:
-            done.append(SendMessage(sender, self._keys_of(sorted(chosen), False)))
-        return done + self._saved()
-
-    # Letting go.
-
-    def _due_let_go(self, now):
-        """What has outlived its use, once all that are there have seen it; who is fenced learns it by its dot."""
-        self.timers["let_go"], done = now + LET_GO_EVERY, []
-        while self.ageing and self.ageing[0][0] <= now:
-            key = heapq.heappop(self.ageing)[2]
-            fact = self.facts.held.get(key)
-            if fact is None or self._life(fact) is None:
-                continue  # a newer one of this key has a time of its own
-            if self.on_disk.contains(fact.dot) and all(
-                seen.contains(fact.dot) for seen in self.peers.values()
+            actions.append(SendMessage(sender, self._range_keys(sorted(chosen), False)))
+        return actions + self._start_write()
+
+    # Removal.
+
+    def _on_timer_expiry(self, now):
+        """Remove expired records that all reachable peers have seen; one declared dead learns it by their versions."""
+        self.timers["expiry"] = now + EXPIRY_PERIOD
+        actions = []
+        while self.expiry_queue and self.expiry_queue[0][0] <= now:
+            key = heapq.heappop(self.expiry_queue)[2]
+            record = self.facts.held.get(key)
+            if record is None or self._retention_of(record) is None:
+                continue  # a newer record of this key has an entry of its own
+            if self.on_disk.contains(record.dot) and all(
+                seen.contains(record.dot) for seen in self.peers.values()
             ):
-                done += self._forget(key)
+                actions += self._remove(key)
             else:
-                heapq.heappush(self.ageing, (now + SEEN_EVERY, next(self.order), key))
-        return done + self._saved()
+                heapq.heappush(self.expiry_queue, (now + SEEN_REPORT_PERIOD, next(self.expiry_order), key))
+        return actions + self._start_write()
 
-    def _life(self, fact):
-        """How long it is of use (ns); None where that has no end: a drain that stands, a removal that is held."""
-        if fact.key[0] == INVALIDATION or fact.key[0] == SERVER_STATE and fact.value[2] == SourceState.LIFTED:
-            return self.lives[INVALIDATION]
+    def _retention_of(self, record):
+        """Return how long the record is kept (ns), or None: a drain in force and a held list don't expire."""
+        if (
+            record.key[0] == INVALIDATION
+            or record.key[0] == SERVER_STATE
+            and record.value[2] == SourceState.LIFTED
+        ):
+            return self.retention[INVALIDATION]
         return (
-            self.lives[SERVER_STATE]
-            if fact.key[0] == SERVER_STATE and fact.value[2] == SourceState.GONE
+            self.retention[SERVER_STATE]
+            if record.key[0] == SERVER_STATE and record.value[2] == SourceState.GONE
             else None
         )
 
-    def _ages(self, fact, now):
-        if (life := self._life(fact)) is not None:
-            heapq.heappush(self.ageing, (now + life, next(self.order), fact.key))
+    def _schedule_expiry(self, record, now):
+        if (retention := self._retention_of(record)) is not None:
+            heapq.heappush(self.expiry_queue, (now + retention, next(self.expiry_order), record.key))
 
-    def _forget(self, key):
-        fact = self.facts.held[key]
-        self.facts.let_go(key)
+    def _remove(self, key):
+        record = self.facts.held[key]
+        self.facts.remove(key)
         self.unsaved[2].append(key)
-        self.changes += 1
-        self.full = False
-        return [RecordDiscarded(fact)]
+        self.change_count += 1
+        self.full_logged = False
+        return [RecordDiscarded(record)]
 
     # Neighbours.
 
-    def _due_choose(self, now):
+    def _on_timer_neighbours(self, now):
         self.epoch += 1
-        return self._choose(now)
+        return self._choose_neighbours(now)
 
-    def _choose(self, now):
-        """By hash, so that fronts choose apart; others after a while."""
-        self.timers["choose"] = now + NEIGHBOURS_FOR
+    def _choose_neighbours(self, now):
+        """Choose by a hash of both names and the epoch, so that replicas choose differently, and anew each period."""
+        self.timers["neighbours"] = now + NEIGHBOURS_PERIOD
         ranked = sorted(
             self.peers,
             key=lambda name: (crc32(f"{self.name}/{name}/{self.epoch}".encode()) * 2654435761 % 2**32, name),
@@ -736,39 +849,47 @@
 
     # Catching up.
 
-    def asks(self, now):
-        """This front returns: it is live once it has seen what those that it asks had seen when they were asked."""
-        self.phase, self.ask_until, self.moved = CatchUpPhase.ASKING, now + self.alone_after, now
-        # Not at once: all that return together would ask the first that any of them hears of.
-        self.asked, self.marks, self.meet_at = {}, {}, now + MEET
+    def begin_catch_up(self, now):
+        """Begin to catch up: it ends once this replica has seen what those asked had seen when they were asked."""
+        self.phase = CatchUpPhase.ASKING
+        self.catch_up_deadline = now + self.alone_after
+        self.progress_at = now
+        # Not at once: replicas that return together would all ask the first peer that any of them meets.
+        self.asked_peers = {}
+        self.marks = {}
+        self.ask_not_before = now + CATCH_UP_DELAY
         return []
 
-    def _ask(self, now):
-        self.ask_number += 1
-        # Against many that return at once and ask each other: those known to wait as well come last.
-        names = sorted(self.peers, key=lambda name: (self.waiting_too.get(name, False), self.chance(name)))[
-            :ASKED
-        ]
-        self.asked, self.marks, self.moved = dict.fromkeys(names), {}, now
-        self.sharing = dict.fromkeys(names)
+    def _ask_peers(self, now):
+        self.request_number += 1
+        # Replicas that return together must not wait for each other: peers known to catch up themselves come last.
+        names = sorted(
+            self.peers, key=lambda name: (self.is_catching_up.get(name, False), self.chance(name))
+        )[:CATCH_UP_PEERS]
+        self.asked_peers = dict.fromkeys(names)
+        self.marks = {}
+        self.progress_at = now
+        self.pending_shares = dict.fromkeys(names)
         return [
-            SendMessage(name, self._have_message((at, len(names)), self.ask_number))
+            SendMessage(name, self._have_message((at, len(names)), self.request_number))
             for at, name in enumerate(names)
         ]
 
-    def _asking(self, now):
-        # A time of its own: by those that have passed while it waits for more, it would be due without end.
-        self.ask_at = now + ASK_EVERY
-        if done := self._caught_up(now):
-            return done
-        if now >= self.ask_until and not (self.marks and now - self.moved < self.alone_after):
+    def _check_catch_up(self, now):
+        # A timer of its own: by a deadline that has passed while it waits for more, it would be due without end.
+        self.catch_up_check_at = now + CATCH_UP_PERIOD
+        if actions := self._end_catch_up_if_complete(now):
+            return actions
+        if now >= self.catch_up_deadline and not (self.marks and now - self.progress_at < self.alone_after):
             self.phase = CatchUpPhase.ALONE
             return [CaughtUp("alone", [])]
-        if not self.asked:
-            return self._ask(now) if self.peers and now >= self.meet_at else []
-        # On a busy machine a transfer that has begun only stands still: asked for anew, all on the way comes twice.
-        patience = min(6 * STUCK, self.alone_after // 2) if self.coming else STUCK
-        if now - self.moved < patience and (self.sharing or not self.marks):
+        if not self.asked_peers:
+            return self._ask_peers(now) if self.peers and now >= self.ask_not_before else []
+        # On a busy machine a transfer that has begun may only pause: a new request would have all of it sent twice.
+        timeout = (
+            min(6 * CATCH_UP_STALL, self.alone_after // 2) if self.incoming_transfers else CATCH_UP_STALL
+        )
+        if now - self.progress_at < timeout and (self.pending_shares or not self.marks):
             return []
         uncovered = [
             name
@@ -776,69 +897,79 @@
             if name in self.peers and not self.facts.seen.covers(mark)
         ]
         if not uncovered and any(not self.on_disk.covers(mark) for mark in self.marks.values()) and self.kept:
-            return []  # it is all here, and being written
+            return []  # all of it has arrived and is being written
         if uncovered:
-            # Shares overlap where peers had seen different things: the rest from each that still has some.
-            self.moved, self.sharing = now, dict.fromkeys(uncovered[:1])
-            return [SendMessage(uncovered[0], self._have_message((0, 1), self.ask_number))]
-        return self._ask(now)
-
-    def _caught_up(self, now):
-        """Live once it covers every mark of those asked that are still there, and one at least; on disk as well."""
+            # Shares overlap where peers had seen different versions: request the rest from one that still has some.
+            self.progress_at = now
+            self.pending_shares = dict.fromkeys(uncovered[:1])
+            return [SendMessage(uncovered[0], self._have_message((0, 1), self.request_number))]
+        return self._ask_peers(now)
+
+    def _end_catch_up_if_complete(self, now):
+        """End catching up once the marks of all reachable peers asked, at least one, are covered and durable."""
         if self.phase is not CatchUpPhase.ASKING or not self.marks:
             return []
-        there = [name for name in self.asked if name in self.peers]
-        if now >= self.ask_until:
-            there = [name for name in there if name in self.marks]  # one that is heard but doesn't hear
-        if not there or any(name not in self.marks for name in there):
+        reachable = [name for name in self.asked_peers if name in self.peers]
+        if now >= self.catch_up_deadline:
+            reachable = [
+                name for name in reachable if name in self.marks
+            ]  # others may be cut off in one direction
+        if not reachable or any(name not in self.marks for name in reachable):
             return []
         if (
-            now < self.ask_until + self.alone_after
-            and all(self.waiting_too[n] for n in there)
+            now < self.catch_up_deadline + self.alone_after
+            and all(self.is_catching_up[n] for n in reachable)
             and (
-                any(not self.waiting_too.get(name, False) for name in self.peers)
-                or self.unmet
-                and now < self.ask_until
+                any(not self.is_catching_up.get(name, False) for name in self.peers)
+                or self.seeds_unmet
+                and now < self.catch_up_deadline
             )
         ):
-            return []  # none of them can tell more than this one, and others may
+            return []  # all of them still catch up themselves, and other peers may know more
         seen = self.on_disk if self.kept else self.facts.seen
-        if not all(seen.covers(self.marks[name]) for name in there):
+        if not all(seen.covers(self.marks[name]) for name in reachable):
             return []
         self.phase = CatchUpPhase.TOGETHER
-        return [CaughtUp("caught-up", there)]
+        return [CaughtUp("caught-up", reachable)]
 
 
-def _together(actions):
-    """Of many twins in one message one note and one repair to each owner: a copied disk has thousands."""
-    notes = [a for a in actions if isinstance(a, LogEvent) and a.event == "fleet_dot_twice"]
-    if len(notes) < 2:
+def _merge_conflicts(actions):
+    """Merge the conflicts of one message into one log event and one repair to each owner.
+
+    A disk that was copied has thousands of them.
+    """
+    events = [a for a in actions if isinstance(a, LogEvent) and a.event == "fleet_dot_twice"]
+    if len(events) < 2:
         return actions
-    repairs, rest = {}, []
+    repairs = {}
+    rest = []
     for action in actions:
         if isinstance(action, SendMessage) and isinstance(action.message, RepairRecords):
             repairs.setdefault(action.to, []).extend(action.message.facts)
-        elif action not in notes:
+        elif action not in events:
             rest.append(action)
-    note = notes[0]._replace(said={**notes[0].said, "count": len(notes)})
+    event = events[0]._replace(fields={**events[0].fields, "count": len(events)})
     return [
-        note,
+        event,
         *rest,
-        *[SendMessage(to, RepairRecords(facts[:CHUNK]), True) for to, facts in repairs.items()],
+        *[
+            SendMessage(to, RepairRecords(records[:RECORDS_PER_MESSAGE]), True)
+            for to, records in repairs.items()
+        ],
     ]
 
 
-def _share(spans, part):
-    """The part of the spans, cut in blocks, that one of several peers is asked for."""
-    which, of = part
-    if of <= 1:
-        return spans
+def _share_of(intervals, part):
+    """Return the share of the intervals, cut into blocks, that is requested from one of several peers."""
+    share, shares = part
+    if shares <= 1:
+        return intervals
     found = []
-    for owner, life, first, past in spans:
-        start = crc32(owner.encode()) + life
-        while first < past:
-            upto = min(past, (first // BLOCK + 1) * BLOCK)
-            if (start + first // BLOCK) % of == which:
-                found.append((owner, life, first, upto))
-            first = upto
+    for owner, incarnation, first, end in intervals:
+        start = crc32(owner.encode()) + incarnation
+        while first < end:
+            block_end = min(end, (first // SHARE_BLOCK + 1) * SHARE_BLOCK)
+            if (start + first // SHARE_BLOCK) % shares == share:
+                found.append((owner, incarnation, first, block_end))
+            first = block_end
     return found
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -157,7 +157,7 @@
             for part in self.parts:
                 part.on_leaving()
         if self.peer is not None and self.links is not None:
-            self.do(self.peer.leaves(time.monotonic_ns()))
+            self.do(self.peer.leave(time.monotonic_ns()))
 
     def forwarded(self, cache, outcome, found, took, asked):
         """Tell the components of an attempt's end."""
@@ -258,7 +258,7 @@
                     gc.freeze()  # as after the loading
                     self.up.set()
                 case LogEvent():
-                    self.log(action.event, **action.said)
+                    self.log(action.event, **action.fields)
                 case CheckPort(name, address, life):
                     self.links.look(address, lambda name=name, life=life: self._refused(name, life))
                 case ViewChanged():
@@ -299,7 +299,7 @@
 
     def _due(self):
         try:
-            self.peer.replica.slow = self.links.slow()
+            self.peer.replica.slow_peers = self.links.slow()
             self.do(self.peer.due(time.monotonic_ns()))
         except Exception as fault:  # without a next time this front would fall silent for good
             self.driver.fault(fault)
@@ -319,7 +319,12 @@
                     [one for one in said if isinstance(one, EjectionGossip)],
                 )
                 self.rows_out += len(said)
-                self.do([SendMessage(name, message) for name in self.peer.replica.to(time.monotonic_ns())])
+                self.do(
+                    [
+                        SendMessage(name, message)
+                        for name in self.peer.replica.push_targets(time.monotonic_ns())
+                    ]
+                )
 
     def _reset(self, name):
         self.do(self.peer.reset(name, time.monotonic_ns()))
@@ -493,7 +498,7 @@
             name: sum(past - first for _, _, first, past in seen.missing(replica.facts.seen))
             for name, seen in replica.peers.items()
         }
-        kinds = {kind: count for kind, count in replica.facts.kinds.items() if count}
+        kinds = {kind: count for kind, count in replica.facts.count_by_kind.items() if count}
         return {
             "fleet": self.node.name,
             "phase": "caught up" if replica.phase is CatchUpPhase.TOGETHER else replica.phase.name.lower(),
@@ -561,7 +566,7 @@
     async def _found(self, chosen):
         """(how many, the first of them), a range of keys a turn: a question must not hold up GETs."""
         facts, count, found = self.peer.replica.facts, 0, []
-        for keys in facts.in_range:
+        for keys in facts.digests_by_key:
             of_range = [key for key in keys if chosen(key)]
             count += len(of_range)
             found += [facts.held[key] for key in of_range[: SHOWN_MOST - len(found)]]
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -124,7 +124,7 @@
 
 
 def test_a_front_with_a_full_table_obeys_what_it_is_told_and_passes_it_on_to_nobody():
-    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0, most=1)
+    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0, max_records=1)
     made.stands("n0", True, 0)
     made.stands("n2", True, 0)
     done = made.heard("n0", replica.SpreadRecords([FACTS[0]], 0, 0), 0)
@@ -211,7 +211,7 @@
     done = made.heard(
         "n0", replica.SpreadRecords([f._replace(value=(5 + f.key[2] % 2 * 2 - 1,)) for f in ours], 0, 0), 0
     )
-    assert [a.said["count"] for a in done if isinstance(a, replica.LogEvent)] == [150]
+    assert [a.fields["count"] for a in done if isinstance(a, replica.LogEvent)] == [150]
     assert [
         (a.to, len(a.message.facts))
         for a in done
@@ -229,11 +229,11 @@
     for made, value in ((one, 5), (other, 6)):
         facts = [ReplicatedRecord(("purge", "object", n), (value,), ("n0", 1, n + 1)) for n in range(700)]
         made.heard("n0", replica.SpreadRecords(facts, 0, 0), 0)
-    keys = one.heard("n2", replica.RangeDigests(list(other.facts.ranges)), 0)[0].message
+    keys = one.heard("n2", replica.RangeDigests(list(other.facts.range_digests)), 0)[0].message
     repairs = [
         a.message.facts for a in other.heard("n1", keys, 0) if isinstance(a.message, replica.RepairRecords)
     ]
-    assert sum(map(len, repairs)) == 700 and max(map(len, repairs)) <= replica.TWINS
+    assert sum(map(len, repairs)) == 700 and max(map(len, repairs)) <= replica.RECORDS_PER_REPAIR
 
 
 def test_what_is_told_while_the_disk_fails_goes_out_and_is_not_said_to_have_been_seen():
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -75,7 +75,7 @@
 
 
 def _not_joined(monkeypatch):
-    whole = replica.Replica._joined
+    whole = replica.Replica._join
 
     def joined(self, sender, fact, now, repair=False):
         if fact.key[0] == "purge" and fact.key[2] % 5 == 0:
@@ -83,7 +83,7 @@
             return []
         return whole(self, sender, fact, now, repair)
 
-    monkeypatch.setattr(replica.Replica, "_joined", joined)
+    monkeypatch.setattr(replica.Replica, "_join", joined)
 
 
 def _last_one_wins(monkeypatch):
@@ -93,7 +93,7 @@
             return JoinResult.OLD, mine
         self.seen.add(fact.dot)
         if mine is not None:
-            self._out(mine)
+            self._take_out(mine)
         self.put(fact)
         return JoinResult.NEW, mine
 
@@ -116,15 +116,15 @@
 
 
 def _let_go_early(monkeypatch):
-    monkeypatch.setattr(replica.Replica, "_due_let_go", _due_let_go_at_once)
-    monkeypatch.setattr(replica.Replica, "_keys", lambda self, sender, message, now: [])
+    monkeypatch.setattr(replica.Replica, "_on_timer_expiry", _due_let_go_at_once)
+    monkeypatch.setattr(replica.Replica, "_on_range_keys", lambda self, sender, message, now: [])
 
 
 def _due_let_go_at_once(self, now):
-    self.timers["let_go"], done = now + replica.LET_GO_EVERY, []
+    self.timers["expiry"], done = now + replica.EXPIRY_PERIOD, []
     for key in [k for k, f in self.facts.held.items() if k[0] == "word" and f.value[2] == SourceState.LIFTED]:
-        done += self._forget(key)
-    return done + self._saved()
+        done += self._remove(key)
+    return done + self._start_write()
 
 
 def _live_at_once(monkeypatch):
@@ -134,7 +134,7 @@
         self.phase = replica.CatchUpPhase.TOGETHER
         return [replica.CaughtUp("caught-up", list(self.marks))]
 
-    monkeypatch.setattr(replica.Replica, "_caught_up", caught_up)
+    monkeypatch.setattr(replica.Replica, "_end_catch_up_if_complete", caught_up)
 
 
 @pytest.mark.parametrize(
@@ -198,13 +198,13 @@
 
 
 def _claims_before_the_pieces(monkeypatch):
-    whole = replica.Replica._whole
+    whole = replica.Replica._complete_transfer
 
     def at_once(self, sender, coming):
-        coming.pieces |= set(range(coming.done.pieces if coming.done else 0))
+        coming.pieces |= set(range(coming.end.pieces if coming.end else 0))
         return whole(self, sender, coming)
 
-    monkeypatch.setattr(replica.Replica, "_whole", at_once)
+    monkeypatch.setattr(replica.Replica, "_complete_transfer", at_once)
 
 
 def _said_before_it_is_synced(monkeypatch):
@@ -252,7 +252,7 @@
 
 
 def test_a_front_killed_at_each_disk_call_of_its_catch_up_goes_on_where_its_disk_is(monkeypatch):
-    monkeypatch.setattr(replica, "CHUNK", 20)  # so that it takes many writes
+    monkeypatch.setattr(replica, "RECORDS_PER_MESSAGE", 20)  # so that it takes many writes
     crashed = 0
     for crash_at in range(1, 40):
         fleet, again = caught_up_after(crash_at=crash_at)
@@ -264,7 +264,7 @@
 
 
 def test_a_disk_that_is_full_for_a_while_at_any_call_loses_no_fact_and_is_taken_up_again(monkeypatch):
-    monkeypatch.setattr(replica, "CHUNK", 20)
+    monkeypatch.setattr(replica, "RECORDS_PER_MESSAGE", 20)
     failed = 0
     for fault_at in range(7, 40):
         fleet, _ = caught_up_after(fault_at=fault_at)
