--- a/sprucegate/fleet/links/__init__.py
+++ b/sprucegate/fleet/links/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts talk over TCP: frames, queues that are bounded, connections by fan-out."""
+"""TCP links between processes of the fleet: framing, bounded send queues, bounded connections."""
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -1,7 +1,7 @@
-"""What fronts say to each other as bytes: checksummed records with msgpack inside. Opens no socket.
+"""Messages between processes of the fleet as bytes: checksummed records of storage/records with msgpack inside.
 
-A record is [kind, fields ...]; `KINDS` has the numbers, which are of this format. A peer that sends what can't be
-read loses its connection: `Unreadable` says why.
+A record's payload is [kind, [field, ...]]; `KINDS` has the numbers of the kinds. A peer whose bytes can't be decoded
+loses its connection; the FrameError says why. No I/O.
 """
 
 from typing import NamedTuple
@@ -18,7 +18,7 @@
 
 
 class ConsensusFrame(NamedTuple):
-    """A word of the agreed log, as `links/agreed` packs it: by members' names."""
+    """A message of the replicated log, as consensus/codec encodes it; `sender` and `to` are names of members."""
 
     sender: str
     to: str
@@ -27,16 +27,18 @@
 
 
 class ComponentMessage(NamedTuple):
-    """For a part of the fleet by its name: what it says is packed by itself, and known to nobody else."""
+    """A message for the fleet component of that name, which alone encodes and decodes `data`."""
 
     part: str
     data: bytes
 
 
 VERSION = 1
-FRAME_MOST = 8 << 20  # bytes: what a fleet has seen, with the gaps of a transfer under way
-GREETING_MOST = 1024
-# The number of each kind of message on the wire; numbers are never used anew.
+FRAME_BYTES_MAX = (
+    8 << 20
+)  # enough for all versions that a fleet has seen, with the gaps of a transfer under way
+GREETING_BYTES_MAX = 1024
+# The number of each kind of message on the wire; numbers are never reused.
 KINDS = {
     1: membership.Ping,
     2: membership.Ack,
@@ -57,8 +59,8 @@
     17: ComponentMessage,
 }
 NUMBERS = {kind: number for number, kind in KINDS.items()}
-# The word of each kind in the count of messages that `status` answers.
-STATUS_WORDS = {
+# The name of each kind in the counts of messages sent that `fleet status` returns.
+STATUS_NAMES = {
     membership.Ping: "ping",
     membership.Ack: "ack",
     membership.PingRequest: "pingfor",
@@ -80,12 +82,14 @@
 
 
 class FrameError(ProtocolError):
-    """The connection's bytes are no frames of ours; the text says why."""
+    """The connection's bytes can't be decoded, or come from another fleet or format; the text says why."""
 
 
 class Greeting(msgspec.Struct, array_like=True, frozen=True):
-    """The first record in both directions. `role` is "front", "operator" for a question from the command line, or
-    "look" for nothing but an answer."""
+    """The first record in both directions.
+
+    `role` is "front", "operator" for a question from the command line, or "look" for a check whether the port answers.
+    """
 
     format: int
     fleet: str
@@ -96,27 +100,27 @@
 
 
 class Question(msgspec.Struct, array_like=True, frozen=True):
-    """What the command line asks of a front."""
+    """What the command line asks of a process, with its arguments."""
 
     what: str
     given: list[str]
 
 
-_Key, _Dot = tuple, tuple[str, int, int]
-_Lives = list[tuple[str, int, list[int]]]
-SHAPES = {
+_Key, _Version = tuple, tuple[str, int, int]
+_Seen = list[tuple[str, int, list[int]]]  # as VersionVector.as_ranges returns it
+FIELD_TYPES = {
     membership.Ping: tuple[int, str, int, list[Member]],
     membership.Ack: tuple[int, int, list[Member]],
     membership.PingRequest: tuple[int, str, list[Member]],
     membership.Nack: tuple[int],
     membership.FullState: tuple[list[Member], bool],
     replica.SpreadRecords: tuple[list[ReplicatedRecord], int, int],
-    replica.TransferEnd: tuple[int, int, _Lives],
+    replica.TransferEnd: tuple[int, int, _Seen],
     replica.DigestAnnouncement: tuple[int],
-    replica.SeenReport: tuple[_Lives, int, tuple[int, int], int],
-    replica.CatchUpMark: tuple[int, _Lives, bool],
+    replica.SeenReport: tuple[_Seen, int, tuple[int, int], int],
+    replica.CatchUpMark: tuple[int, _Seen, bool],
     replica.RangeDigests: tuple[list[int]],
-    replica.RangeKeys: tuple[list[int], list[tuple[_Key, _Dot, int]], bool],
+    replica.RangeKeys: tuple[list[int], list[tuple[_Key, _Version, int]], bool],
     replica.RepairRecords: tuple[list[ReplicatedRecord]],
     replica.EvidenceMessage: tuple[int, list[BeliefGossip], list[EjectionGossip]],
     ConsensusFrame: tuple[str, str, int, bytes],
@@ -124,16 +128,17 @@
     ComponentMessage: tuple[str, bytes],
 }
 _encode = msgspec.msgpack.Encoder().encode
-_number = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
-_decoders = {kind: msgspec.msgpack.Decoder(shape).decode for kind, shape in SHAPES.items()}
-_greeting = msgspec.msgpack.Decoder(Greeting).decode
-_question = msgspec.msgpack.Decoder(Question).decode
-KEYS = {
+_decode_kind = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
+_decoders = {kind: msgspec.msgpack.Decoder(types).decode for kind, types in FIELD_TYPES.items()}
+_decode_greeting = msgspec.msgpack.Decoder(Greeting).decode
+_decode_question = msgspec.msgpack.Decoder(Question).decode
+# Of each kind of record: the types of its key after the kind, and the length of its value.
+KEY_TYPES = {
     replica.INVALIDATION: (str, int),
     replica.SERVER_STATE: (int, int, str, str),
     replica.HELD_LIST: (str,),
 }
-VALUES = {replica.INVALIDATION: 1, replica.SERVER_STATE: 3, replica.HELD_LIST: 1}
+VALUE_LENGTHS = {replica.INVALIDATION: 1, replica.SERVER_STATE: 3, replica.HELD_LIST: 1}
 
 
 def frame(message):
@@ -141,39 +146,39 @@
     return records.record(_encode((NUMBERS[type(message)], tuple(message))))
 
 
-def greeting(said):
+def greeting(fields):
     """Return a Greeting as the bytes of one record."""
-    return records.record(_encode(said))
+    return records.record(_encode(fields))
 
 
-def question(said):
+def question(fields):
     """Return a Question as the bytes of one record."""
-    return records.record(_encode(said))
+    return records.record(_encode(fields))
 
 
 def message(payload):
-    """The message of one record, checked."""
+    """Return the message of one record's payload, with its records and versions checked; raises FrameError."""
     try:
-        number, raw = _number(payload)
+        number, raw = _decode_kind(payload)
         if number not in KINDS:
-            raise FrameError(f"a message of kind {number}, which format {VERSION} lacks")
-        made = KINDS[number](*_decoders[KINDS[number]](raw))
+            raise FrameError(f"a message of kind {number}, which format {VERSION} doesn't define")
+        decoded = KINDS[number](*_decoders[KINDS[number]](raw))
     except msgspec.MsgspecError as fault:
-        raise FrameError(f"a message that can't be read: {fault}") from None
-    if isinstance(made, replica.SpreadRecords | replica.RepairRecords):
-        for fact in made.facts:
-            _checked(fact)
-    if isinstance(made, replica.TransferEnd | replica.SeenReport | replica.CatchUpMark):
-        for _, _, ends in made.claims if isinstance(made, replica.TransferEnd) else made.lives:
-            if len(ends) % 2 or any(a >= b for a, b in zip(ends, ends[1:], strict=False)):
-                raise FrameError("counters that are no intervals")
-    return made
+        raise FrameError(f"a message that can't be decoded: {fault}") from None
+    if isinstance(decoded, replica.SpreadRecords | replica.RepairRecords):
+        for record in decoded.facts:
+            _check_record(record)
+    if isinstance(decoded, replica.TransferEnd | replica.SeenReport | replica.CatchUpMark):
+        for _, _, bounds in decoded.claims if isinstance(decoded, replica.TransferEnd) else decoded.lives:
+            if len(bounds) % 2 or any(a >= b for a, b in zip(bounds, bounds[1:], strict=False)):
+                raise FrameError("versions whose intervals are not in ascending order")
+    return decoded
 
 
 def greeted(payload):
     """Return the Greeting of one record's payload; raises FrameError."""
     try:
-        return _greeting(payload)
+        return _decode_greeting(payload)
     except msgspec.MsgspecError as fault:
         raise FrameError(f"no greeting: {fault}") from None
 
@@ -181,43 +186,49 @@
 def asked(payload):
     """Return the Question of one record's payload; raises FrameError."""
     try:
-        return _question(payload)
+        return _decode_question(payload)
     except msgspec.MsgspecError as fault:
         raise FrameError(f"no question: {fault}") from None
 
 
-def _checked(fact):
-    kind = fact.key[0] if fact.key else None
-    shape = KEYS.get(kind)
+def _check_record(record):
+    kind = record.key[0] if record.key else None
+    key_types = KEY_TYPES.get(kind)
     if (
-        shape is None
-        or len(fact.key) != 1 + len(shape)
-        or len(fact.dot) != 3
-        or not all(type(part) is wanted for part, wanted in zip(fact.key[1:], shape, strict=True))
-        or len(fact.value) != VALUES[kind]
-        or not all(type(part) is int for part in fact.value)
-        or [type(part) for part in fact.dot] != [str, int, int]
-        or fact.dot[2] < 1
+        key_types is None
+        or len(record.key) != 1 + len(key_types)
+        or len(record.dot) != 3
+        or not all(type(part) is wanted for part, wanted in zip(record.key[1:], key_types, strict=True))
+        or len(record.value) != VALUE_LENGTHS[kind]
+        or not all(type(part) is int for part in record.value)
+        or [type(part) for part in record.dot] != [str, int, int]
+        or record.dot[2] < 1
         or kind == replica.SERVER_STATE
-        and fact.value[2] not in list(SourceState)
+        and record.value[2] not in list(SourceState)
     ):
-        raise FrameError(f"a fact of no known kind: {str(fact.key)[:80]}")
+        raise FrameError(f"a record of no known kind: {str(record.key)[:80]}")
 
 
 class Reader:
-    """Bytes as they come to the payloads of whole records."""
+    """Splits a connection's bytes into the payloads of whole records.
+
+    :ivar held: bytes of a record that isn't whole yet
+    :ivar max_bytes: the longest payload that is accepted
+    """
 
     def __init__(self):
-        self.held, self.most = bytearray(), GREETING_MOST
+        self.held = bytearray()
+        self.max_bytes = GREETING_BYTES_MAX
 
     def feed(self, data):
         """Return the payloads of the records that are whole with these bytes; raises FrameError."""
         self.held += data
-        found, at = [], 0
+        found = []
+        at = 0
         while len(self.held) - at >= records.HEAD.size:
             length, _ = records.HEAD.unpack_from(self.held, at)
-            if length > self.most:
-                raise FrameError(f"a record of {length} bytes, more than {self.most}")
+            if length > self.max_bytes:
+                raise FrameError(f"a record of {length} bytes, more than {self.max_bytes}")
             if len(self.held) - at < records.HEAD.size + length:
                 break
             scanned = records.scan(memoryview(self.held)[at : at + records.HEAD.size + length])
@@ -225,6 +236,6 @@
                 raise FrameError(scanned.fault)
             found += scanned.records
             at += records.HEAD.size + length
-            self.most = FRAME_MOST  # the greeting is short, whatever comes after it need not be
+            self.max_bytes = FRAME_BYTES_MAX  # the smaller bound is only for the greeting, the first record
         del self.held[:at]
         return found
--- a/sprucegate/fleet/links/send_queue.py
+++ b/sprucegate/fleet/links/send_queue.py
@@ -1,4 +1,4 @@
-"""What waits to be sent to one peer, bounded: the newest version of a record alone. No I/O."""
+"""The bounded queue of what is to be sent to one peer; of a record only the newest version is queued. No I/O."""
 
 from collections import OrderedDict, deque
 
@@ -12,12 +12,12 @@
 
 
 class SendQueue:
-    """Frames to one peer by weight: control messages, new records, pieces of transfers, gossip on caches.
+    """Frames to one peer by priority: control messages, new records, pieces of transfers, gossip on caches.
 
-    :ivar control_bytes: bytes of control messages that wait
-    :ivar transfer_bytes: bytes of transfers' pieces that wait
-    :ivar dropped: count of what was left out because a bound was reached
-    :ivar records: new records by key
+    :ivar control_bytes: bytes of queued control messages
+    :ivar transfer_bytes: bytes of queued pieces of transfers
+    :ivar dropped: count of records and messages dropped because a bound was reached
+    :ivar records: queued new records by key
     """
 
     def __init__(self):
@@ -27,14 +27,14 @@
         self.records = OrderedDict()
         self._control = deque()
         self._transfers = deque()
-        self._gossip = None  # the latest alone: it replaces earlier gossip
+        self._gossip = None  # only the latest: it replaces earlier gossip
 
     def __bool__(self):
-        """Tell whether anything waits."""
+        """Tell whether anything is queued."""
         return bool(self._control or self._transfers or self.records or self._gossip)
 
     def put(self, message, is_transfer):
-        """Queue a message; `is_transfer`: it carries records, and may be left out where too many wait."""
+        """Queue a message; `is_transfer`: it carries records, and is dropped at the bound of transfers."""
         if isinstance(message, SpreadRecords) and not message.transfer:
             self._put_records(message.facts)
         elif isinstance(message, EvidenceMessage):
--- a/sprucegate/fleet/replica/__init__.py
+++ b/sprucegate/fleet/replica/__init__.py
@@ -1,1 +1,1 @@
-"""What fronts hold in common: keyed facts that join, in any order, any number of times. No I/O."""
+"""Replication among fronts: keyed records joined in any order, any number of times. No I/O, no clock."""
--- a/sprucegate/fleet/replica_storage.py
+++ b/sprucegate/fleet/replica_storage.py
@@ -1,10 +1,12 @@
-"""What of the replica lasts: a snapshot, the logs written since, and the count of starts. Blocking: called in a thread.
+"""Durable state of the replica: snapshots, the logs written since, and the count of starts.
 
-    start                       the count of starts, replaced whole
-    facts-NNNN.snap             storage/snapshots: all facts and what was seen, as of the beginning of log NNNN
-    facts-NNNN.log              storage/log: what came since
+All calls block, and are made in a thread.
 
-A snapshot begins with its log, so that a crash between the two leaves the former snapshot and both logs.
+    start                       the count of starts, replaced atomically
+    facts-NNNN.snap             storage/snapshots: all records and the versions seen, as of the beginning of log NNNN
+    facts-NNNN.log              storage/log: changes since
+
+A snapshot is begun with a new log, so that a crash before it is complete leaves the former snapshot and both logs.
 """
 
 import os
@@ -18,14 +20,17 @@
 from sprucegate.storage.log import AppendLog
 from sprucegate.storage.snapshots import SnapshotStore
 
-Span = tuple[str, int, int, int]
-Life = tuple[str, int, list[int]]
+Interval = tuple[str, int, int, int]  # owner, incarnation, first counter, end
+SeenRange = tuple[str, int, list[int]]  # as VersionVector.as_ranges returns them
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(tuple[list[ReplicatedRecord], list[Span], list[tuple]]).decode
-_head = msgspec.msgpack.Decoder(tuple[list[Life], list[bytes]]).decode
-_facts = msgspec.msgpack.Decoder(list[ReplicatedRecord]).decode
-RECORDS_PER_PIECE = 500  # facts packed in one turn of a loop
-START_MOST = 1 << 30
+_decode_log_record = msgspec.msgpack.Decoder(
+    tuple[list[ReplicatedRecord], list[Interval], list[tuple]]
+).decode
+_decode_snapshot = msgspec.msgpack.Decoder(tuple[list[SeenRange], list[bytes]]).decode
+_decode_piece = msgspec.msgpack.Decoder(list[ReplicatedRecord]).decode
+RECORDS_PER_PIECE = 500  # packed in one turn of the event loop
+START_MAX = 1 << 30
+AGE_UNLIMITED = 1 << 62
 
 
 class ReplicaStorageError(StorageError):
@@ -33,18 +38,27 @@
 
 
 class StoredRecords:
-    """What was there: facts in the order in which they were written, all that was seen, and what was passed over."""
+    """What a folder holds.
+
+    :ivar facts: records by key, in the order in which they were written
+    :ivar lives: versions seen, as VersionVector takes them
+    :ivar refused: files that were rejected, and why
+    :ivar age: of the snapshot, in ns
+    """
 
     def __init__(self):
-        self.facts, self.lives, self.refused, self.age = {}, [], [], 0
-
-    def take(self, facts, spans, forgotten):
-        """Apply one record of the log: records written, versions seen, keys let go."""
-        for fact in facts:
-            self.facts[fact.key] = fact
-            self.lives.append((*fact.dot[:2], [fact.dot[2], fact.dot[2] + 1]))
-        self.lives += [(owner, life, [first, past]) for owner, life, first, past in spans]
-        for key in forgotten:
+        self.facts = {}
+        self.lives = []
+        self.refused = []
+        self.age = 0
+
+    def apply(self, records, intervals, removed):
+        """Apply one record of the log: records written, versions seen, keys removed."""
+        for record in records:
+            self.facts[record.key] = record
+            self.lives.append((*record.dot[:2], [record.dot[2], record.dot[2] + 1]))
+        self.lives += [(owner, incarnation, [first, end]) for owner, incarnation, first, end in intervals]
+        for key in removed:
             self.facts.pop(key, None)
 
 
@@ -52,70 +66,81 @@
     """Stored state of one replica, in one folder; all calls block."""
 
     def __init__(self, disk, folder):
-        self.disk, self.folder, self.log, self.generation = disk, folder, None, 0
+        self.disk = disk
+        self.folder = folder
+        self.log = None
+        self.generation = 0
         self.snapshots = SnapshotStore(disk, folder, "facts", keep=2)
-        self.named = re.compile(r"facts-([0-9]{16})\.log")
+        self.log_pattern = re.compile(r"facts-([0-9]{16})\.log")
 
-    def start(self, least=0):
-        """The next count of starts, on disk before it is returned; above `least`. Raises OSError or Unreadable."""
+    def start(self, above=0):
+        """Count this start: return a number above the last one and `above`, which is durable by then.
+
+        Raises OSError or ReplicaStorageError.
+        """
         self.disk.make_folder(self.folder)
         try:
             last = int(self.disk.read(os.path.join(self.folder, "start"), 20))
         except FileNotFoundError:
             last = 0
         except ValueError:
-            raise ReplicaStorageError(f"{self.folder}/start: holds no number") from None
-        fresh = max(last, least) + 1
-        if not 0 < fresh < START_MOST:
-            raise ReplicaStorageError(f"{self.folder}/start: {fresh} is past its bound")
-        replace_file(self.disk, self.folder, "start", str(fresh).encode())
-        return fresh
+            raise ReplicaStorageError(f"{self.folder}/start: is not a number") from None
+        number = max(last, above) + 1
+        if not 0 < number < START_MAX:
+            raise ReplicaStorageError(f"{self.folder}/start: {number} is not between 1 and {START_MAX - 1}")
+        replace_file(self.disk, self.folder, "start", str(number).encode())
+        return number
 
     def open(self, now):
-        """Kept: the newest whole snapshot and the logs since; a new log takes what comes from here on."""
+        """Return the newest usable snapshot with the logs since, and begin a new log. `now`: Unix ns."""
         self.disk.make_folder(self.folder)
-        kept, names = StoredRecords(), self.disk.names(self.folder)
-        taken, refused = self.snapshots.newest(now, 1 << 62)
-        kept.refused = [f"{one.name} {one.why}" for one in refused]
-        if taken is not None:
-            lives, pieces = _head(taken.payload)
-            kept.lives, kept.age = list(lives), now - taken.at
+        stored = StoredRecords()
+        names = self.disk.names(self.folder)
+        snapshot, rejected = self.snapshots.newest(now, AGE_UNLIMITED)
+        stored.refused = [f"{one.name} {one.why}" for one in rejected]
+        if snapshot is not None:
+            lives, pieces = _decode_snapshot(snapshot.payload)
+            stored.lives = list(lives)
+            stored.age = now - snapshot.at
             for piece in pieces:
-                kept.take(_facts(piece), [], [])
-        logs = sorted(int(match[1]) for name in names if (match := self.named.fullmatch(name)))
-        for number in [n for n in logs if taken is None or n >= taken.generation]:
+                stored.apply(_decode_piece(piece), [], [])
+        logs = sorted(int(match[1]) for name in names if (match := self.log_pattern.fullmatch(name)))
+        for number in [n for n in logs if snapshot is None or n >= snapshot.generation]:
             log = AppendLog(self.disk, self._path(number))
             scanned = log.recover()
             log.close()
             if scanned.fault:
-                kept.refused.append(f"facts-{number:016d}.log ends with {scanned.fault}")
+                stored.refused.append(f"facts-{number:016d}.log ends with {scanned.fault}")
             for record in scanned.records:
-                kept.take(*_record(record))
-        self.generation = max([*logs, taken.generation if taken is not None else 0], default=0)
-        self._next_log()
-        return kept
+                stored.apply(*_decode_log_record(record))
+        self.generation = max([*logs, snapshot.generation if snapshot is not None else 0], default=0)
+        self._begin_next_log()
+        return stored
 
     def write(self, record):
-        """None once it is synced, or the fault as text."""
+        """Append to the log; return None once it is durable, or the fault as text."""
         return self.log.append(_encode(record))
 
-    def full(self, most):
-        """Whether the log is over `most` bytes or takes no more, so that a snapshot is due."""
-        return self.log.size > most or self.log.fault is not None
+    def full(self, max_bytes):
+        """Tell whether a snapshot is due: the log is longer than `max_bytes`, or takes no more after a fault."""
+        return self.log.size > max_bytes or self.log.fault is not None
 
     def begin_snapshot(self):
-        """What comes from here on goes to a new log; None or the fault as text. Then `finish_snapshot`."""
+        """Begin a new log for later changes; return None or the fault as text. Then call `finish_snapshot`."""
         try:
-            self._next_log()
+            self._begin_next_log()
         except OSError as fault:
             return f"{type(fault).__name__}: {fault}"
         return None
 
     def finish_snapshot(self, lives, pieces, at):
-        """`lives` and the packed pieces as they were when it began; logs before it go once it is there."""
+        """Write the snapshot, then remove the logs that it replaces; return None or the fault as text.
+
+        `lives` and the packed `pieces` are of the time of `begin_snapshot`; `at`: Unix ns.
+        """
         fault = self.snapshots.save(self.generation, at, _encode((lives, pieces)))
         if fault is None:
-            self.snapshots.remove_logs_before(self.named)
+            self.snapshots.remove_logs_before(self.log_pattern)
         return fault
 
     def close(self):
@@ -123,17 +148,18 @@
         if self.log is not None:
             self.log.close()
 
-    def _next_log(self):
+    def _begin_next_log(self):
         log = AppendLog(self.disk, self._path(self.generation + 1))
         log.recover()
         if self.log is not None:
             self.log.close()
-        self.log, self.generation = log, self.generation + 1
+        self.log = log
+        self.generation += 1
 
     def _path(self, number):
         return os.path.join(self.folder, f"facts-{number:016d}.log")
 
 
-def encode_records(facts):
+def encode_records(records):
     """Return records as the bytes of one piece of a snapshot."""
-    return _encode(facts)
+    return _encode(records)
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -260,7 +260,7 @@
                 case LogEvent():
                     self.log(action.event, **action.fields)
                 case CheckPort(name, address, life):
-                    self.links.look(address, lambda name=name, life=life: self._refused(name, life))
+                    self.links.check_port(address, lambda name=name, life=life: self._refused(name, life))
                 case ViewChanged():
                     self._viewed(action)
                 case MemberChanged():
@@ -299,7 +299,7 @@
 
     def _due(self):
         try:
-            self.peer.replica.slow_peers = self.links.slow()
+            self.peer.replica.slow_peers = self.links.slow_peers()
             self.do(self.peer.due(time.monotonic_ns()))
         except Exception as fault:  # without a next time this front would fall silent for good
             self.driver.fault(fault)
@@ -454,7 +454,7 @@
                 await asyncio.sleep(AGAIN)
         self.peer.renewed(start, alias)
         if alias:
-            self.links.greet_again()
+            self.links.close_all()
         for part in self.parts:
             part.on_identity_changed(self.peer.members.own.name, self.peer.members.own.incarnation)
         self.log(
@@ -475,7 +475,7 @@
     async def _sweeps(self):
         while True:
             await asyncio.sleep(SWEEP)
-            self.links.sweep()
+            self.links.close_idle()
 
     # Questions.
 
@@ -513,7 +513,7 @@
             "sent": self.links.sent,
             "evidence_out": self.rows_out,
             "evidence_in": self.rows_in,
-            "connections": len(self.links.dialled) + len(self.links.taken),
+            "connections": len(self.links.outbound) + len(self.links.inbound),
             "members": [
                 {
                     "name": m.name,
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -47,7 +47,7 @@
     data = b"".join(map(codec.frame, MESSAGES))
     for size in (1, 7, len(data)):
         reader, found = codec.Reader(), []
-        reader.most = codec.FRAME_MOST
+        reader.max_bytes = codec.FRAME_BYTES_MAX
         for at in range(0, len(data), size):
             found += [codec.message(payload) for payload in reader.feed(data[at : at + size])]
         assert found == MESSAGES and {type(m) for m in MESSAGES} == set(codec.KINDS.values())
@@ -88,7 +88,7 @@
 
 def sent(out):
     reader = codec.Reader()
-    reader.most = codec.FRAME_MOST
+    reader.max_bytes = codec.FRAME_BYTES_MAX
     return [codec.message(payload) for payload in reader.feed(out.take())]
 
 
