--- a/sprucegate/fleet/component_registry.py
+++ b/sprucegate/fleet/component_registry.py
@@ -1,4 +1,4 @@
-"""Which components a fleet has: each is imported only where the operator's file has its node."""
+"""The components that the operator's file enables; others are not imported."""
 
 from typing import TYPE_CHECKING
 
@@ -9,7 +9,7 @@
 
 
 def configured_components(fleet: "FleetService") -> list[FleetComponent]:
-    """Return the components that the operator's file has, in the order in which they start."""
+    """Return the enabled components in the order in which they start."""
     components: list[FleetComponent] = []
     if fleet.agreement is not None:
         from sprucegate.fleet.consensus.component import ConsensusComponent
--- a/sprucegate/fleet/components.py
+++ b/sprucegate/fleet/components.py
@@ -1,6 +1,6 @@
-"""What a component of a front's fleet is: the calls that the fleet service makes, each with nothing to do by default.
+"""The interface of fleet components: the calls that the fleet service makes, each of which does nothing by default.
 
-A component that raises loses the one call; the router process goes on.
+If a component raises, that one call is lost and the router process goes on.
 """
 
 from collections.abc import Awaitable, Callable
@@ -8,11 +8,11 @@
 
 
 class FleetComponent:
-    """One feature of the fleet that the operator's file may have.
+    """A feature of the fleet that the operator's file may enable.
 
     :cvar name: its ComponentMessages carry this name
-    :cvar message_types: other messages between router processes that it takes
-    :cvar question: the word by which `sprucegate fleet why` asks it, "" for none
+    :cvar message_types: other types of messages between router processes that it handles
+    :cvar question: the first argument of `sprucegate fleet why` that addresses it, "" for none
     :cvar question_handlers: question -> awaited call with the question's arguments; the answer is a JSON object
     """
 
@@ -22,10 +22,10 @@
     question_handlers: dict[str, Callable[[list[str]], Awaitable[dict[str, object]]]] = {}
 
     async def start(self) -> None:
-        """Begin, once the fleet's own state is loaded."""
+        """Start, once the fleet's own state is loaded."""
 
     def start_without_storage(self) -> None:
-        """Go on without a fleet, as its disk can't be used; `start` isn't called then."""
+        """Go on without a fleet, as its disk can't be used; called in place of `start`."""
 
     def on_message(self, sender: str, message: object) -> None:
         """Take a message of one of `message_types`, or the bytes of a ComponentMessage of this name."""
@@ -37,7 +37,7 @@
         """Follow a change of the list of servers."""
 
     def on_identity_changed(self, name: str, incarnation: int) -> None:
-        """Follow this process's new incarnation, or its new name beside a twin."""
+        """Follow this process's new incarnation, or its new name where another process bears the same one."""
 
     def on_attempt_ended(
         self, endpoint: str, outcome: object, cache_status: object, duration: int, request: object
@@ -45,10 +45,10 @@
         """Count the end of one attempt at a server; `duration` in ns."""
 
     def on_leaving(self) -> None:
-        """Tell others of SIGTERM, so that they need not find out by themselves."""
+        """Tell others that this process leaves after SIGTERM, so that they need not detect it."""
 
     def explain(self, given: list[str]) -> list[object] | None:
         """Return rows for `sprucegate fleet why NAME ...`, or None."""
 
     async def stop(self) -> None:
-        """End what `start` began."""
+        """Stop what `start` started."""
--- a/sprucegate/fleet/random_source.py
+++ b/sprucegate/fleet/random_source.py
@@ -1,4 +1,4 @@
-"""Reproducible random numbers without a random generator."""
+"""Pseudo-random numbers that are reproducible from a seed, by a hash in place of a random generator."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -10,7 +10,7 @@
 
 
 class RandomSource:
-    """Random numbers by a hash of the instance's name, a purpose and the count of draws.
+    """Random numbers from a hash of the instance's name, a purpose and the count of draws.
 
     :param instance: name of the front, so that fronts draw different numbers from one seed
     :param seed: any integer; its lower 32 bits count
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -1,7 +1,7 @@
-"""A fleet in a front: links, disk and timers round the decisions, and what holds handed to the front.
+"""The fleet in a router process: runs a FleetNode with connections, disk and timers, and applies records to the front.
 
 Imported only where the operator's file has `fleet`. No GET waits for anything here. The disk is written in one thread;
-the decisions' clock is monotonic.
+the node's times are monotonic.
 """
 
 import asyncio
@@ -43,63 +43,80 @@
     ReplicaStorageError,
     encode_records,
 )
-from sprucegate.routing.events import BeliefGossip, EjectionGossip
-from sprucegate.routing.events import EndpointState as Listed
+from sprucegate.routing.events import BeliefGossip, EjectionGossip, EndpointState
 from sprucegate.storage.disk import Disk
 
 S = 1_000_000_000
-AGAIN = 1.0  # seconds until a disk that failed is tried again
-SWEEP = 5.0
-TOLD_EACH = 20  # facts of one message that have a line each in the log
-STAY = 2000  # new facts after which the collector is told that they stay
-EVIDENCE_EVERY = 1.0  # seconds
-EVIDENCE_BYTES = 45  # of one row on the way, about
-EVIDENCE_OLD = 2 * S  # past it, or that far ahead: a front that stood still, or clocks apart, tell nothing
-SHOWN_MOST = 1000  # facts in one answer to an operator
-STATES = {
-    Listed.DRAINING: SourceState.DRAINING,
-    Listed.SERVING: SourceState.LIFTED,
-    Listed.GONE: SourceState.GONE,
+RETRY_S = 1.0  # until a disk that failed, or a timer that raised, is tried again
+IDLE_CHECK_PERIOD_S = 5.0
+LOGGED_ONE_BY_ONE_MAX = 20  # records of one message that have a log line each
+FREEZE_AFTER_RECORDS = 2000  # new records after which the garbage collector is told to skip what there is
+EVIDENCE_PERIOD_S = 1.0
+EVIDENCE_ROW_BYTES = 45  # approximate size of one row on the wire
+EVIDENCE_AGE_MAX = 2 * S  # and as far in the future: beyond it the sender had stalled, or the clocks differ
+SHOWN_RECORDS_MAX = 1000  # in one answer to an operator
+SOURCE_STATES = {
+    EndpointState.DRAINING: SourceState.DRAINING,
+    EndpointState.SERVING: SourceState.LIFTED,
+    EndpointState.GONE: SourceState.GONE,
 }
 
 
 class FleetService:
-    """What the driver calls: `purged` and `listed`. Neither waits, neither raises for what other fronts do."""
+    """Joins a front to its fleet. The front's driver calls `purged` and `listed`: neither waits, or raises for a peer.
+
+    :ivar peer: the FleetNode; None without a usable disk
+    :ivar up: set once this front has caught up, or goes on alone
+    :ivar parts: the configured components
+    :ivar being: the random bits of this process's incarnation
+    """
 
     def __init__(self, driver, node, name, seed, merged, agreement=None, disk=None, shares=None):
-        self.driver, self.node, self.log, self.merged = driver, node, driver.log, merged
-        self.name, self.seed, self.loop = name, seed, asyncio.get_running_loop()
-        self.keeping, self.pool = (
-            ReplicaStorage(disk or Disk(), node.state),
-            ThreadPoolExecutor(1, "fleet-disk"),
-        )
-        self.peer, self.links, self.timer, self.up = None, None, None, asyncio.Event()
-        self.agreement, self.shares = agreement, shares  # nodes of the file, for the parts
-        self.tasks, self.snapping, self.stopped, self.waiting = set(), False, False, []
-        self.rows_out, self.rows_in = 0, 0  # of evidence
+        self.driver = driver
+        self.node = node  # of the operator's file
+        self.log = driver.log
+        self.merged = merged
+        self.name = name
+        self.seed = seed
+        self.loop = asyncio.get_running_loop()
+        self.storage = ReplicaStorage(disk or Disk(), node.state)
+        self.pool = ThreadPoolExecutor(1, "fleet-disk")
+        self.peer = None
+        self.links = None
+        self.timer = None
+        self.up = asyncio.Event()
+        self.agreement = agreement  # this and the next: nodes of the operator's file, for the components
+        self.shares = shares
+        self.tasks = set()
+        self.is_saving_snapshot = False
+        self.stopped = False
+        self.pending_records = []  # (key, value) from this process's own sources before `start`
+        self.evidence_rows_out = 0
+        self.evidence_rows_in = 0
         self.being = int.from_bytes(os.urandom(4), "big")
         self.parts = configured_components(self)
-        self.fresh = 0  # facts since the collector was told
+        self.records_since_freeze = 0
         merged.view.news = []
 
     # Start and end.
 
     async def load(self):
-        """What the disk has, in force before the first list of servers is taken."""
+        """Load the stored records and put them in force; call before the first list of servers is taken."""
         try:
-            start, kept = await self._disk(self._opened)
+            start, stored = await self._on_disk_thread(self._open_storage)
         except (OSError, ReplicaStorageError, ValueError) as fault:
-            # Without a count of starts it may not speak: it serves by what it hears itself, as without a fleet.
+            # Without a count of starts it may not join: it serves by its own sources alone, as without a fleet.
             self.log("fleet_off", error=f"{type(fault).__name__}: {fault}")
             return
-        for why in kept.refused:
+        for why in stored.refused:
             self.log("fleet_state_refused", error=why)
         now = time.monotonic_ns()
-        address, life = self.node.advertise or self.node.listen, start << 32 | self.being
+        address = self.node.advertise or self.node.listen
+        incarnation = start << 32 | self.being
         self.peer = FleetNode(
             self.name,
             address,
-            life,
+            incarnation,
             self.node.join,
             self.seed,
             now,
@@ -108,161 +125,165 @@
             word_life=self.node.word_life,
             alone_after=self.node.alone_after,
         )
-        facts = list(kept.facts.values())
-        self.peer.loaded(facts, kept.lives, now)
-        for at, fact in enumerate(facts):
-            self._in_force(fact, loaded=True)
+        records = list(stored.facts.values())
+        self.peer.loaded(records, stored.lives, now)
+        for at, record in enumerate(records):
+            self._apply(record, loaded=True)
             if at % RECORDS_PER_PIECE == 0:
                 await asyncio.sleep(0)
-        # What was loaded stays: the collector need not walk it, which would hold up the loop for a tenth of a second.
+        # The garbage collector need not traverse what was loaded, which would block the event loop for 0.1 s.
         gc.freeze()
-        self.log("fleet_loaded", start=start, facts=len(facts), age_s=kept.age // S)
+        self.log("fleet_loaded", start=start, facts=len(records), age_s=stored.age // S)
 
-    def _opened(self):
-        start = self.keeping.start()
-        return start, self.keeping.open(clock.unix())
+    def _open_storage(self):
+        start = self.storage.start()
+        return start, self.storage.open(clock.unix())
 
     def start(self):
         """Listen, look for others, and start the components; call once the loop runs."""
         if self.peer is None:
-            for part in self.parts:
-                part.start_without_storage()
+            for component in self.parts:
+                component.start_without_storage()
             return self.up.set()
-        keeps = self.agreement is not None and self.name in self.agreement[0].addresses
+        is_voter = self.agreement is not None and self.name in self.agreement[0].addresses
         self.links = PeerLinks(
             self.node.address,
             self.log,
             self._greeting,
-            self._heard,
-            self._asked,
-            VOTER_CONNECTIONS_MAX if keeps else INBOUND_CONNECTIONS_MAX,
-            self._reset,
-            self._other_build,
+            self._on_message,
+            self._on_question,
+            VOTER_CONNECTIONS_MAX if is_voter else INBOUND_CONNECTIONS_MAX,
+            self._on_connection_reset,
+            self._on_other_format,
         )
         if fault := self.links.start():
             self.log("fleet_listen_failed", address=self.node.listen, error=fault)
         self.do(self.peer.starts(time.monotonic_ns()))
-        waiting, self.waiting = self.waiting, []
-        for key, value in waiting:  # heard with the first list
-            self._told(key, value)
-        self._later(self._sweeps())
-        for part in self.parts:
-            self._later(part.start())
+        pending = self.pending_records
+        self.pending_records = []
+        for key, value in pending:  # heard with the first list of servers
+            self._record_own(key, value)
+        self._start_task(self._check_idle_connections())
+        for component in self.parts:
+            self._start_task(component.start())
         if self.node.evidence:
-            self._later(self._tells())
+            self._start_task(self._send_evidence())
 
     def leave(self):
-        """SIGTERM: the others need not find out by themselves. This front hears and tells until its end."""
+        """Announce at SIGTERM that this front leaves; it goes on exchanging messages until its end."""
         if self.links is not None:
-            for part in self.parts:
-                part.on_leaving()
+            for component in self.parts:
+                component.on_leaving()
         if self.peer is not None and self.links is not None:
             self.do(self.peer.leave(time.monotonic_ns()))
 
-    def forwarded(self, cache, outcome, found, took, asked):
-        """Tell the components of an attempt's end."""
-        for part in self.parts:
-            part.on_attempt_ended(cache, outcome, found, took, asked)
+    def forwarded(self, cache, outcome, cache_status, duration, request):
+        """Tell the components that an attempt ended; `duration` in ns."""
+        for component in self.parts:
+            component.on_attempt_ended(cache, outcome, cache_status, duration, request)
 
     async def stop(self):
         """Stop the components, connections and the disk's thread."""
         self.stopped = True
-        for part in self.parts:
-            await part.stop()
+        for component in self.parts:
+            await component.stop()
         if self.timer is not None:
             self.timer.cancel()
         for task in self.tasks:
             task.cancel()
         if self.links is not None:
             self.links.stop()
-        await self.loop.run_in_executor(self.pool, self.keeping.close)
+        await self.loop.run_in_executor(self.pool, self.storage.close)
         self.pool.shutdown(wait=False)
 
-    # What the front hears.
+    # Events from the front's own sources.
 
     def purged(self, obj, group, at):
-        """Take an invalidation that a source of this front's own told; `at` is the platform's stamp."""
-        self._told((INVALIDATION, "object", obj) if obj >= 0 else (INVALIDATION, "group", group), (at,))
+        """Take an invalidation from a source of this front's own; `at` is the platform's time stamp (Unix ns)."""
+        self._record_own((INVALIDATION, "object", obj) if obj >= 0 else (INVALIDATION, "group", group), (at,))
 
     def listed(self):
-        """Drains and removals that a source of this front's own told since the last call."""
+        """Record the drains and removals that this front's own sources reported since the last call."""
         news, self.merged.view.news = self.merged.view.news, []
-        for part in self.parts:
-            part.on_endpoints_changed()
+        for component in self.parts:
+            component.on_endpoints_changed()
         if self.peer is None:
             return
         held = self.peer.replica.facts.held
         for source, server, started, state in news:
-            # A removal by a file may be meant for this front alone; the bus is everybody's.
-            if state is Listed.GONE and source != "bus":
+            # A removal by a file may be meant for this front alone; the event bus speaks to all fronts.
+            if state is EndpointState.GONE and source != "bus":
                 continue
             key = (SERVER_STATE, server, started, source, self.peer.replica.name)
-            if state is not Listed.SERVING or key in held:
-                self._told(key, (int(STATES[state]),))
+            if state is not EndpointState.SERVING or key in held:
+                self._record_own(key, (int(SOURCE_STATES[state]),))
 
     def held(self, digest, confirmed):
-        """A list that takes away too much, by its digest: held by this front's gate, or confirmed at it."""
+        """Record that this front holds back a list that removes too many servers, or that an operator confirmed it."""
         if digest:
-            self._told((HELD_LIST, digest), (int(confirmed),))
+            self._record_own((HELD_LIST, digest), (int(confirmed),))
 
     def holds(self, digest):
-        """Whether some front holds that list and none has been told to let it through."""
-        return self._removal(digest) == (0,)
+        """Tell whether some front holds back the list of this digest and nobody has confirmed it."""
+        return self._held_list_state(digest) == (0,)
 
     def confirms(self, digest):
-        """Whether some front was told to let the list of this digest through."""
-        return self._removal(digest) == (1,)
+        """Tell whether an operator confirmed the list of this digest at some front."""
+        return self._held_list_state(digest) == (1,)
 
-    def _removal(self, digest):
-        fact = self.peer.replica.facts.held.get((HELD_LIST, digest)) if self.peer is not None else None
-        return None if fact is None else fact.value
+    def _held_list_state(self, digest):
+        record = self.peer.replica.facts.held.get((HELD_LIST, digest)) if self.peer is not None else None
+        return None if record is None else record.value
 
-    def _told(self, key, value):
+    def _record_own(self, key, value):
         if self.peer is None:
             return
         if self.links is None:
-            self.waiting.append((key, value))
+            self.pending_records.append((key, value))
             return
         self.do(self.peer.told(key, value, time.monotonic_ns()))
 
-    # What is decided.
+    # Actions of the node.
 
     def do(self, actions):
         """Perform actions of the node, in order."""
-        told = sum(isinstance(action, RecordInForce) for action in actions)
-        if told > TOLD_EACH:  # a transfer: a line for each would be a log of the whole table
-            self.log("fleet_told", kind="several", key=[], count=told)
-        self.fresh += told
-        if self.fresh > STAY:
-            # Facts come by the thousand from a copied disk: the collector would walk through all of them.
-            self.fresh = 0
+        in_force = sum(isinstance(action, RecordInForce) for action in actions)
+        if in_force > LOGGED_ONE_BY_ONE_MAX:  # a transfer, which may have the whole table: one line for all
+            self.log("fleet_told", kind="several", key=[], count=in_force)
+        self.records_since_freeze += in_force
+        if self.records_since_freeze > FREEZE_AFTER_RECORDS:
+            # A copied disk causes thousands of records: the garbage collector would traverse all of them each time.
+            self.records_since_freeze = 0
             gc.collect(1)
             gc.freeze()
         for action in actions:
-            if (sent := outgoing(action)) is not None:
-                name, address, message, guard = sent
+            if (sending := outgoing(action)) is not None:
+                name, address, message, carries_records = sending
                 member = self.peer.members.known.get(name)
-                self.links.send(name, address or (member.address if member else ""), message, guard)
+                self.links.send(name, address or (member.address if member else ""), message, carries_records)
                 continue
             match action:
                 case PersistRecords():
-                    self._later(self._writes(action))
+                    self._start_task(self._write(action))
                 case RecordInForce():
-                    self._in_force(action.fact, quiet=told > TOLD_EACH)
+                    self._apply(action.fact, quiet=in_force > LOGGED_ONE_BY_ONE_MAX)
                 case CaughtUp():
                     self.log(
                         "fleet_" + action.how.replace("-", "_"),
                         asked=action.asked,
                         facts=len(self.peer.replica.facts.held),
                     )
-                    gc.freeze()  # as after the loading
+                    gc.freeze()  # as in `load`
                     self.up.set()
                 case LogEvent():
                     self.log(action.event, **action.fields)
-                case CheckPort(name, address, life):
-                    self.links.check_port(address, lambda name=name, life=life: self._refused(name, life))
+                case CheckPort(name, address, incarnation):
+                    self.links.check_port(
+                        address,
+                        lambda name=name, incarnation=incarnation: self._on_port_refused(name, incarnation),
+                    )
                 case ViewChanged():
-                    self._viewed(action)
+                    self._on_view_changed(action)
                 case MemberChanged():
                     member, before = action.member, action.before
                     self.log(
@@ -283,42 +304,42 @@
                         other=f"{action.other:x}",
                         alias=action.alias,
                     )
-                    self._later(self._renew(action.start_above, action.alias))
+                    self._start_task(self._renew(action.start_above, action.alias))
                 case VersionConflict():
-                    self._later(self._renew(0, ""))
+                    self._start_task(self._renew(0, ""))
                 case RecordDiscarded():
-                    pass  # the front's own table forgets by age as well
+                    pass  # the front's own tables drop entries by age as well
         if not self.stopped and self.peer is not None:
-            self._arm()
+            self._set_timer()
 
-    def _arm(self):
+    def _set_timer(self):
         if self.timer is not None:
             self.timer.cancel()
         wait = max(0, self.peer.next_due() - time.monotonic_ns()) / S
-        self.timer = self.loop.call_later(wait, self._due)
+        self.timer = self.loop.call_later(wait, self._on_timer)
 
-    def _due(self):
+    def _on_timer(self):
         try:
             self.peer.replica.slow_peers = self.links.slow_peers()
             self.do(self.peer.due(time.monotonic_ns()))
-        except Exception as fault:  # without a next time this front would fall silent for good
+        except Exception as fault:  # without a next timer this front would stay silent for good
             self.driver.fault(fault)
-            self.timer = self.loop.call_later(AGAIN, self._due)
+            self.timer = self.loop.call_later(RETRY_S, self._on_timer)
 
-    async def _tells(self):
-        """What the rules find worth telling, to the neighbours that this front tells of purges."""
+    async def _send_evidence(self):
+        """Send the gossip that the router selects to the same peers as new records."""
         while True:
-            await asyncio.sleep(EVIDENCE_EVERY)
-            said = self.driver.router.gossip_to_send(
-                self.node.evidence // EVIDENCE_BYTES, self.driver.clock()
+            await asyncio.sleep(EVIDENCE_PERIOD_S)
+            gossip = self.driver.router.gossip_to_send(
+                self.node.evidence // EVIDENCE_ROW_BYTES, self.driver.clock()
             )
-            if said:
+            if gossip:
                 message = EvidenceMessage(
                     clock.unix(),
-                    [one for one in said if isinstance(one, BeliefGossip)],
-                    [one for one in said if isinstance(one, EjectionGossip)],
+                    [one for one in gossip if isinstance(one, BeliefGossip)],
+                    [one for one in gossip if isinstance(one, EjectionGossip)],
                 )
-                self.rows_out += len(said)
+                self.evidence_rows_out += len(gossip)
                 self.do(
                     [
                         SendMessage(name, message)
@@ -326,17 +347,17 @@
                     ]
                 )
 
-    def _reset(self, name):
+    def _on_connection_reset(self, name):
         self.do(self.peer.reset(name, time.monotonic_ns()))
 
-    def _refused(self, name, life):
-        self.log("fleet_refused", member=name, life=f"{life:x}")
-        self.do(self.peer.refused(name, life, time.monotonic_ns()))
+    def _on_port_refused(self, name, incarnation):
+        self.log("fleet_refused", member=name, life=f"{incarnation:x}")
+        self.do(self.peer.refused(name, incarnation, time.monotonic_ns()))
 
-    def _other_build(self, name):
+    def _on_other_format(self, name):
         self.peer.views.on_other_version(name, time.monotonic_ns())
 
-    def _viewed(self, action):
+    def _on_view_changed(self, action):
         view = action.view
         self.log(
             "fleet_view",
@@ -346,156 +367,164 @@
             share=round(view.share, 3),
             changed={
                 name: HEALTH_STATE_LOG_WORDS[view.rows[name].health]
-                for name in action.changed[:TOLD_EACH]
+                for name in action.changed[:LOGGED_ONE_BY_ONE_MAX]
                 if name in view.rows
             },
         )
-        for part in self.parts:
-            part.on_view_changed(view)
+        for component in self.parts:
+            component.on_view_changed(view)
 
-    def _hears(self, name, message):
+    def _on_evidence(self, name, message):
         now = self.driver.clock()
         view = self.peer.views.view
         if not view.allows(PeerAction.BELIEVE, name) or not view.allows_own(OwnAction.BELIEVE):
             return
-        # Two machines' wall clocks: where either was stepped the words look too old, or come from the future.
+        # By the wall clocks of two machines: where either was stepped, gossip looks too old, or is from the future.
         age = clock.unix() - message.at
-        if abs(age) <= EVIDENCE_OLD:
-            self.rows_in += len(message.resting) + len(message.believed)
+        if abs(age) <= EVIDENCE_AGE_MAX:
+            self.evidence_rows_in += len(message.resting) + len(message.believed)
             self.driver.router.receive_gossip(message.resting + message.believed, max(0, age), now)
 
-    def _heard(self, name, message):
+    def _on_message(self, name, message):
         try:
             if isinstance(message, EvidenceMessage):
                 self.peer.views.on_frame(name, time.monotonic_ns())
-                return self._hears(name, message)
+                return self._on_evidence(name, message)
             if isinstance(message, codec.ComponentMessage):
                 return [
-                    part.on_message(name, message.data) for part in self.parts if part.name == message.part
+                    component.on_message(name, message.data)
+                    for component in self.parts
+                    if component.name == message.part
                 ]
-            if taken := [part for part in self.parts if isinstance(message, part.message_types)]:
-                return taken[0].on_message(name, message)
+            if receivers := [
+                component for component in self.parts if isinstance(message, component.message_types)
+            ]:
+                return receivers[0].on_message(name, message)
             if isinstance(message, codec.ConsensusFrame):
-                return None  # of a log that this front does not follow
+                return None  # of a replicated log that this front doesn't follow
             self.do(self.peer.heard(name, message, time.monotonic_ns()))
         except codec.FrameError:
-            raise  # a part can't read it: the peer loses its connection
-        except Exception as fault:  # one message is lost by it, and repaired as a lost one is
+            raise  # a component can't decode it: the peer loses its connection
+        except Exception as fault:  # the message is lost, and repaired as one lost on the network is
             self.driver.fault(fault)
 
-    def _in_force(self, fact, loaded=False, quiet=False):
-        """A guard fact that holds from here on, whoever said it."""
+    def _apply(self, record, loaded=False, quiet=False):
+        """Put a record in force at the front, whichever process it is from."""
         now = self.driver.clock()
         if not loaded and not quiet and self.peer.replica.phase is not CatchUpPhase.ASKING:
-            self.log("fleet_told", kind=fact.key[0], key=fact.key[1:], by=fact.dot[0])
-        if fact.key[0] == INVALIDATION:
-            _, kind, at = fact.key
-            obj, group = (at, -1) if kind == "object" else (-1, at)
-            self.driver.router.invalidate(obj, group, self.driver.platform.age(fact.value[0], now), now)
-        elif fact.key[0] == SERVER_STATE:
-            _, server, started, source, owner = fact.key
-            own = owner == self.peer.replica.name
-            if own and not loaded:
-                return  # its own sources say here what holds
+            self.log("fleet_told", kind=record.key[0], key=record.key[1:], by=record.dot[0])
+        if record.key[0] == INVALIDATION:
+            _, kind, number = record.key
+            obj, group = (number, -1) if kind == "object" else (-1, number)
+            self.driver.router.invalidate(obj, group, self.driver.platform.age(record.value[0], now), now)
+        elif record.key[0] == SERVER_STATE:
+            _, server, started, source, owner = record.key
+            is_own = owner == self.peer.replica.name
+            if is_own and not loaded:
+                return  # here its own sources have set that already
             self.merged.word(
                 server,
                 started,
-                source if own else f"{source}@{owner}",
-                fact.value[2] != SourceState.LIFTED,
+                source if is_own else f"{source}@{owner}",
+                record.value[2] != SourceState.LIFTED,
                 now,
             )
 
     # The disk.
 
-    def _disk(self, action, *given):
-        return self.loop.run_in_executor(self.pool, action, *given)
+    def _on_disk_thread(self, action, *args):
+        return self.loop.run_in_executor(self.pool, action, *args)
 
-    async def _writes(self, action):
-        fault = await self._disk(self.keeping.write, action.record)
+    async def _write(self, action):
+        fault = await self._on_disk_thread(self.storage.write, action.record)
         now = time.monotonic_ns()
         if fault is not None:
             self.do(self.peer.not_kept(action.number, fault, now))
-            self.loop.call_later(AGAIN, lambda: self._later(self._snapshot()))
+            self.loop.call_later(RETRY_S, lambda: self._start_task(self._snapshot()))
             return
         self.do(self.peer.synced(action.number, now))
-        if self.keeping.full(self.node.log_most):
-            self._later(self._snapshot())
+        if self.storage.full(self.node.log_most):
+            self._start_task(self._snapshot())
 
     async def _snapshot(self):
-        """All that is held, packed in pieces between turns of the loop and written in the thread."""
-        if self.snapping or self.stopped:
+        """Write a snapshot: records are packed in pieces between turns of the event loop, and written in the thread."""
+        if self.is_saving_snapshot or self.stopped:
             return
-        self.snapping, replica = True, self.peer.replica
+        self.is_saving_snapshot = True
+        replica = self.peer.replica
         try:
-            fault = await self._disk(self.keeping.begin_snapshot)
-            pieces, repairing = [], not replica.kept
+            fault = await self._on_disk_thread(self.storage.begin_snapshot)
+            pieces = []
+            is_recovery = not replica.kept
             held, lives = replica.captured()
             for at in range(0, len(held), RECORDS_PER_PIECE):
                 pieces.append(encode_records(held[at : at + RECORDS_PER_PIECE]))
                 await asyncio.sleep(0)
             if fault is None:
-                fault = await self._disk(self.keeping.finish_snapshot, lives, pieces, clock.unix())
+                fault = await self._on_disk_thread(self.storage.finish_snapshot, lives, pieces, clock.unix())
         finally:
-            self.snapping = False
+            self.is_saving_snapshot = False
         if fault is not None:
             self.log("fleet_snapshot_failed", error=fault)
-            self.loop.call_later(AGAIN, lambda: self._later(self._snapshot()))
-        elif repairing:
+            self.loop.call_later(RETRY_S, lambda: self._start_task(self._snapshot()))
+        elif is_recovery:
             self.do(replica.disk_is_back(lives, time.monotonic_ns()))
             self.log("fleet_kept_again", facts=len(held))
 
-    async def _renew(self, least, alias):
+    async def _renew(self, above, alias):
+        """Take a new incarnation, whose start is above `above`, and the alias if there is one."""
         while True:
             try:
-                start = await self._disk(self.keeping.start, least)
+                start = await self._on_disk_thread(self.storage.start, above)
                 break
             except (OSError, ReplicaStorageError) as fault:
                 self.log("fleet_not_kept", error=str(fault))
-                await asyncio.sleep(AGAIN)
+                await asyncio.sleep(RETRY_S)
         self.peer.renewed(start, alias)
         if alias:
             self.links.close_all()
-        for part in self.parts:
-            part.on_identity_changed(self.peer.members.own.name, self.peer.members.own.incarnation)
+        for component in self.parts:
+            component.on_identity_changed(self.peer.members.own.name, self.peer.members.own.incarnation)
         self.log(
             "fleet_renewed", name=self.peer.members.own.name, life=f"{self.peer.members.own.incarnation:x}"
         )
 
-    def _later(self, action):
-        task = self.loop.create_task(self._guarded(action))
+    def _start_task(self, action):
+        task = self.loop.create_task(self._reporting_faults(action))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _guarded(self, action):
+    async def _reporting_faults(self, action):
         try:
             await action
-        except Exception as fault:  # the front goes on whatever breaks here
+        except Exception as fault:  # the front goes on without what failed here
             self.driver.fault(fault)
 
-    async def _sweeps(self):
+    async def _check_idle_connections(self):
         while True:
-            await asyncio.sleep(SWEEP)
+            await asyncio.sleep(IDLE_CHECK_PERIOD_S)
             self.links.close_idle()
 
-    # Questions.
+    # Questions of the command line.
 
     def _greeting(self):
         own = self.peer.members.own
         return codec.Greeting(codec.VERSION, self.node.name, "front", own.name, own.address, own.incarnation)
 
-    async def _asked(self, question):
-        answers = {"status": self._status, "facts": self._facts, "why": self._why}
-        for part in self.parts:
-            answers |= part.question_handlers
-        if question.what not in answers:
+    async def _on_question(self, question):
+        handlers = {"status": self._status, "facts": self._facts, "why": self._why}
+        for component in self.parts:
+            handlers |= component.question_handlers
+        if question.what not in handlers:
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known"})
-        said = await answers[question.what](question.given)
-        return orjson.dumps({"ok": True, "at": clock.unix(), "front": self.peer.members.own.name, **said})
+        fields = await handlers[question.what](question.given)
+        return orjson.dumps({"ok": True, "at": clock.unix(), "front": self.peer.members.own.name, **fields})
 
     async def _status(self, _):
-        replica, members = self.peer.replica, self.peer.members
+        replica = self.peer.replica
+        members = self.peer.members
         lag = {
-            name: sum(past - first for _, _, first, past in seen.missing(replica.facts.seen))
+            name: sum(end - first for _, _, first, end in seen.missing(replica.facts.seen))
             for name, seen in replica.peers.items()
         }
         kinds = {kind: count for kind, count in replica.facts.count_by_kind.items() if count}
@@ -506,13 +535,13 @@
             "kept": replica.kept,
             "health": members.local_health,
             "facts": kinds,
-            "view": self._shown_view(),
+            "view": self._view_as_json(),
             "bytes_out": self.links.bytes_out,
             "bytes_in": self.links.bytes_in,
             "refused": self.links.refused,
             "sent": self.links.sent,
-            "evidence_out": self.rows_out,
-            "evidence_in": self.rows_in,
+            "evidence_out": self.evidence_rows_out,
+            "evidence_in": self.evidence_rows_in,
             "connections": len(self.links.outbound) + len(self.links.inbound),
             "members": [
                 {
@@ -528,11 +557,12 @@
         }
 
     async def _facts(self, given):
-        count, found = await self._found(lambda key: not given or key[0] == given[0])
+        count, found = await self._find(lambda key: not given or key[0] == given[0])
         return {"count": count, "root": f"{self.peer.replica.facts.root():016x}", "facts": found}
 
-    def _shown_view(self):
-        view, now = self.peer.views.view, time.monotonic_ns()
+    def _view_as_json(self):
+        view = self.peer.views.view
+        now = time.monotonic_ns()
         return {
             "number": view.number,
             "agreed": view.agreed,
@@ -552,31 +582,41 @@
 
     async def _why(self, given):
         if given[:1] == ["view"]:
-            view = self._shown_view()
+            view = self._view_as_json()
             return {
                 "facts": [one for one in view["fronts"] if one["name"] in given[1:] or not given[1:]],
                 "view": view,
             }
-        for part in self.parts:
-            if given[:1] == [part.question] and (rows := part.explain(given[1:])) is not None:
+        for component in self.parts:
+            if given[:1] == [component.question] and (rows := component.explain(given[1:])) is not None:
                 return {"facts": rows}
         wanted = set(given)
-        return {"facts": (await self._found(lambda key: wanted <= set(map(str, key))))[1]}
-
-    async def _found(self, chosen):
-        """(how many, the first of them), a range of keys a turn: a question must not hold up GETs."""
-        facts, count, found = self.peer.replica.facts, 0, []
-        for keys in facts.digests_by_key:
-            of_range = [key for key in keys if chosen(key)]
-            count += len(of_range)
-            found += [facts.held[key] for key in of_range[: SHOWN_MOST - len(found)]]
+        return {"facts": (await self._find(lambda key: wanted <= set(map(str, key))))[1]}
+
+    async def _find(self, is_chosen):
+        """Return how many records match and the first of them. GETs get a turn of the event loop after each range."""
+        store = self.peer.replica.facts
+        count = 0
+        found = []
+        for keys in store.digests_by_key:
+            matching = [key for key in keys if is_chosen(key)]
+            count += len(matching)
+            found += [store.held[key] for key in matching[: SHOWN_RECORDS_MAX - len(found)]]
             await asyncio.sleep(0)
-        return count, [_shown(fact) for fact in sorted(found, key=lambda fact: tuple(map(str, fact.key)))]
-
-
-def _shown(fact):
-    kind, *rest = fact.key
-    said = {"kind": kind, "key": rest, "by": fact.dot[0], "life": f"{fact.dot[1]:x}", "counter": fact.dot[2]}
+        return count, [
+            _as_json(record) for record in sorted(found, key=lambda record: tuple(map(str, record.key)))
+        ]
+
+
+def _as_json(record):
+    kind, *subject = record.key
+    fields = {
+        "kind": kind,
+        "key": subject,
+        "by": record.dot[0],
+        "life": f"{record.dot[1]:x}",
+        "counter": record.dot[2],
+    }
     if kind == SERVER_STATE:
-        return {**said, "state": SourceState(fact.value[2]).name.lower()}
-    return {**said, "value": fact.value[0]}
+        return {**fields, "state": SourceState(record.value[2]).name.lower()}
+    return {**fields, "value": record.value[0]}
