--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -1,4 +1,4 @@
-"""What fronts say as bytes, what waits to be sent, and what of it lasts: pure, and over a disk that fails."""
+"""Codec, send queue, record store and durable storage of the replication, also on a disk that fails."""
 
 import msgspec
 import pytest
@@ -17,25 +17,25 @@
 from standins.disk import Crashed, FaultyDisk
 
 MEMBER = Member("n0", "127.0.0.1:1", 1 << 40, 2, 1, "n1")
-FACTS = [
+RECORDS = [
     ReplicatedRecord(("purge", "object", 5), (7,), ("n0", 1, 1)),
     ReplicatedRecord(("word", 16, 0, "bus", "n0"), (1, 2, 0), ("n0", 1, 2)),
 ]
-LIVES = [("n0", 1, [1, 3, 5, 9])]
+SEEN = [("n0", 1, [1, 3, 5, 9])]
 MESSAGES = [
     membership.Ping(1, "n1", 2**63, [MEMBER]),
     membership.Ack(1, 0, []),
     membership.PingRequest(2, "n1", []),
     membership.Nack(3),
     membership.FullState([MEMBER], True),
-    replica.SpreadRecords(FACTS, 4, 1),
-    replica.TransferEnd(4, 2, LIVES),
+    replica.SpreadRecords(RECORDS, 4, 1),
+    replica.TransferEnd(4, 2, SEEN),
     replica.DigestAnnouncement(2**64 - 1),
-    replica.SeenReport(LIVES, 9, (0, 2), 1),
-    replica.CatchUpMark(1, LIVES, True),
+    replica.SeenReport(SEEN, 9, (0, 2), 1),
+    replica.CatchUpMark(1, SEEN, True),
     replica.RangeDigests([0] * 256),
-    replica.RangeKeys([3], [(FACTS[0].key, FACTS[0].dot, 11)], False),
-    replica.RepairRecords(FACTS),
+    replica.RangeKeys([3], [(RECORDS[0].key, RECORDS[0].dot, 11)], False),
+    replica.RepairRecords(RECORDS),
     replica.EvidenceMessage(5, [BeliefGossip(1, 0, 12, 0, 7, 8)], [EjectionGossip(12, 0, True, 9, 1500, 5)]),
     codec.ConsensusFrame("k0", "k1^a", 1, b"x"),
     membership.ConnectionRefused("n1", 7),
@@ -43,7 +43,7 @@
 ]
 
 
-def test_each_message_comes_as_it_went_whole_or_byte_by_byte():
+def test_messages_are_decoded_as_encoded_however_the_bytes_are_split():
     data = b"".join(map(codec.frame, MESSAGES))
     for size in (1, 7, len(data)):
         reader, found = codec.Reader(), []
@@ -53,17 +53,17 @@
         assert found == MESSAGES and {type(m) for m in MESSAGES} == set(codec.KINDS.values())
 
 
-def test_every_changed_byte_of_a_frame_is_found():
+def test_a_change_of_any_byte_of_a_frame_is_detected():
     data = codec.frame(MESSAGES[5])
     for at in range(len(data)):
         reader = codec.Reader()
         with pytest.raises(codec.FrameError):
             reader.feed(data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1 :])
-            raise codec.FrameError("more is waited for") if at < 4 else AssertionError(at)
+            raise codec.FrameError("incomplete: the length was changed") if at < 4 else AssertionError(at)
 
 
 @pytest.mark.parametrize(
-    "fact",
+    "record",
     [
         ((), (1,), ("a", 1, 1)),
         (("purge", "object", "x"), (1,), ("a", 1, 1)),
@@ -74,96 +74,96 @@
         (("purge", "object", True), (1,), ("a", 1, 1)),
     ],
 )
-def test_a_fact_that_is_none_is_unreadable(fact):
-    payload = msgspec.msgpack.encode((codec.NUMBERS[replica.SpreadRecords], ([fact], 0, 0)))
+def test_a_malformed_record_is_rejected(record):
+    payload = msgspec.msgpack.encode((codec.NUMBERS[replica.SpreadRecords], ([record], 0, 0)))
     with pytest.raises(codec.FrameError):
         codec.message(payload)
 
 
-def test_counters_that_are_no_intervals_are_unreadable():
-    for ends in ([1], [3, 2], [1, 1]):
+def test_counters_that_are_no_ascending_intervals_are_rejected():
+    for bounds in ([1], [3, 2], [1, 1]):
         with pytest.raises(codec.FrameError):
-            codec.message(codec.frame(replica.TransferEnd(1, 1, [("a", 1, ends)]))[records.HEAD.size :])
+            codec.message(codec.frame(replica.TransferEnd(1, 1, [("a", 1, bounds)]))[records.HEAD.size :])
 
 
-def sent(out):
+def sent(queue):
     reader = codec.Reader()
     reader.max_bytes = codec.FRAME_BYTES_MAX
-    return [codec.message(payload) for payload in reader.feed(out.take())]
-
-
-def test_what_waits_is_in_order_of_weight_and_the_latest_word_of_a_key_replaces_an_older_one():
-    out = SendQueue()
-    out.put(replica.EvidenceMessage(1, [], []), False)
-    out.put(replica.EvidenceMessage(2, [], []), False)
-    out.put(replica.SpreadRecords(FACTS, 7, 0), True)
-    out.put(replica.SpreadRecords([FACTS[0]], 0, 0), True)
-    out.put(replica.SpreadRecords([FACTS[0]._replace(value=(9,))], 0, 0), True)
-    out.put(membership.Nack(1), False)
-    assert sent(out) == [
+    return [codec.message(payload) for payload in reader.feed(queue.take())]
+
+
+def test_the_queue_sends_by_priority_and_only_the_latest_record_of_a_key():
+    queue = SendQueue()
+    queue.put(replica.EvidenceMessage(1, [], []), False)
+    queue.put(replica.EvidenceMessage(2, [], []), False)
+    queue.put(replica.SpreadRecords(RECORDS, 7, 0), True)
+    queue.put(replica.SpreadRecords([RECORDS[0]], 0, 0), True)
+    queue.put(replica.SpreadRecords([RECORDS[0]._replace(value=(9,))], 0, 0), True)
+    queue.put(membership.Nack(1), False)
+    assert sent(queue) == [
         membership.Nack(1),
-        replica.SpreadRecords([FACTS[0]._replace(value=(9,))], 0, 0),
-        replica.SpreadRecords(FACTS, 7, 0),
+        replica.SpreadRecords([RECORDS[0]._replace(value=(9,))], 0, 0),
+        replica.SpreadRecords(RECORDS, 7, 0),
         replica.EvidenceMessage(2, [], []),
     ]
-    assert not out
+    assert not queue
 
 
-def test_what_waits_is_bounded():
-    out = SendQueue()
+def test_the_send_queue_is_bounded():
+    queue = SendQueue()
     for n in range(RECORDS_MAX + 100):
-        out.put(
+        queue.put(
             replica.SpreadRecords([ReplicatedRecord(("purge", "object", n), (7,), ("n0", 1, n + 1))], 0, 0),
             True,
         )
-    assert len(out.records) == RECORDS_MAX and out.dropped == 100
+    assert len(queue.records) == RECORDS_MAX and queue.dropped == 100
     for _ in range(2000):
-        out.put(replica.RangeDigests([2**60] * 256), False)
-        out.put(replica.SpreadRecords(FACTS * 100, 1, 0), True)
-    assert out.control_bytes <= CONTROL_BYTES_MAX and out.transfer_bytes <= TRANSFER_BYTES_MAX
+        queue.put(replica.RangeDigests([2**60] * 256), False)
+        queue.put(replica.SpreadRecords(RECORDS * 100, 1, 0), True)
+    assert queue.control_bytes <= CONTROL_BYTES_MAX and queue.transfer_bytes <= TRANSFER_BYTES_MAX
 
 
-def test_a_front_with_a_full_table_obeys_what_it_is_told_and_passes_it_on_to_nobody():
-    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0, max_records=1)
-    made.stands("n0", True, 0)
-    made.stands("n2", True, 0)
-    done = made.heard("n0", replica.SpreadRecords([FACTS[0]], 0, 0), 0)
-    assert [a.to for a in done if isinstance(a, replica.SendMessage)] == ["n2"]
+def test_a_replica_with_a_full_store_obeys_records_and_does_not_push_them_on():
+    receiver = replica.Replica("n1", 1, RandomSource("n1", 1), 0, max_records=1)
+    receiver.stands("n0", True, 0)
+    receiver.stands("n2", True, 0)
+    actions = receiver.heard("n0", replica.SpreadRecords([RECORDS[0]], 0, 0), 0)
+    assert [a.to for a in actions if isinstance(a, replica.SendMessage)] == ["n2"]
     for _ in range(2):
-        done = made.heard("n0", replica.SpreadRecords([FACTS[1]], 0, 0), 0)
-        assert [a.fact for a in done if isinstance(a, replica.RecordInForce)] == [FACTS[1]]
-        assert not any(isinstance(a, replica.SendMessage) for a in done)
+        actions = receiver.heard("n0", replica.SpreadRecords([RECORDS[1]], 0, 0), 0)
+        assert [a.fact for a in actions if isinstance(a, replica.RecordInForce)] == [RECORDS[1]]
+        assert not any(isinstance(a, replica.SendMessage) for a in actions)
 
 
-def test_a_full_table_takes_no_new_key_and_has_not_seen_it():
-    facts = RecordStore(1)
-    assert facts.join(FACTS[0])[0] is JoinResult.NEW and facts.join(FACTS[1])[0] is JoinResult.FULL
-    assert not facts.seen.contains(FACTS[1].dot)
-    assert facts.join(ReplicatedRecord(FACTS[0].key, (8,), ("n0", 1, 3)))[0] is JoinResult.NEW
+def test_a_full_store_takes_no_new_key_and_does_not_count_it_as_seen():
+    store = RecordStore(1)
+    assert store.join(RECORDS[0])[0] is JoinResult.NEW and store.join(RECORDS[1])[0] is JoinResult.FULL
+    assert not store.seen.contains(RECORDS[1].dot)
+    assert store.join(ReplicatedRecord(RECORDS[0].key, (8,), ("n0", 1, 3)))[0] is JoinResult.NEW
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("crash_at", range(1, 60))
-def test_a_crash_at_any_disk_call_loses_nothing_that_was_synced(crash_at, seed):
-    """Through starts, logs and snapshots: what `write` called good is there, and the start rises."""
-    disk, good, starts = FaultyDisk(seed), [], []
-    at = 0
+def test_a_crash_at_any_disk_call_loses_no_durable_record(crash_at, seed):
+    """Over several starts, logs and snapshots: records whose write succeeded are loaded, and the start rises."""
+    disk, durable, starts = FaultyDisk(seed), [], []
+    counter = 0
     disk.crash_at = crash_at
     for _ in range(4):
-        keeping = ReplicaStorage(disk, "/f")
+        storage = ReplicaStorage(disk, "/f")
         try:
-            starts.append(keeping.start())
-            kept = keeping.open(1)
-            assert {f.key for f in good} <= set(kept.facts), "lost"
+            starts.append(storage.start())
+            stored = storage.open(1)
+            assert {r.key for r in durable} <= set(stored.facts), "lost"
             for _ in range(3):
-                at += 1
-                fact = ReplicatedRecord(("purge", "object", at), (1,), ("n0", starts[-1], at))
-                if keeping.write(([fact], [], [])) is None:
-                    good.append(fact)
-            held = [*kept.facts.values(), *good]
-            assert keeping.begin_snapshot() is None
-            keeping.finish_snapshot(
-                [(f.dot[0], f.dot[1], [f.dot[2], f.dot[2] + 1]) for f in held], [encode_records(held)], 1
+                counter += 1
+                record = ReplicatedRecord(("purge", "object", counter), (1,), ("n0", starts[-1], counter))
+                if storage.write(([record], [], [])) is None:
+                    durable.append(record)
+            held = [*stored.facts.values(), *durable]
+            assert storage.begin_snapshot() is None
+            storage.finish_snapshot(
+                [(r.dot[0], r.dot[1], [r.dot[2], r.dot[2] + 1]) for r in held], [encode_records(held)], 1
             )
             disk = disk.after_crash()
         except Crashed:
@@ -172,24 +172,24 @@
 
 
 @pytest.mark.parametrize("at", range(1, 25))
-def test_a_full_disk_at_any_call_is_a_value_or_an_oserror_and_the_former_state_stands(at):
+def test_a_full_disk_at_any_call_leaves_the_stored_state_as_it_was(at):
     disk = FaultyDisk()
-    keeping = ReplicaStorage(disk, "/f")
-    keeping.start()
-    keeping.open(1)
-    assert keeping.write((FACTS, [], [])) is None
+    storage = ReplicaStorage(disk, "/f")
+    storage.start()
+    storage.open(1)
+    assert storage.write((RECORDS, [], [])) is None
     disk.faults = {disk.calls + n: OSError(28, "no space left") for n in range(at, at + 4)}
     for _ in range(3):
-        if keeping.begin_snapshot() is None:
-            keeping.finish_snapshot(LIVES, [encode_records(FACTS)], 1)
-        keeping.write(([FACTS[0]], [], []))
+        if storage.begin_snapshot() is None:
+            storage.finish_snapshot(SEEN, [encode_records(RECORDS)], 1)
+        storage.write(([RECORDS[0]], [], []))
     disk.faults = {}
-    fresh = ReplicaStorage(disk.after_crash(), "/f")
-    assert set(fresh.open(1).facts) == {f.key for f in FACTS}
+    reopened = ReplicaStorage(disk.after_crash(), "/f")
+    assert set(reopened.open(1).facts) == {r.key for r in RECORDS}
 
 
-def test_an_answer_tells_a_process_of_a_later_life_under_its_name():
-    # Against two of one name: the one that others no longer took for it heard nothing of why.
+def test_an_ack_tells_a_process_of_a_newer_incarnation_under_its_name():
+    # Of two processes with one name, the one with the older incarnation has to learn why others ignore it.
     own = Member("n0", "127.0.0.1:1", 1 << 32, 0, 0, "n0")
     members = FailureDetector(own, [], RandomSource("n0", 1), 0)
     members.on_message(
@@ -201,34 +201,35 @@
     ] == [2 << 32]
 
 
-def test_many_twins_in_one_message_are_one_note_and_one_repair_to_their_owner():
-    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
+def test_conflicts_of_one_message_cause_one_log_event_and_one_repair_to_their_owner():
+    receiver = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
     for name in ("n0", "n2"):
-        made.stands(name, True, 0)
+        receiver.stands(name, True, 0)
     ours = [ReplicatedRecord(("purge", "object", n), (5,), ("n2", 1, n + 1)) for n in range(150)]
-    made.heard("n0", replica.SpreadRecords(ours, 0, 0), 0)
-    made.synced(1, 0)
-    done = made.heard(
-        "n0", replica.SpreadRecords([f._replace(value=(5 + f.key[2] % 2 * 2 - 1,)) for f in ours], 0, 0), 0
+    receiver.heard("n0", replica.SpreadRecords(ours, 0, 0), 0)
+    receiver.synced(1, 0)
+    actions = receiver.heard(
+        "n0", replica.SpreadRecords([r._replace(value=(5 + r.key[2] % 2 * 2 - 1,)) for r in ours], 0, 0), 0
     )
-    assert [a.fields["count"] for a in done if isinstance(a, replica.LogEvent)] == [150]
+    assert [a.fields["count"] for a in actions if isinstance(a, replica.LogEvent)] == [150]
     assert [
         (a.to, len(a.message.facts))
-        for a in done
+        for a in actions
         if isinstance(a, replica.SendMessage) and isinstance(a.message, replica.RepairRecords)
     ] == [("n2", 150)]
-    # The later floor of each holds, and all stand under dots that nobody has seen with another content.
+    # The later time of each holds, under versions that nobody has seen with other content.
     assert all(
-        fact.value == (6,) if key[2] % 2 else fact.value == (5,) for key, fact in made.facts.held.items()
+        record.value == (6,) if key[2] % 2 else record.value == (5,)
+        for key, record in receiver.facts.held.items()
     )
-    assert {fact.dot[:2] for fact in made.facts.held.values()} == {("n1", 1)}
+    assert {record.dot[:2] for record in receiver.facts.held.values()} == {("n1", 1)}
 
 
-def test_facts_that_differ_go_in_pieces_that_hold_up_nobody():
+def test_repairs_of_many_records_are_sent_in_small_pieces():
     one, other = (replica.Replica(name, 1, RandomSource(name, 1), 0) for name in ("n1", "n2"))
-    for made, value in ((one, 5), (other, 6)):
-        facts = [ReplicatedRecord(("purge", "object", n), (value,), ("n0", 1, n + 1)) for n in range(700)]
-        made.heard("n0", replica.SpreadRecords(facts, 0, 0), 0)
+    for receiver, value in ((one, 5), (other, 6)):
+        records = [ReplicatedRecord(("purge", "object", n), (value,), ("n0", 1, n + 1)) for n in range(700)]
+        receiver.heard("n0", replica.SpreadRecords(records, 0, 0), 0)
     keys = one.heard("n2", replica.RangeDigests(list(other.facts.range_digests)), 0)[0].message
     repairs = [
         a.message.facts for a in other.heard("n1", keys, 0) if isinstance(a.message, replica.RepairRecords)
@@ -236,11 +237,11 @@
     assert sum(map(len, repairs)) == 700 and max(map(len, repairs)) <= replica.RECORDS_PER_REPAIR
 
 
-def test_what_is_told_while_the_disk_fails_goes_out_and_is_not_said_to_have_been_seen():
-    made = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
-    made.stands("n0", True, 0)
-    made.told(("purge", "object", 1), (5,), 0)
-    made.not_kept(1, "no space left", 0)
-    done = made.told(("purge", "object", 2), (5,), 0)
-    assert [a.message.facts[0].key[2] for a in done if isinstance(a, replica.SendMessage)] == [2]
-    assert not made.waiting and made.on_disk.as_ranges() == []
+def test_records_are_pushed_while_the_disk_fails_and_not_reported_as_seen():
+    receiver = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
+    receiver.stands("n0", True, 0)
+    receiver.told(("purge", "object", 1), (5,), 0)
+    receiver.not_kept(1, "no space left", 0)
+    actions = receiver.told(("purge", "object", 2), (5,), 0)
+    assert [a.message.facts[0].key[2] for a in actions if isinstance(a, replica.SendMessage)] == [2]
+    assert not receiver.waiting and receiver.on_disk.as_ranges() == []
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -1,4 +1,4 @@
-"""Whole fleets in the deterministic driver: fault schedules, and each checker of a promise seen to cry out."""
+"""Simulated fleets: no fault schedule violates an invariant, and each checker of an invariant detects a defect."""
 
 import pytest
 from hypothesis import given
@@ -14,160 +14,160 @@
 from standins.fleet.schedules import played
 from standins.fleet.simulated import Fleet, S
 
-SPANS = st.lists(st.tuples(st.integers(1, 30), st.integers(1, 30)), max_size=12)
+INTERVALS = st.lists(st.tuples(st.integers(1, 30), st.integers(1, 30)), max_size=12)
 
 
-@given(SPANS, SPANS)
+@given(INTERVALS, INTERVALS)
 @profile(max_examples=300, deadline=None, derandomize=True)
-def test_what_was_seen_is_a_set_of_counters(ours, theirs):
-    def made(spans):
-        seen, plain = VersionVector(), set()
-        for first, past in spans:
-            seen.add_range("a", 1, first, past)
-            plain |= set(range(first, past))
-        return seen, plain
-
-    (seen, plain), (other, others) = made(ours), made(theirs)
-    assert {n for n in range(40) if seen.contains(("a", 1, n))} == plain
-    assert {n for _, _, a, b in seen.missing(other) for n in range(a, b)} == others - plain
-    assert VersionVector(seen.as_ranges()).as_ranges() == seen.as_ranges() and seen.covers(other) is (
-        others <= plain
+def test_a_version_vector_behaves_like_a_set_of_counters(ours, theirs):
+    def built(intervals):
+        vector, counters = VersionVector(), set()
+        for first, end in intervals:
+            vector.add_range("a", 1, first, end)
+            counters |= set(range(first, end))
+        return vector, counters
+
+    (vector, counters), (other, other_counters) = built(ours), built(theirs)
+    assert {n for n in range(40) if vector.contains(("a", 1, n))} == counters
+    assert {n for _, _, a, b in vector.missing(other) for n in range(a, b)} == other_counters - counters
+    assert VersionVector(vector.as_ranges()).as_ranges() == vector.as_ranges() and vector.covers(other) is (
+        other_counters <= counters
     )
-    assert all(a < b for _, _, ends in seen.as_ranges() for a, b in zip(ends, ends[1:], strict=False))
+    assert all(a < b for _, _, bounds in vector.as_ranges() for a, b in zip(bounds, bounds[1:], strict=False))
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 3), st.integers(0, 9), st.integers(0, 2)), max_size=20), st.randoms()
 )
 @profile(max_examples=200, deadline=None, derandomize=True)
-def test_facts_join_to_the_same_in_any_order_and_any_number_of_times(said, order):
-    facts = [
-        ReplicatedRecord(("purge", "object", key), (value,), (f"n{owner}", 1, at))
-        for at, (key, value, owner) in enumerate(said, 1)
+def test_records_join_to_the_same_state_in_any_order_and_with_duplicates(values, order):
+    records = [
+        ReplicatedRecord(("purge", "object", key), (value,), (f"n{owner}", 1, counter))
+        for counter, (key, value, owner) in enumerate(values, 1)
     ]
     one, other = RecordStore(), RecordStore()
-    for fact in facts:
-        one.join(fact)
-    mixed = facts * 2
-    order.shuffle(mixed)
-    for fact in mixed:
-        other.join(fact)
+    for record in records:
+        one.join(record)
+    shuffled = records * 2
+    order.shuffle(shuffled)
+    for record in shuffled:
+        other.join(record)
     assert (
         one.held == other.held
         and one.root() == other.root()
         and one.seen.as_ranges() == other.seen.as_ranges()
     )
-    assert all(one.held[f.key].value >= f.value for f in facts)
+    assert all(one.held[r.key].value >= r.value for r in records)
 
 
 @pytest.mark.parametrize(("size", "loss"), [(3, 0.3), (5, 0.0), (5, 0.1), (9, 0.1)])
 @pytest.mark.parametrize("first", range(0, 40, 10))
-def test_schedules_of_faults_break_no_promise(size, loss, first):
+def test_no_fault_schedule_violates_an_invariant(size, loss, first):
     for seed in range(first, first + 10):
         assert not checkers.broken(played(seed, size, loss).trace), (seed, size, loss)
 
 
-def test_the_same_seed_is_the_same_to_the_bit():
+def test_a_seed_reproduces_its_trace_exactly():
     assert played(11, 5, 0.1).trace == played(11, 5, 0.1).trace
 
 
-# Each checker is seen to fail: a defect is sown, and within a few schedules it is found under its number.
+# Each checker is shown to fail: with an injected defect, one of a few schedules is reported under its number.
 
 
-def _not_joined(monkeypatch):
-    whole = replica.Replica._join
+def _drop_some_records(monkeypatch):
+    original = replica.Replica._join
 
-    def joined(self, sender, fact, now, repair=False):
-        if fact.key[0] == "purge" and fact.key[2] % 5 == 0:
-            self.facts.seen.add(fact.dot)
+    def join(self, sender, record, now, repair=False):
+        if record.key[0] == "purge" and record.key[2] % 5 == 0:
+            self.facts.seen.add(record.dot)
             return []
-        return whole(self, sender, fact, now, repair)
+        return original(self, sender, record, now, repair)
 
-    monkeypatch.setattr(replica.Replica, "_join", joined)
+    monkeypatch.setattr(replica.Replica, "_join", join)
 
 
-def _last_one_wins(monkeypatch):
-    def join(self, fact):
-        mine = self.held.get(fact.key)
-        if self.seen.contains(fact.dot):
-            return JoinResult.OLD, mine
-        self.seen.add(fact.dot)
-        if mine is not None:
-            self._take_out(mine)
-        self.put(fact)
-        return JoinResult.NEW, mine
+def _last_write_wins(monkeypatch):
+    def join(self, record):
+        current = self.held.get(record.key)
+        if self.seen.contains(record.dot):
+            return JoinResult.OLD, current
+        self.seen.add(record.dot)
+        if current is not None:
+            self._take_out(current)
+        self.put(record)
+        return JoinResult.NEW, current
 
     monkeypatch.setattr(RecordStore, "join", join)
 
 
-def _start_not_counted(monkeypatch):
-    whole = ReplicaStorage.start
-    monkeypatch.setattr(ReplicaStorage, "start", lambda self, least=0: whole(self, least) and 1 + least)
+def _start_not_rising(monkeypatch):
+    original = ReplicaStorage.start
+    monkeypatch.setattr(ReplicaStorage, "start", lambda self, above=0: original(self, above) and 1 + above)
 
 
-def _sync_dropped(monkeypatch):
-    whole, times = ReplicaStorage.write, []
+def _drop_some_writes(monkeypatch):
+    original, calls = ReplicaStorage.write, []
 
     def write(self, record):
-        times.append(0)
-        return None if len(times) % 3 == 0 else whole(self, record)
+        calls.append(0)
+        return None if len(calls) % 3 == 0 else original(self, record)
 
     monkeypatch.setattr(ReplicaStorage, "write", write)
 
 
-def _let_go_early(monkeypatch):
-    monkeypatch.setattr(replica.Replica, "_on_timer_expiry", _due_let_go_at_once)
+def _remove_too_early(monkeypatch):
+    monkeypatch.setattr(replica.Replica, "_on_timer_expiry", _remove_lifted_at_once)
     monkeypatch.setattr(replica.Replica, "_on_range_keys", lambda self, sender, message, now: [])
 
 
-def _due_let_go_at_once(self, now):
-    self.timers["expiry"], done = now + replica.EXPIRY_PERIOD, []
-    for key in [k for k, f in self.facts.held.items() if k[0] == "word" and f.value[2] == SourceState.LIFTED]:
-        done += self._remove(key)
-    return done + self._start_write()
+def _remove_lifted_at_once(self, now):
+    self.timers["expiry"], actions = now + replica.EXPIRY_PERIOD, []
+    for key in [k for k, r in self.facts.held.items() if k[0] == "word" and r.value[2] == SourceState.LIFTED]:
+        actions += self._remove(key)
+    return actions + self._start_write()
 
 
-def _live_at_once(monkeypatch):
-    def caught_up(self, now):
+def _caught_up_too_early(monkeypatch):
+    def end_catch_up(self, now):
         if self.phase is not replica.CatchUpPhase.ASKING or not self.marks:
             return []
         self.phase = replica.CatchUpPhase.TOGETHER
         return [replica.CaughtUp("caught-up", list(self.marks))]
 
-    monkeypatch.setattr(replica.Replica, "_end_catch_up_if_complete", caught_up)
+    monkeypatch.setattr(replica.Replica, "_end_catch_up_if_complete", end_catch_up)
 
 
 @pytest.mark.parametrize(
-    ("number", "sow"),
+    ("number", "inject"),
     [
-        (1, _not_joined),
-        (2, _last_one_wins),
-        (3, _not_joined),
-        (5, _start_not_counted),
-        (6, _sync_dropped),
-        (7, _let_go_early),
-        (8, _live_at_once),
+        (1, _drop_some_records),
+        (2, _last_write_wins),
+        (3, _drop_some_records),
+        (5, _start_not_rising),
+        (6, _drop_some_writes),
+        (7, _remove_too_early),
+        (8, _caught_up_too_early),
     ],
 )
-def test_a_sown_defect_makes_its_checker_cry_out(monkeypatch, number, sow):
-    sow(monkeypatch)
+def test_each_checker_detects_its_injected_defect(monkeypatch, number, inject):
+    inject(monkeypatch)
     for seed in range(60):
         if any(at == number for at, _ in checkers.broken(played(seed, 4, 0.1).trace)):
             return
-    raise AssertionError(f"checker {number} found nothing")
+    raise AssertionError(f"checker {number} detected nothing in 60 schedules")
 
 
-def paused_and_half_cut(seed):
-    """Ten fronts: one stands still for 6 s, one hears and isn't heard for 6 s, one is heard and hears nothing."""
+def fleet_with_a_stall_and_one_way_partitions(seed):
+    """Ten fronts, of which for 6 s one is paused, one can't send and one can't receive."""
     fleet = Fleet(10, seed, loss=0.02)
     fleet.start()
     fleet.run(3 * S)
     others = [n for n in fleet.fronts if n not in ("n1", "n2", "n3")]
     fleet.pause("n1", True)
-    for name, out in (("n2", True), ("n3", False)):
+    for name, is_sender in (("n2", True), ("n3", False)):
         fleet.note(name, "cut")
         for other in others:
-            fleet.split([name] if out else [other], [other] if out else [name], both=False)
+            fleet.split([name] if is_sender else [other], [other] if is_sender else [name], both=False)
     fleet.run(9 * S)
     fleet.pause("n1", False)
     fleet.heal()
@@ -178,58 +178,61 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_one_that_stands_still_or_is_half_cut_takes_no_other_down(seed):
-    fleet = paused_and_half_cut(seed)
+def test_a_stalled_or_one_way_partitioned_front_has_no_other_declared_dead(seed):
+    fleet = fleet_with_a_stall_and_one_way_partitions(seed)
     assert not checkers.falsely_gone(fleet.trace, 5 * S)
     for front in fleet.fronts.values():
         assert len(front.peer.members.reachable()) == 9, front.name
 
 
-def test_the_checker_of_false_ends_cries_out(monkeypatch):
-    # A suspect that is not heard: nobody takes its refutation.
-    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, word: [])
-    assert any(checkers.falsely_gone(paused_and_half_cut(seed).trace, 5 * S) for seed in range(3))
+def test_the_checker_of_false_deaths_detects_a_defect(monkeypatch):
+    # No front takes a suspect's refutation.
+    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, update: [])
+    assert any(
+        checkers.falsely_gone(fleet_with_a_stall_and_one_way_partitions(seed).trace, 5 * S)
+        for seed in range(3)
+    )
 
 
-def test_every_interleaving_of_a_small_instance_keeps_what_was_seen():
+def test_no_interleaving_of_a_small_instance_violates_an_invariant():
     states, settled = explore.explored(5)
     assert states > 900 and settled > 600
     assert explore.explored(4, ("a", "b", "c"), losses=0, crashes=0)[0] > 100
 
 
-def _claims_before_the_pieces(monkeypatch):
-    whole = replica.Replica._complete_transfer
+def _claim_before_all_pieces(monkeypatch):
+    original = replica.Replica._complete_transfer
 
-    def at_once(self, sender, coming):
-        coming.pieces |= set(range(coming.end.pieces if coming.end else 0))
-        return whole(self, sender, coming)
+    def complete_transfer(self, sender, transfer):
+        transfer.pieces |= set(range(transfer.end.pieces if transfer.end else 0))
+        return original(self, sender, transfer)
 
-    monkeypatch.setattr(replica.Replica, "_complete_transfer", at_once)
+    monkeypatch.setattr(replica.Replica, "_complete_transfer", complete_transfer)
 
 
-def _said_before_it_is_synced(monkeypatch):
-    synced = replica.Replica.synced
+def _report_before_durable(monkeypatch):
+    original = replica.Replica.synced
 
-    def early(self, number, now):
-        done = synced(self, number, now)
+    def synced(self, number, now):
+        actions = original(self, number, now)
         self.on_disk = self.facts.seen.copy()
-        return done
+        return actions
 
-    monkeypatch.setattr(replica.Replica, "synced", early)
+    monkeypatch.setattr(replica.Replica, "synced", synced)
 
 
 @pytest.mark.parametrize(
-    ("what", "sow", "depth"), [("a", _claims_before_the_pieces, 7), ("b", _said_before_it_is_synced, 6)]
+    ("invariant", "inject", "depth"), [("a", _claim_before_all_pieces, 7), ("b", _report_before_durable, 6)]
 )
-def test_the_explorer_finds_a_sown_defect(monkeypatch, what, sow, depth):
-    sow(monkeypatch)
+def test_the_explorer_detects_an_injected_defect(monkeypatch, invariant, inject, depth):
+    inject(monkeypatch)
     with pytest.raises(explore.Broken) as found:
         explore.explored(depth)
-    assert found.value.args[0] == what
+    assert found.value.args[0] == invariant
 
 
-def caught_up_after(crash_at=None, fault_at=None):
-    """Two fronts hold 300 facts, a third with an empty disk catches up; its disk stops it, or fails, at a call."""
+def fleet_after_catch_up(crash_at=None, fault_at=None):
+    """Two fronts hold 300 records; a third, with an empty disk, catches up and crashes or has disk faults at a call."""
     fleet = Fleet(3, 5, alone_after=2 * S, rate=200_000)
     fleet.start("n0", "n1")
     fleet.run(3 * S)
@@ -243,48 +246,48 @@
     )
     fleet.start("n2")
     fleet.run(fleet.now + 2 * S)
-    again = not third.up
-    if again:
+    has_crashed = not third.up
+    if has_crashed:
         fleet.start("n2")
     fleet.run(fleet.now + 15 * S)
     fleet.dump()
-    return fleet, again
+    return fleet, has_crashed
 
 
-def test_a_front_killed_at_each_disk_call_of_its_catch_up_goes_on_where_its_disk_is(monkeypatch):
-    monkeypatch.setattr(replica, "RECORDS_PER_MESSAGE", 20)  # so that it takes many writes
+def test_catch_up_resumes_from_the_disk_after_a_crash_at_any_disk_call(monkeypatch):
+    monkeypatch.setattr(replica, "RECORDS_PER_MESSAGE", 20)  # so that the transfer takes many writes
     crashed = 0
     for crash_at in range(1, 40):
-        fleet, again = caught_up_after(crash_at=crash_at)
-        crashed += again
+        fleet, has_crashed = fleet_after_catch_up(crash_at=crash_at)
+        crashed += has_crashed
         assert not checkers.broken(fleet.trace), crash_at
         assert len(fleet.fronts["n2"].holds()) == 300
         assert [x for x in fleet.trace if x[1:3] == ("n2", "live")][-1][3] == "caught-up"
     assert crashed > 20
 
 
-def test_a_disk_that_is_full_for_a_while_at_any_call_loses_no_fact_and_is_taken_up_again(monkeypatch):
+def test_a_temporarily_full_disk_loses_no_record_and_is_used_again(monkeypatch):
     monkeypatch.setattr(replica, "RECORDS_PER_MESSAGE", 20)
     failed = 0
     for fault_at in range(7, 40):
-        fleet, _ = caught_up_after(fault_at=fault_at)
+        fleet, _ = fleet_after_catch_up(fault_at=fault_at)
         failed += any(x[1:3] == ("n2", "not-kept") for x in fleet.trace)
         assert not checkers.broken(fleet.trace), fault_at
         assert len(fleet.fronts["n2"].holds()) == 300 and fleet.fronts["n2"].peer.replica.kept
-        # And its disk has it: what a restart finds is what it holds.
+        # The records are on its disk as well: it has them after a restart.
         fleet.kill("n2")
         fleet.start("n2")
         assert len(fleet.fronts["n2"].holds()) == 300
     assert failed > 10
 
 
-def test_tombstones_wait_for_one_that_is_there_and_not_for_one_that_is_gone():
+def test_tombstones_are_kept_for_a_reachable_front_and_not_for_a_dead_one():
     fleet = Fleet(3, 5, alone_after=S, purge_life=S)
     fleet.start()
     fleet.run(3 * S)
     fleet.drained("n0", 16)
     fleet.run(4 * S)
-    # n2 hears everything but facts: it is there, and has not seen the lifting.
+    # n2 receives everything but records: it is reachable, and hasn't seen that the drain was lifted.
     fleet.network.cut |= {
         (a, "n2", kind) for a in ("n0", "n1") for kind in (replica.SpreadRecords, replica.TransferEnd)
     }
@@ -301,7 +304,7 @@
     assert not fleet.fronts["n2"].holds() and not checkers.broken(fleet.trace)
 
 
-def test_fronts_that_return_together_are_live_by_those_that_stayed_and_not_by_each_other():
+def test_fronts_that_return_together_catch_up_from_those_that_stayed_not_from_each_other():
     for seed in range(6):
         fleet = Fleet(10, seed, alone_after=2 * S)
         fleet.start()
@@ -309,19 +312,19 @@
         for number in range(50):
             fleet.purged(f"n{number % 3}", number, number)
         fleet.run(6 * S)
-        away = [f"n{at}" for at in range(3, 10)]
-        for name in away:
+        returning = [f"n{at}" for at in range(3, 10)]
+        for name in returning:
             fleet.kill(name)
-            fleet.fronts[name].disk = type(fleet.fronts[name].disk)()  # with nothing of what they had
+            fleet.fronts[name].disk = type(fleet.fronts[name].disk)()  # an empty disk
             fleet.note(name, "folder-put-back")
         fleet.run(7 * S)
         since = len(fleet.trace)
-        # First among themselves: those that stayed are reached a little later.
-        fleet.split(away, ["n0", "n1", "n2"])
-        fleet.start(*away)
+        # They meet each other first: those that stayed become reachable 1 s later.
+        fleet.split(returning, ["n0", "n1", "n2"])
+        fleet.start(*returning)
         fleet.run(fleet.now + S)
         fleet.heal()
         fleet.run(fleet.now + 10 * S)
         live = {x[1]: x for x in fleet.trace[since:] if x[2] == "live"}
-        assert set(live) >= set(away)
-        assert all(live[name][3] == "caught-up" and len(live[name][-1]) == 50 for name in away), seed
+        assert set(live) >= set(returning)
+        assert all(live[name][3] == "caught-up" and len(live[name][-1]) == 50 for name in returning), seed
--- a/tests/fleet/test_fleet_wall_clock.py
+++ b/tests/fleet/test_fleet_wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock between fronts and keepers: at one, at all, amid a vote, a permit, and across a restart."""
+"""Steps of the wall clock of fronts and voters: of one, of all, during an election and a permit, across a restart."""
 
 import time
 
@@ -8,7 +8,7 @@
 from standins.fleet.rig import Rig
 
 HOUR = 3600
-THING = 0x7F3A9C21E0B4D655
+OBJECT = 0x7F3A9C21E0B4D655
 
 
 @pytest.fixture
@@ -18,29 +18,29 @@
         yield made
 
 
-def stepped(rig, names, seconds):
+def step_clocks(rig, names, seconds):
     for name in names:
         (rig.fronts.get(name) or rig.keepers[name]).faults.step_wall(seconds)
 
 
-def serves(rig, first):
-    """Every front answers, in time, whatever its clock says."""
+def assert_all_serve(rig, first):
+    """Every front answers in time, whatever its wall clock shows."""
     for number, name in enumerate(rig.names):
         for at in range(5):
             begun = time.monotonic()
-            assert rig.get(name, THING + first + at, (first + number) * 100 + at)[0] == 200
+            assert rig.get(name, OBJECT + first + at, (first + number) * 100 + at)[0] == 200
             assert time.monotonic() - begun < 1.5
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
 @pytest.mark.parametrize("where", ["n1", "k0", "all"])
-def test_purges_drains_and_permits_hold_through_a_step(rig, where, step):
+def test_purges_drains_and_permits_survive_a_clock_step(rig, where, step):
     names = [*rig.names, *rig.keepers] if where == "all" else [where]
-    stepped(rig, names, step)
+    step_clocks(rig, names, step)
     time.sleep(1.0)
-    serves(rig, 1)
+    assert_all_serve(rig, 1)
     at = int(time.time() * 1000)
-    rig.purge(["n0"], THING, at)
+    rig.purge(["n0"], OBJECT, at)
     for name in rig.names:
         rig.wait(
             lambda name=name: any(key[:2] == ("purge", "object") for key in rig.fronts[name].holds()), 10
@@ -52,22 +52,22 @@
     agent.stopped = True
     agent.join(20)
     assert agent.fault is None and agent.late == 0 and agent.replaced == [(0, "")]
-    stepped(rig, names, 0)  # and back
+    step_clocks(rig, names, 0)  # back to the true time
     time.sleep(0.5)
-    serves(rig, 50)
+    assert_all_serve(rig, 50)
 
 
-def test_a_step_amid_a_vote_and_a_permit_leaves_one_leader_and_one_box_out(rig):
+def test_clock_steps_during_an_election_and_a_permit_leave_one_leader_and_one_server_out(rig):
     agent = Agent(rig, "a0", range(4))
     agent.start()
     rig.propose("n0", "ask", "h", "s-10", "op", "test")
     rig.propose("n0", "ask", "i", "s-11", "op", "test")
     leader = rig.leader()
-    stepped(rig, [leader], HOUR)
+    step_clocks(rig, [leader], HOUR)
     rig.keepers[leader].kill()
     for name, step in zip((k for k in rig.keepers if k != leader), (-HOUR, 3), strict=True):
-        stepped(rig, [name], step)
-    rig.keepers[leader].start()  # an hour ahead of when it wrote its folder
+        step_clocks(rig, [name], step)
+    rig.keepers[leader].start()  # an hour ahead of the clock by which it wrote its folder
     rig.step("h", "back")
     rig.step("i", "back")
     agent.stopped = True
@@ -76,16 +76,16 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
-def test_a_front_that_returns_with_another_clock_has_its_drains_and_purges(rig, step):
-    """What lasts was written an hour from what the clock says at the next start."""
+def test_a_front_restarted_with_a_stepped_clock_keeps_its_records(rig, step):
+    """Its stored state was written an hour before or after what its clock shows at the next start."""
     front = rig.fronts["n2"]
-    rig.purge(["n2"], THING, int(time.time() * 1000))
+    rig.purge(["n2"], OBJECT, int(time.time() * 1000))
     rig.wait(lambda: any(key[:2] == ("purge", "object") for key in front.holds()), 10)
-    time.sleep(1.0)  # it lasts
+    time.sleep(1.0)  # until the record is durable
     front.kill()
     front.faults.step_wall(step)
     since = len(front.lines)
     front.start()
     front.until("ready", since)
     assert any(key[:2] == ("purge", "object") for key in front.holds())
-    serves(rig, 90)
+    assert_all_serve(rig, 90)
