--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -272,7 +272,7 @@
 
     made, before = Replica("n1", 1, RandomSource("n1", 1), 0), rss()
     for n in range(count):
-        made.facts.join(ReplicatedRecord(("purge", "object", n), (n + 1,), ("n0", 1 << 32, n + 1)))
+        made.store.join(ReplicatedRecord(("purge", "object", n), (n + 1,), ("n0", 1 << 32, n + 1)))
     return (rss() - before) / count
 
 
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -166,7 +166,7 @@
     except msgspec.MsgspecError as fault:
         raise FrameError(f"a message that can't be decoded: {fault}") from None
     if isinstance(decoded, replica.SpreadRecords | replica.RepairRecords):
-        for record in decoded.facts:
+        for record in decoded.records:
             _check_record(record)
     if isinstance(decoded, replica.TransferEnd | replica.SeenReport | replica.CatchUpMark):
         for _, _, bounds in decoded.claims if isinstance(decoded, replica.TransferEnd) else decoded.lives:
@@ -197,12 +197,12 @@
     if (
         key_types is None
         or len(record.key) != 1 + len(key_types)
-        or len(record.dot) != 3
+        or len(record.version) != 3
         or not all(type(part) is wanted for part, wanted in zip(record.key[1:], key_types, strict=True))
         or len(record.value) != VALUE_LENGTHS[kind]
         or not all(type(part) is int for part in record.value)
-        or [type(part) for part in record.dot] != [str, int, int]
-        or record.dot[2] < 1
+        or [type(part) for part in record.version] != [str, int, int]
+        or record.version[2] < 1
         or kind == replica.SERVER_STATE
         and record.value[2] not in list(SourceState)
     ):
--- a/sprucegate/fleet/links/send_queue.py
+++ b/sprucegate/fleet/links/send_queue.py
@@ -36,7 +36,7 @@
     def put(self, message, is_transfer):
         """Queue a message; `is_transfer`: it carries records, and is dropped at the bound of transfers."""
         if isinstance(message, SpreadRecords) and not message.transfer:
-            self._put_records(message.facts)
+            self._put_records(message.records)
         elif isinstance(message, EvidenceMessage):
             self._gossip = message
         elif is_transfer:
--- a/sprucegate/fleet/replica/facts.py
+++ b/sprucegate/fleet/replica/facts.py
@@ -39,12 +39,12 @@
 
     :ivar key: its kind, then what it is about.
     :ivar value: what holds; the larger of two values stands.
-    :ivar dot: its version: owner, incarnation and counter.
+    :ivar version: its version: owner, incarnation and counter.
     """
 
     key: tuple
     value: tuple
-    dot: tuple
+    version: tuple
 
 
 class JoinResult(Enum):
@@ -98,15 +98,15 @@
     def join(self, record):
         """Offer a record; return the JoinResult and the record held before under its key, or None."""
         current = self.held.get(record.key)
-        if self.seen.contains(record.dot):
-            held_key = self.key_by_counter.get(record.dot[:2], {}).get(record.dot[2])
+        if self.seen.contains(record.version):
+            held_key = self.key_by_counter.get(record.version[:2], {}).get(record.version[2])
             if held_key is None or held_key == record.key and current.value == record.value:
                 return JoinResult.OLD, current  # removed, replaced, or a duplicate
             return JoinResult.OTHER, current
         if current is None and len(self.held) >= self.max_records:
             return JoinResult.FULL, None  # nor counted as seen: it may arrive again once there is room
-        self.seen.add(record.dot)
-        if current is not None and (current.value, current.dot) >= (record.value, record.dot):
+        self.seen.add(record.version)
+        if current is not None and (current.value, current.version) >= (record.value, record.version):
             return JoinResult.OLD, current
         if current is not None:
             self._take_out(current)
@@ -138,13 +138,13 @@
         """Hold a record; one held before under its key must have been removed."""
         self.held[record.key] = record
         self.count_by_kind[record.key[0]] = self.count_by_kind.get(record.key[0], 0) + 1
-        owner = record.dot[:2]
+        owner = record.version[:2]
         counters = self.counters.setdefault(owner, [])
-        if not counters or counters[-1] < record.dot[2]:
-            counters.append(record.dot[2])
+        if not counters or counters[-1] < record.version[2]:
+            counters.append(record.version[2])
         else:
-            insort(counters, record.dot[2])
-        self.key_by_counter.setdefault(owner, {})[record.dot[2]] = record.key
+            insort(counters, record.version[2])
+        self.key_by_counter.setdefault(owner, {})[record.version[2]] = record.key
         at = key_range(record.key)
         self.digests_by_key[at][record.key] = hashed = digest(record)
         self.range_digests[at] ^= hashed
@@ -152,9 +152,9 @@
     def _take_out(self, record):
         del self.held[record.key]
         self.count_by_kind[record.key[0]] -= 1
-        owner, counters = record.dot[:2], self.counters[record.dot[:2]]
-        del counters[bisect_left(counters, record.dot[2])]
-        del self.key_by_counter[owner][record.dot[2]]
+        owner, counters = record.version[:2], self.counters[record.version[:2]]
+        del counters[bisect_left(counters, record.version[2])]
+        del self.key_by_counter[owner][record.version[2]]
         if not counters:
             del self.counters[owner], self.key_by_counter[owner]
         at = key_range(record.key)
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -52,7 +52,7 @@
 class SpreadRecords(NamedTuple):
     """New records pushed to neighbours (`transfer` 0), or the piece `at` of a transfer of what one peer lacks."""
 
-    facts: list
+    records: list
     transfer: int
     at: int
 
@@ -118,14 +118,14 @@
     """The sender's records of some ranges, each by key, version and digest. `answer`: the receiver's are requested."""
 
     ranges: list
-    facts: list
+    records: list
     answer: bool
 
 
 class RepairRecords(NamedTuple):
     """Records that differ under one key between replicas that have seen the same."""
 
-    facts: list
+    records: list
 
 
 class SendMessage(NamedTuple):
@@ -149,13 +149,13 @@
 class RecordInForce(NamedTuple):
     """A record from another process that holds from here on."""
 
-    fact: ReplicatedRecord
+    record: ReplicatedRecord
 
 
 class RecordDiscarded(NamedTuple):
     """A record that is no longer held: it expired, or was lifted and removed elsewhere."""
 
-    fact: ReplicatedRecord
+    record: ReplicatedRecord
 
 
 class CaughtUp(NamedTuple):
@@ -212,7 +212,7 @@
 class Replica:
     """One process's replica of the fleet's records. (event, now) in, actions out; times in monotonic ns.
 
-    :ivar facts: the record store
+    :ivar store: the record store
     :ivar on_disk: versions seen, as far as they are durable
     :ivar kept: whether the disk accepts writes
     :ivar slow_peers: peers with unsent data in their queue; set by the caller
@@ -242,7 +242,7 @@
         self.rate = rate
         self.alone_after = alone_after
         self.retention = {INVALIDATION: purge_life, SERVER_STATE: word_life}
-        self.facts = RecordStore(max_records)
+        self.store = RecordStore(max_records)
         self.counter = 0
         self.phase = CatchUpPhase.IDLE
         self.expiry_queue = []  # heap of (time, order, key)
@@ -295,8 +295,8 @@
     def digest(self):
         """Return a digest of all that is held and was seen: equal where two replicas have nothing to exchange."""
         if self.cached_digest[0] != self.change_count:
-            seen = xxhash.xxh64_intdigest(_pack(self.facts.seen.as_ranges()))
-            self.cached_digest = self.change_count, self.facts.root() ^ seen
+            seen = xxhash.xxh64_intdigest(_pack(self.store.seen.as_ranges()))
+            self.cached_digest = self.change_count, self.store.root() ^ seen
         return self.cached_digest[1]
 
     def next_due(self):
@@ -324,24 +324,24 @@
 
     def loaded(self, records, lives, now):
         """Take what the disk had, before any other event."""
-        self.facts.seen = VersionVector(lives)
+        self.store.seen = VersionVector(lives)
         for record in records:
-            self.facts.seen.add(record.dot)
-            current = self.facts.held.get(record.key)
-            if current is None or (current.value, current.dot) < (record.value, record.dot):
+            self.store.seen.add(record.version)
+            current = self.store.held.get(record.key)
+            if current is None or (current.value, current.version) < (record.value, record.version):
                 if current is not None:
-                    self.facts.remove(record.key)
-                self.facts.put(record)
-        for record in self.facts.held.values():
+                    self.store.remove(record.key)
+                self.store.put(record)
+        for record in self.store.held.values():
             self._schedule_expiry(record, now)
-        self.on_disk = self.facts.seen.copy()
+        self.on_disk = self.store.seen.copy()
         self.change_count += 1
 
     def told(self, key, value, now):
         """Take a record from a source of this process's own; one that changes nothing is ignored."""
         if key[0] == SERVER_STATE:
             state = value[0]
-            current = self.facts.held.get(key)
+            current = self.store.held.get(key)
             if (
                 current is not None
                 and current.value[2] == state
@@ -350,7 +350,7 @@
             ):
                 return self._lift_for_former_peers(key, now) if state == SourceState.LIFTED else []
             value = self.incarnation, self.counter + 1, state
-        elif (current := self.facts.held.get(key)) is not None and current.value >= value:
+        elif (current := self.store.held.get(key)) is not None and current.value >= value:
             return []
         actions = self._put_own(key, value, now)
         if key[0] == SERVER_STATE and value[2] == SourceState.LIFTED:
@@ -381,7 +381,7 @@
                 return self._on_range_keys(sender, message, now)
             case RepairRecords():
                 actions = [
-                    a for record in message.facts for a in self._join(sender, record, now, repair=True)
+                    a for record in message.records for a in self._join(sender, record, now, repair=True)
                 ]
                 return _merge_conflicts(actions + self._start_write())
         return []
@@ -469,7 +469,7 @@
     def _put_own(self, key, value, now):
         self.counter += 1
         record = ReplicatedRecord(key, value, (self.name, self.incarnation, self.counter))
-        result, _ = self.facts.join(record)
+        result, _ = self.store.join(record)
         if result is JoinResult.FULL:
             self.counter -= 1
             return self._report_full(record)
@@ -481,7 +481,7 @@
     def _lift_for_former_peers(self, key, now):
         """A source of this process lifted a state: lift it too where its owner, which heard the same, is gone."""
         for owner in sorted(self.former_peers):
-            theirs = self.facts.held.get((*key[:4], owner))
+            theirs = self.store.held.get((*key[:4], owner))
             if theirs is not None and theirs.value[2] != SourceState.LIFTED:
                 self._put_own(theirs.key, (*theirs.value[:2], int(SourceState.LIFTED)), now)
         return self._start_write()
@@ -493,7 +493,7 @@
         self._schedule_expiry(record, now)
         for transfer in self.outgoing_transfers.values():
             # Otherwise the end could claim a version whose record this one replaced, and the peer had neither.
-            transfer.intervals.append((*record.dot[:2], record.dot[2], record.dot[2] + 1))
+            transfer.intervals.append((*record.version[:2], record.version[2], record.version[2] + 1))
 
     def _start_write(self):
         """Begin a write if none is under way; what arrives meanwhile is written with the next one."""
@@ -507,7 +507,7 @@
         self.write_number += 1
         record = self.unsaved
         self.unsaved = ([], [], [])
-        self.writing = (self.write_number, self.facts.seen.copy(), self.waiting)
+        self.writing = (self.write_number, self.store.seen.copy(), self.waiting)
         self.waiting = []
         return [PersistRecords(self.write_number, record)]
 
@@ -516,7 +516,7 @@
         self.recovery_snapshot_begun = not self.kept
         if self.recovery_snapshot_begun:
             self.unsaved = [], [], []
-        return list(self.facts.held.values()), self.facts.seen.as_ranges()
+        return list(self.store.held.values()), self.store.seen.as_ranges()
 
     def disk_is_back(self, lives, now):
         """The snapshot of a disk that failed before is durable; `lives`: the versions seen that it has."""
@@ -529,7 +529,7 @@
         is_first = not self.full_logged
         self.full_logged = True
         return (
-            [LogEvent("fleet_full", {"facts": len(self.facts.held), "key": list(record.key)})]
+            [LogEvent("fleet_full", {"facts": len(self.store.held), "key": list(record.key)})]
             if is_first
             else []
         )
@@ -543,14 +543,14 @@
         return [SendMessage(peer, message, True) for peer in self.push_targets(now) if peer != sender]
 
     def _on_spread_records(self, sender, message, now):
-        actions = [a for record in message.facts for a in self._join(sender, record, now)]
+        actions = [a for record in message.records for a in self._join(sender, record, now)]
         if message.transfer:
             transfer = self._incoming_transfer(sender, message.transfer, now)
             transfer.pieces.add(message.at)
             # Not pushed on: other peers that lack these records request them as well.
             return actions + self._complete_transfer(sender, transfer) + self._start_write()
         # Records for which a full store has no room are obeyed but not pushed on: they would circulate for ever.
-        new = [a.fact for a in actions if isinstance(a, RecordInForce) and a.fact.key in self.facts.held]
+        new = [a.record for a in actions if isinstance(a, RecordInForce) and a.record.key in self.store.held]
         return actions + self._push(new, sender, now) + self._start_write()
 
     def _on_transfer_end(self, sender, message, now):
@@ -575,23 +575,23 @@
             return []
         for owner, incarnation, bounds in transfer.end.claims:
             for first, end in zip(bounds[::2], bounds[1::2], strict=True):
-                self.facts.seen.add_range(owner, incarnation, first, end)
+                self.store.seen.add_range(owner, incarnation, first, end)
                 self.unsaved[1].append((owner, incarnation, first, end))
         self.change_count += 1
         del self.incoming_transfers[sender]
         return []
 
     def _join(self, sender, record, now, repair=False):
-        current = self.facts.held.get(record.key)
-        result, _ = self.facts.join(record)
+        current = self.store.held.get(record.key)
+        result, _ = self.store.join(record)
         if result is JoinResult.NEW:
             self._note_change(record, now)
             return [RecordInForce(record)]
         if result is JoinResult.FULL:
             return [*self._report_full(record), RecordInForce(record)]
         if result is JoinResult.OLD:
-            if current is None or record.dot != current.dot:
-                self.unsaved[1].append((*record.dot[:2], record.dot[2], record.dot[2] + 1))
+            if current is None or record.version != current.version:
+                self.unsaved[1].append((*record.version[:2], record.version[2], record.version[2] + 1))
                 self.change_count += 1
             if not repair or current is None or current.value >= record.value:
                 return []
@@ -603,19 +603,19 @@
         Neither may be lost, and others that have seen the version would not take the other content under it.
         """
         actions = [
-            LogEvent("fleet_dot_twice", {"dot": list(record.dot), "key": list(record.key), "by": sender})
+            LogEvent("fleet_dot_twice", {"dot": list(record.version), "key": list(record.key), "by": sender})
         ]
-        current = self.facts.held.get(record.key)
-        held_key = self.facts.key_by_counter.get(record.dot[:2], {}).get(record.dot[2])
+        current = self.store.held.get(record.key)
+        held_key = self.store.key_by_counter.get(record.version[:2], {}).get(record.version[2])
         if held_key is not None and (held_key != record.key or current.value > record.value):
-            if record.dot[0] not in (self.name, sender) and record.dot[0] in self.peers:
+            if record.version[0] not in (self.name, sender) and record.version[0] in self.peers:
                 actions.append(
-                    SendMessage(record.dot[0], RepairRecords([self.facts.held[held_key], record]), True)
+                    SendMessage(record.version[0], RepairRecords([self.store.held[held_key], record]), True)
                 )
-            self._rewrite_as_own(self.facts.held[held_key], now)
+            self._rewrite_as_own(self.store.held[held_key], now)
         if current is None or current.value < record.value:
             actions += [*self._put_own(record.key, record.value, now), RecordInForce(record)]
-        if record.dot[:2] == (self.name, self.incarnation):
+        if record.version[:2] == (self.name, self.incarnation):
             actions.append(VersionConflict(sender))
         return actions + self._start_write()
 
@@ -623,8 +623,8 @@
         """Put the same content under a version of this process, which nobody has seen yet."""
         self.counter += 1
         rewritten = ReplicatedRecord(record.key, record.value, (self.name, self.incarnation, self.counter))
-        self.facts.remove(record.key)
-        self.facts.join(rewritten)
+        self.store.remove(record.key)
+        self.store.join(rewritten)
         self._note_change(rewritten, now)
         self.waiting.append(rewritten)
 
@@ -632,8 +632,8 @@
 
     def _have_message(self, part=(0, 1), number=0):
         # A request lists what is in memory: by what is durable, all that is being written would be sent once more.
-        seen = self.facts.seen if number else self.on_disk
-        return SeenReport(seen.as_ranges(), self.facts.root(), part, number)
+        seen = self.store.seen if number else self.on_disk
+        return SeenReport(seen.as_ranges(), self.store.root(), part, number)
 
     def _on_timer_digest(self, now):
         self.timers["digest"] = now + HELD_EVERY
@@ -684,7 +684,7 @@
         self.outgoing_transfers.pop(sender, None)
         if message.number:
             return [*actions, SendMessage(sender, TransferEnd(next(self.transfer_numbers), 0, []), True)]
-        if not self.facts.seen.covers(theirs):
+        if not self.store.seen.covers(theirs):
             # While catching up, or while a transfer arrives, a further report would have all of it sent twice.
             is_under_way = (
                 self.phase is CatchUpPhase.ASKING or now - self.repaired_at < SEEN_REPORT_INTERVAL_MIN
@@ -693,11 +693,11 @@
                 self.have_at[sender] = now
                 actions.append(SendMessage(sender, self._have_message()))
         elif (
-            message.root != self.facts.root()
+            message.root != self.store.root()
             and now - self.range_digests_sent_at.get(sender, -S) >= RANGE_DIGESTS_INTERVAL_MIN
         ):
             self.range_digests_sent_at[sender] = now
-            actions.append(SendMessage(sender, RangeDigests(list(self.facts.range_digests))))
+            actions.append(SendMessage(sender, RangeDigests(list(self.store.range_digests))))
         return actions
 
     def _send_transfers(self, now):
@@ -721,7 +721,7 @@
                 transfer.intervals and len(records) < RECORDS_PER_MESSAGE and searched < RECORDS_PER_MESSAGE
             ):
                 owner, incarnation, first, end = transfer.intervals.pop()
-                found, complete_to = self.facts.in_interval(
+                found, complete_to = self.store.in_interval(
                     owner, incarnation, first, end, RECORDS_PER_MESSAGE - len(records)
                 )
                 records += found
@@ -750,7 +750,7 @@
             return []
         chosen = []
         size = 0
-        own = self.facts
+        own = self.store
         for at in [at for at in range(BUCKETS) if message.digests[at] != own.range_digests[at]]:
             size += len(own.digests_by_key[at])
             if size <= COMPARED_KEYS_MAX or not chosen:
@@ -758,19 +758,19 @@
         return [SendMessage(sender, self._range_keys(chosen, True))] if chosen else []
 
     def _range_keys(self, ranges, answer):
-        records = [(r.key, r.dot, hashed) for r, hashed in self.facts.in_ranges(set(ranges))]
+        records = [(r.key, r.version, hashed) for r, hashed in self.store.in_ranges(set(ranges))]
         return RangeKeys(ranges, records, answer)
 
     def _on_range_keys(self, sender, message, now):
         """Send what differs; remove a server's state that the peer has seen and removed."""
         chosen = {at for at in message.ranges if 0 <= at < BUCKETS}
-        theirs = {key: hashed for key, _, hashed in message.facts}
+        theirs = {key: hashed for key, _, hashed in message.records}
         different = []
         actions = []
         seen = self.peers.get(sender) or VersionVector()
-        for record, hashed in self.facts.in_ranges(chosen):
+        for record, hashed in self.store.in_ranges(chosen):
             if record.key not in theirs:
-                if record.key[0] == SERVER_STATE and seen.contains(record.dot):
+                if record.key[0] == SERVER_STATE and seen.contains(record.version):
                     actions += [
                         *self._remove(record.key),
                         RecordInForce(record._replace(value=(*record.value[:2], int(SourceState.LIFTED)))),
@@ -794,11 +794,11 @@
         actions = []
         while self.expiry_queue and self.expiry_queue[0][0] <= now:
             key = heapq.heappop(self.expiry_queue)[2]
-            record = self.facts.held.get(key)
+            record = self.store.held.get(key)
             if record is None or self._retention_of(record) is None:
                 continue  # a newer record of this key has an entry of its own
-            if self.on_disk.contains(record.dot) and all(
-                seen.contains(record.dot) for seen in self.peers.values()
+            if self.on_disk.contains(record.version) and all(
+                seen.contains(record.version) for seen in self.peers.values()
             ):
                 actions += self._remove(key)
             else:
@@ -824,8 +824,8 @@
             heapq.heappush(self.expiry_queue, (now + retention, next(self.expiry_order), record.key))
 
     def _remove(self, key):
-        record = self.facts.held[key]
-        self.facts.remove(key)
+        record = self.store.held[key]
+        self.store.remove(key)
         self.unsaved[2].append(key)
         self.change_count += 1
         self.full_logged = False
@@ -894,7 +894,7 @@
         uncovered = [
             name
             for name, mark in self.marks.items()
-            if name in self.peers and not self.facts.seen.covers(mark)
+            if name in self.peers and not self.store.seen.covers(mark)
         ]
         if not uncovered and any(not self.on_disk.covers(mark) for mark in self.marks.values()) and self.kept:
             return []  # all of it has arrived and is being written
@@ -926,7 +926,7 @@
             )
         ):
             return []  # all of them still catch up themselves, and other peers may know more
-        seen = self.on_disk if self.kept else self.facts.seen
+        seen = self.on_disk if self.kept else self.store.seen
         if not all(seen.covers(self.marks[name]) for name in reachable):
             return []
         self.phase = CatchUpPhase.TOGETHER
@@ -945,7 +945,7 @@
     rest = []
     for action in actions:
         if isinstance(action, SendMessage) and isinstance(action.message, RepairRecords):
-            repairs.setdefault(action.to, []).extend(action.message.facts)
+            repairs.setdefault(action.to, []).extend(action.message.records)
         elif action not in events:
             rest.append(action)
     event = events[0]._replace(fields={**events[0].fields, "count": len(events)})
--- a/sprucegate/fleet/replica_storage.py
+++ b/sprucegate/fleet/replica_storage.py
@@ -40,14 +40,14 @@
 class StoredRecords:
     """What a folder holds.
 
-    :ivar facts: records by key, in the order in which they were written
+    :ivar records: records by key, in the order in which they were written
     :ivar lives: versions seen, as VersionVector takes them
     :ivar refused: files that were rejected, and why
     :ivar age: of the snapshot, in ns
     """
 
     def __init__(self):
-        self.facts = {}
+        self.records = {}
         self.lives = []
         self.refused = []
         self.age = 0
@@ -55,11 +55,11 @@
     def apply(self, records, intervals, removed):
         """Apply one record of the log: records written, versions seen, keys removed."""
         for record in records:
-            self.facts[record.key] = record
-            self.lives.append((*record.dot[:2], [record.dot[2], record.dot[2] + 1]))
+            self.records[record.key] = record
+            self.lives.append((*record.version[:2], [record.version[2], record.version[2] + 1]))
         self.lives += [(owner, incarnation, [first, end]) for owner, incarnation, first, end in intervals]
         for key in removed:
-            self.facts.pop(key, None)
+            self.records.pop(key, None)
 
 
 class ReplicaStorage:
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -125,7 +125,7 @@
             word_life=self.node.word_life,
             alone_after=self.node.alone_after,
         )
-        records = list(stored.facts.values())
+        records = list(stored.records.values())
         self.peer.loaded(records, stored.lives, now)
         for at, record in enumerate(records):
             self._apply(record, loaded=True)
@@ -209,7 +209,7 @@
             component.on_endpoints_changed()
         if self.peer is None:
             return
-        held = self.peer.replica.facts.held
+        held = self.peer.replica.store.held
         for source, server, started, state in news:
             # A removal by a file may be meant for this front alone; the event bus speaks to all fronts.
             if state is EndpointState.GONE and source != "bus":
@@ -232,7 +232,7 @@
         return self._held_list_state(digest) == (1,)
 
     def _held_list_state(self, digest):
-        record = self.peer.replica.facts.held.get((HELD_LIST, digest)) if self.peer is not None else None
+        record = self.peer.replica.store.held.get((HELD_LIST, digest)) if self.peer is not None else None
         return None if record is None else record.value
 
     def _record_own(self, key, value):
@@ -266,12 +266,12 @@
                 case PersistRecords():
                     self._start_task(self._write(action))
                 case RecordInForce():
-                    self._apply(action.fact, quiet=in_force > LOGGED_ONE_BY_ONE_MAX)
+                    self._apply(action.record, quiet=in_force > LOGGED_ONE_BY_ONE_MAX)
                 case CaughtUp():
                     self.log(
                         "fleet_" + action.how.replace("-", "_"),
                         asked=action.asked,
-                        facts=len(self.peer.replica.facts.held),
+                        facts=len(self.peer.replica.store.held),
                     )
                     gc.freeze()  # as in `load`
                     self.up.set()
@@ -412,7 +412,7 @@
         """Put a record in force at the front, whichever process it is from."""
         now = self.driver.clock()
         if not loaded and not quiet and self.peer.replica.phase is not CatchUpPhase.ASKING:
-            self.log("fleet_told", kind=record.key[0], key=record.key[1:], by=record.dot[0])
+            self.log("fleet_told", kind=record.key[0], key=record.key[1:], by=record.version[0])
         if record.key[0] == INVALIDATION:
             _, kind, number = record.key
             obj, group = (number, -1) if kind == "object" else (-1, number)
@@ -524,14 +524,14 @@
         replica = self.peer.replica
         members = self.peer.members
         lag = {
-            name: sum(end - first for _, _, first, end in seen.missing(replica.facts.seen))
+            name: sum(end - first for _, _, first, end in seen.missing(replica.store.seen))
             for name, seen in replica.peers.items()
         }
-        kinds = {kind: count for kind, count in replica.facts.count_by_kind.items() if count}
+        kinds = {kind: count for kind, count in replica.store.count_by_kind.items() if count}
         return {
             "fleet": self.node.name,
             "phase": "caught up" if replica.phase is CatchUpPhase.TOGETHER else replica.phase.name.lower(),
-            "root": f"{replica.facts.root():016x}",
+            "root": f"{replica.store.root():016x}",
             "kept": replica.kept,
             "health": members.local_health,
             "facts": kinds,
@@ -558,7 +558,7 @@
 
     async def _facts(self, given):
         count, found = await self._find(lambda key: not given or key[0] == given[0])
-        return {"count": count, "root": f"{self.peer.replica.facts.root():016x}", "facts": found}
+        return {"count": count, "root": f"{self.peer.replica.store.root():016x}", "facts": found}
 
     def _view_as_json(self):
         view = self.peer.views.view
@@ -595,7 +595,7 @@
 
     async def _find(self, is_chosen):
         """Return how many records match and the first of them. GETs get a turn of the event loop after each range."""
-        store = self.peer.replica.facts
+        store = self.peer.replica.store
         count = 0
         found = []
         for keys in store.digests_by_key:
@@ -613,9 +613,9 @@
     fields = {
         "kind": kind,
         "key": subject,
-        "by": record.dot[0],
-        "life": f"{record.dot[1]:x}",
-        "counter": record.dot[2],
+        "by": record.version[0],
+        "life": f"{record.version[1]:x}",
+        "counter": record.version[2],
     }
     if kind == SERVER_STATE:
         return {**fields, "state": SourceState(record.value[2]).name.lower()}
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -49,7 +49,7 @@
         for taken, spans, _ in self.disks[name]:
             for fact in taken:
                 facts[fact.key] = fact
-                lives.append((*fact.dot[:2], [fact.dot[2], fact.dot[2] + 1]))
+                lives.append((*fact.version[:2], [fact.version[2], fact.version[2] + 1]))
             lives += [(owner, life, [first, past]) for owner, life, first, past in spans]
         made.loaded(list(facts.values()), lives, 0)
         self.writes[name] = []
@@ -92,8 +92,8 @@
         if what == "tell":
             key, value = self.tells[given].pop(0)
             self.done(given, self.fronts[given].told(key, value, 0))
-            fact = self.fronts[given].facts.held.get(key)
-            if fact is not None and fact.dot[0] == given:
+            fact = self.fronts[given].store.held.get(key)
+            if fact is not None and fact.version[0] == given:
                 self.told.append(fact)
         elif what == "sync":
             action = self.writes[given].pop(0)
@@ -113,18 +113,18 @@
             self.flying.append((given, more[0], self.fronts[given]._have_message()))
 
     def holds(self, name):
-        return self.fronts[name].facts.held
+        return self.fronts[name].store.held
 
     def check(self):
         for name, front in self.fronts.items():
             for fact in self.told:
-                held = front.facts.held.get(fact.key)
-                if front.facts.seen.contains(fact.dot) and (held is None or held.value < fact.value):
+                held = front.store.held.get(fact.key)
+                if front.store.seen.contains(fact.version) and (held is None or held.value < fact.value):
                     raise Broken("a", name, fact, self.steps)
             disk = {}
             for taken, spans, _ in self.disks[name]:
                 for fact in taken:
-                    disk.setdefault(fact.dot[:2], set()).add(fact.dot[2])
+                    disk.setdefault(fact.version[:2], set()).add(fact.version[2])
                 for owner, life, first, past in spans:
                     disk.setdefault((owner, life), set()).update(range(first, past))
             for owner, life, ends in front.on_disk.as_ranges():
@@ -162,8 +162,8 @@
             tuple(
                 (
                     name,
-                    tuple(sorted(f.facts.held.items(), key=repr)),
-                    tuple((o, life, tuple(ends)) for o, life, ends in f.facts.seen.as_ranges()),
+                    tuple(sorted(f.store.held.items(), key=repr)),
+                    tuple((o, life, tuple(ends)) for o, life, ends in f.store.seen.as_ranges()),
                     tuple((o, life, tuple(ends)) for o, life, ends in f.on_disk.as_ranges()),
                     len(self.writes[name]),
                     len(self.tells[name]),
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -82,8 +82,8 @@
             return fleet.at(now + S, self._again)
         fleet.note(self.name, "life", life)
         self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
-        self.peer.loaded(kept.facts.values(), kept.lives, now)
-        fleet.note(self.name, "loaded", self.peer.replica.facts.seen.as_ranges(), self.holds())
+        self.peer.loaded(kept.records.values(), kept.lives, now)
+        fleet.note(self.name, "loaded", self.peer.replica.store.seen.as_ranges(), self.holds())
         self.done(self.peer.starts(now))
 
     def _again(self):
@@ -91,7 +91,7 @@
             self.start()
 
     def holds(self):
-        return {fact.key: fact.value for fact in self.peer.replica.facts.held.values()}
+        return {fact.key: fact.value for fact in self.peer.replica.store.held.values()}
 
     def crash(self):
         self.up, self.peer, self.lying = False, None, []
@@ -103,7 +103,7 @@
     def told(self, key, value):
         before = self.peer.replica.counter
         actions = self.peer.told(key, value, self.fleet.now)
-        fact = self.peer.replica.facts.held.get(key)
+        fact = self.peer.replica.store.held.get(key)
         if fact is not None:
             self.fleet.note(self.name, "told", key, fact.value, self.peer.replica.counter > before)
         self.done(actions)
@@ -131,7 +131,7 @@
                 fleet.note(self.name, "says-seen", message.lives)
             if isinstance(message, SpreadRecords | TransferEnd):
                 fleet.bytes += sum(
-                    20 + len(str(f)) for f in (message.facts if isinstance(message, SpreadRecords) else [])
+                    20 + len(str(f)) for f in (message.records if isinstance(message, SpreadRecords) else [])
                 )
             if to is not None:
                 fleet.send(self, to, message)
@@ -148,15 +148,15 @@
                     fleet.note(self.name, "not-kept", fault)
                     fleet.later(MS, self, self._not_kept, number, fault, generation)
             case RecordInForce():
-                fleet.note(self.name, "acts", action.fact.key, action.fact.value)
+                fleet.note(self.name, "acts", action.record.key, action.record.value)
             case RecordDiscarded():
-                fleet.note(self.name, "let-go", action.fact.key, action.fact.value)
+                fleet.note(self.name, "let-go", action.record.key, action.record.value)
             case CaughtUp():
                 fleet.note(
                     self.name,
                     "live",
                     action.how,
-                    self.peer.replica.facts.seen.as_ranges(),
+                    self.peer.replica.store.seen.as_ranges(),
                     {n: self.peer.replica.marks[n].as_ranges() for n in action.asked},
                     self.holds(),
                 )
@@ -319,7 +319,7 @@
     def dump(self):
         for name, front in self.fronts.items():
             if front.up:
-                self.note(name, "dump", front.holds(), front.peer.replica.facts.root())
+                self.note(name, "dump", front.holds(), front.peer.replica.store.root())
 
     # What fronts do.
 
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -34,7 +34,7 @@
     replica.SeenReport(SEEN, 9, (0, 2), 1),
     replica.CatchUpMark(1, SEEN, True),
     replica.RangeDigests([0] * 256),
-    replica.RangeKeys([3], [(RECORDS[0].key, RECORDS[0].dot, 11)], False),
+    replica.RangeKeys([3], [(RECORDS[0].key, RECORDS[0].version, 11)], False),
     replica.RepairRecords(RECORDS),
     replica.EvidenceMessage(5, [BeliefGossip(1, 0, 12, 0, 7, 8)], [EjectionGossip(12, 0, True, 9, 1500, 5)]),
     codec.ConsensusFrame("k0", "k1^a", 1, b"x"),
@@ -131,14 +131,14 @@
     assert [a.to for a in actions if isinstance(a, replica.SendMessage)] == ["n2"]
     for _ in range(2):
         actions = receiver.heard("n0", replica.SpreadRecords([RECORDS[1]], 0, 0), 0)
-        assert [a.fact for a in actions if isinstance(a, replica.RecordInForce)] == [RECORDS[1]]
+        assert [a.record for a in actions if isinstance(a, replica.RecordInForce)] == [RECORDS[1]]
         assert not any(isinstance(a, replica.SendMessage) for a in actions)
 
 
 def test_a_full_store_takes_no_new_key_and_does_not_count_it_as_seen():
     store = RecordStore(1)
     assert store.join(RECORDS[0])[0] is JoinResult.NEW and store.join(RECORDS[1])[0] is JoinResult.FULL
-    assert not store.seen.contains(RECORDS[1].dot)
+    assert not store.seen.contains(RECORDS[1].version)
     assert store.join(ReplicatedRecord(RECORDS[0].key, (8,), ("n0", 1, 3)))[0] is JoinResult.NEW
 
 
@@ -154,16 +154,18 @@
         try:
             starts.append(storage.start())
             stored = storage.open(1)
-            assert {r.key for r in durable} <= set(stored.facts), "lost"
+            assert {r.key for r in durable} <= set(stored.records), "lost"
             for _ in range(3):
                 counter += 1
                 record = ReplicatedRecord(("purge", "object", counter), (1,), ("n0", starts[-1], counter))
                 if storage.write(([record], [], [])) is None:
                     durable.append(record)
-            held = [*stored.facts.values(), *durable]
+            held = [*stored.records.values(), *durable]
             assert storage.begin_snapshot() is None
             storage.finish_snapshot(
-                [(r.dot[0], r.dot[1], [r.dot[2], r.dot[2] + 1]) for r in held], [encode_records(held)], 1
+                [(r.version[0], r.version[1], [r.version[2], r.version[2] + 1]) for r in held],
+                [encode_records(held)],
+                1,
             )
             disk = disk.after_crash()
         except Crashed:
@@ -185,7 +187,7 @@
         storage.write(([RECORDS[0]], [], []))
     disk.faults = {}
     reopened = ReplicaStorage(disk.after_crash(), "/f")
-    assert set(reopened.open(1).facts) == {r.key for r in RECORDS}
+    assert set(reopened.open(1).records) == {r.key for r in RECORDS}
 
 
 def test_an_ack_tells_a_process_of_a_newer_incarnation_under_its_name():
@@ -213,16 +215,16 @@
     )
     assert [a.fields["count"] for a in actions if isinstance(a, replica.LogEvent)] == [150]
     assert [
-        (a.to, len(a.message.facts))
+        (a.to, len(a.message.records))
         for a in actions
         if isinstance(a, replica.SendMessage) and isinstance(a.message, replica.RepairRecords)
     ] == [("n2", 150)]
     # The later time of each holds, under versions that nobody has seen with other content.
     assert all(
         record.value == (6,) if key[2] % 2 else record.value == (5,)
-        for key, record in receiver.facts.held.items()
+        for key, record in receiver.store.held.items()
     )
-    assert {record.dot[:2] for record in receiver.facts.held.values()} == {("n1", 1)}
+    assert {record.version[:2] for record in receiver.store.held.values()} == {("n1", 1)}
 
 
 def test_repairs_of_many_records_are_sent_in_small_pieces():
@@ -230,9 +232,9 @@
     for receiver, value in ((one, 5), (other, 6)):
         records = [ReplicatedRecord(("purge", "object", n), (value,), ("n0", 1, n + 1)) for n in range(700)]
         receiver.heard("n0", replica.SpreadRecords(records, 0, 0), 0)
-    keys = one.heard("n2", replica.RangeDigests(list(other.facts.range_digests)), 0)[0].message
+    keys = one.heard("n2", replica.RangeDigests(list(other.store.range_digests)), 0)[0].message
     repairs = [
-        a.message.facts for a in other.heard("n1", keys, 0) if isinstance(a.message, replica.RepairRecords)
+        a.message.records for a in other.heard("n1", keys, 0) if isinstance(a.message, replica.RepairRecords)
     ]
     assert sum(map(len, repairs)) == 700 and max(map(len, repairs)) <= replica.RECORDS_PER_REPAIR
 
@@ -243,5 +245,5 @@
     receiver.told(("purge", "object", 1), (5,), 0)
     receiver.not_kept(1, "no space left", 0)
     actions = receiver.told(("purge", "object", 2), (5,), 0)
-    assert [a.message.facts[0].key[2] for a in actions if isinstance(a, replica.SendMessage)] == [2]
+    assert [a.message.records[0].key[2] for a in actions if isinstance(a, replica.SendMessage)] == [2]
     assert not receiver.waiting and receiver.on_disk.as_ranges() == []
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -79,7 +79,7 @@
 
     def join(self, sender, record, now, repair=False):
         if record.key[0] == "purge" and record.key[2] % 5 == 0:
-            self.facts.seen.add(record.dot)
+            self.store.seen.add(record.version)
             return []
         return original(self, sender, record, now, repair)
 
@@ -89,9 +89,9 @@
 def _last_write_wins(monkeypatch):
     def join(self, record):
         current = self.held.get(record.key)
-        if self.seen.contains(record.dot):
+        if self.seen.contains(record.version):
             return JoinResult.OLD, current
-        self.seen.add(record.dot)
+        self.seen.add(record.version)
         if current is not None:
             self._take_out(current)
         self.put(record)
@@ -122,7 +122,7 @@
 
 def _remove_lifted_at_once(self, now):
     self.timers["expiry"], actions = now + replica.EXPIRY_PERIOD, []
-    for key in [k for k, r in self.facts.held.items() if k[0] == "word" and r.value[2] == SourceState.LIFTED]:
+    for key in [k for k, r in self.store.held.items() if k[0] == "word" and r.value[2] == SourceState.LIFTED]:
         actions += self._remove(key)
     return actions + self._start_write()
 
@@ -215,7 +215,7 @@
 
     def synced(self, number, now):
         actions = original(self, number, now)
-        self.on_disk = self.facts.seen.copy()
+        self.on_disk = self.store.seen.copy()
         return actions
 
     monkeypatch.setattr(replica.Replica, "synced", synced)
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -113,14 +113,14 @@
     swim.FullState: "members reply_requested",
     swim.ConnectionRefused: "name incarnation",
     Member: "name address incarnation refutation state reported_by",
-    replica.SpreadRecords: "facts transfer at",
+    replica.SpreadRecords: "records transfer at",
     replica.TransferEnd: "transfer pieces claims",
     replica.DigestAnnouncement: "digest",
     replica.SeenReport: "lives root part number",
     replica.CatchUpMark: "number lives live",
     replica.RangeDigests: "digests",
-    replica.RangeKeys: "ranges facts answer",
-    replica.RepairRecords: "facts",
+    replica.RangeKeys: "ranges records answer",
+    replica.RepairRecords: "records",
     replica.EvidenceMessage: "at believed resting",
     codec.ConsensusFrame: "sender to number data",
     codec.ComponentMessage: "part data",
@@ -145,7 +145,7 @@
     quota_messages.LeaseGrant: "epoch sequence stamp grant sources",
     quota_messages.LeaseHolderQuery: "incarnation followers",
     quota_messages.LeaseHolderNotice: "name incarnation followers",
-    facts.ReplicatedRecord: "key value dot",
+    facts.ReplicatedRecord: "key value version",
     events.BeliefGossip: "object part cache started remaining age",
     events.EjectionGossip: "cache started as_source remaining slowness age",
     permits.ManagedServer: "name role location kind group weight",
@@ -398,13 +398,13 @@
     start, kept = keeping.start(), keeping.open(unix_time)
     keeping.close()
     loaded = replica.Replica("front-a", start << 32 | 1, RandomSource("front-a", 1), 0)
-    loaded.loaded(list(kept.facts.values()), kept.lives, 0)
+    loaded.loaded(list(kept.records.values()), kept.lives, 0)
     return {
         "start": start,
         "refused": kept.refused,
         "age": kept.age,
-        "facts": plain(list(kept.facts.values())),
-        "seen": plain(loaded.facts.seen.as_ranges()),
+        "facts": plain(list(kept.records.values())),
+        "seen": plain(loaded.store.seen.as_ranges()),
         "digest": loaded.digest(),
     }
 
