--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -40,23 +40,23 @@
         self.replica = Replica(name, incarnation, chance, now, **replica_options)
         self.views = ViewTracker(now)
 
-    def loaded(self, records, lives, now):
+    def load(self, records, lives, now):
         """Take what the disk had, before any other event."""
-        self.replica.loaded(records, lives, now)
+        self.replica.load(records, lives, now)
 
-    def starts(self, now):
+    def start(self, now):
         """Begin to look for peers, and to catch up once one is met."""
         self.replica.phase = CatchUpPhase.ASKING
         self.replica.catch_up_deadline = now + self.replica.alone_after
         self.replica.progress_at = now
         self.replica.seeds_unmet = bool(self.members.unmet_seeds())
-        return self.due(now)
+        return self.on_timer(now)
 
-    def told(self, key, value, now):
+    def on_own_record(self, key, value, now):
         """Take a record from a source of this process's own."""
-        return self._note_caught_up(self.replica.told(key, value, now), now)
+        return self._note_caught_up(self.replica.on_own_record(key, value, now), now)
 
-    def heard(self, sender, message, now):
+    def on_message(self, sender, message, now):
         """Take a message of another process."""
         self.views.on_frame(sender, now)
         if isinstance(message, DETECTOR_MESSAGES):
@@ -66,45 +66,45 @@
             return self._note_caught_up(
                 actions + (self.replica.on_digest(sender, digest, now) if digest else []), now
             )
-        return self._note_caught_up(self.replica.heard(sender, message, now), now)
+        return self._note_caught_up(self.replica.on_message(sender, message, now), now)
 
-    def reset(self, name, now):
+    def on_connection_reset(self, name, now):
         """A connection to that process ended."""
         return self.members.on_connection_reset(name, now)
 
-    def refused(self, name, incarnation, now):
+    def on_connection_refused(self, name, incarnation, now):
         """That process's port refused a connection."""
         return self._apply_member_changes(self.members.on_connection_refused(name, incarnation, now), now)
 
-    def due(self, now):
+    def on_timer(self, now):
         """Run what is due by `now` (monotonic ns)."""
         actions = []
         if self.members.next_deadline() <= now:
             self.members.set_digest(self.replica.digest())
             actions = self._apply_member_changes(self.members.on_timer(now), now)
-        if self.replica.next_due() <= now:
+        if self.replica.next_deadline() <= now:
             self.replica.seeds_unmet = self.replica.phase is CatchUpPhase.ASKING and bool(
                 self.members.unmet_seeds()
             )
-            actions += self.replica.due(now)
+            actions += self.replica.on_timer(now)
         return self._note_caught_up(actions, now) + self.views.on_timer(now)
 
-    def next_due(self):
-        """Return when `due` is to be called next (monotonic ns)."""
-        return min(self.members.next_deadline(), self.replica.next_due(), self.views.next_deadline())
+    def next_deadline(self):
+        """Return when `on_timer` is to be called next (monotonic ns)."""
+        return min(self.members.next_deadline(), self.replica.next_deadline(), self.views.next_deadline())
 
-    def renewed(self, start, alias):
+    def renew(self, start, alias):
         """Go on as a new incarnation, and under `alias` where another process bears the name."""
         self.members.renew(start, alias)
-        self.replica.renewed(self.members.own.name, self.members.own.incarnation)
+        self.replica.renew(self.members.own.name, self.members.own.incarnation)
 
-    def synced(self, number, now):
+    def on_written(self, number, now):
         """The write of that number is durable."""
-        return self._note_caught_up(self.replica.synced(number, now), now)
+        return self._note_caught_up(self.replica.on_written(number, now), now)
 
-    def not_kept(self, number, fault, now):
+    def on_write_failed(self, number, fault, now):
         """The write of that number failed."""
-        return self._note_caught_up(self.replica.not_kept(number, fault, now), now)
+        return self._note_caught_up(self.replica.on_write_failed(number, fault, now), now)
 
     def leave(self):
         """Tell the others that this process leaves."""
@@ -132,10 +132,10 @@
                 before = action.before
                 if before is not None and before.incarnation != action.member.incarnation:
                     # A new incarnation may have lost its disk: what the earlier one had seen no longer counts.
-                    applied += self.replica.stands(before.name, False, now)
+                    applied += self.replica.on_peer_changed(before.name, False, now)
                     self.replica.former_peers.pop(before.name, None)
                 if reachable != (action.member.name in self.replica.peers):
-                    applied += self.replica.stands(action.member.name, reachable, now)
+                    applied += self.replica.on_peer_changed(action.member.name, reachable, now)
                     is_first = self.replica.phase is CatchUpPhase.ASKING and not self.replica.ask_not_before
                     applied += self.replica.begin_catch_up(now) if reachable and is_first else []
             elif isinstance(action, membership_actions.DeclaredDead):
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -28,7 +28,7 @@
 
 MS, S = 1_000_000, 1_000_000_000
 FAN_OUT = 4  # neighbours that a replica chooses; as many choose it, on average
-HELD_EVERY = 250 * MS  # a digest to each neighbour
+DIGEST_PERIOD = 250 * MS  # a digest to each neighbour
 SEEN_REPORT_INTERVAL_MIN = 500 * MS  # to one peer: a report's size grows with that of the fleet
 SEEN_REPORT_PERIOD = 5 * S  # to one random peer, so that each replica learns which records may be removed
 NEIGHBOURS_PERIOD = 30 * S  # then others are chosen: a choice that happens to split the fleet must not last
@@ -140,7 +140,7 @@
 
 
 class PersistRecords(NamedTuple):
-    """Write and sync the record; then call `synced(number)`, or `not_kept` with the fault."""
+    """Write and sync the record; then call `on_written(number)`, or `on_write_failed` with the fault."""
 
     number: int
     record: tuple  # (records, versions seen, keys removed)
@@ -214,7 +214,7 @@
 
     :ivar store: the record store
     :ivar on_disk: versions seen, as far as they are durable
-    :ivar kept: whether the disk accepts writes
+    :ivar is_disk_writable: whether the disk accepts writes
     :ivar slow_peers: peers with unsent data in their queue; set by the caller
     :ivar seeds_unmet: whether some configured members aren't known yet; set by the caller
     """
@@ -252,16 +252,16 @@
         self.writing = None
         self.write_number = 0
         self.on_disk = VersionVector()
-        self.kept = True
+        self.is_disk_writable = True
         self.recovery_snapshot_begun = False  # a snapshot is under way after the disk failed
-        self.waiting = []  # own records that aren't durable yet
+        self.unpushed = []  # own records that aren't durable yet
         self.peers = {}  # reachable peers -> what they were last known to have seen
         self.former_peers = {}  # the same of peers that aren't reachable
         self.epoch = 0
         self.neighbours = []
         self.incoming_neighbours = {}  # peers that chose this replica -> when their last digest arrived
         self.digest_differed_at = {}
-        self.have_at = {}
+        self.seen_report_sent_at = {}
         self.range_digests_sent_at = {}
         self.outgoing_transfers = {}
         self.tokens = 0
@@ -299,8 +299,8 @@
             self.cached_digest = self.change_count, self.store.root() ^ seen
         return self.cached_digest[1]
 
-    def next_due(self):
-        """Return when `due` is to be called next (monotonic ns)."""
+    def next_deadline(self):
+        """Return when `on_timer` is to be called next (monotonic ns)."""
         deadline = min(self.timers.values())
         if self.outgoing_transfers:
             wait = (
@@ -322,7 +322,7 @@
 
     # Events.
 
-    def loaded(self, records, lives, now):
+    def load(self, records, lives, now):
         """Take what the disk had, before any other event."""
         self.store.seen = VersionVector(lives)
         for record in records:
@@ -337,7 +337,7 @@
         self.on_disk = self.store.seen.copy()
         self.change_count += 1
 
-    def told(self, key, value, now):
+    def on_own_record(self, key, value, now):
         """Take a record from a source of this process's own; one that changes nothing is ignored."""
         if key[0] == SERVER_STATE:
             state = value[0]
@@ -357,7 +357,7 @@
             actions += self._lift_for_former_peers(key, now)
         return actions + self._start_write() + self._push_unwritable(now)
 
-    def heard(self, sender, message, now):
+    def on_message(self, sender, message, now):
         """Take a message of another replica."""
         match message:
             case SpreadRecords():
@@ -386,7 +386,7 @@
                 return _merge_conflicts(actions + self._start_write())
         return []
 
-    def stands(self, name, reachable, now):
+    def on_peer_changed(self, name, reachable, now):
         """A peer became reachable or unreachable; one that is declared dead is not waited for before removals."""
         if reachable and name not in self.peers and name != self.name:
             self.peers[name] = self.former_peers.pop(name, None) or VersionVector()
@@ -401,7 +401,7 @@
                 self.outgoing_transfers,
                 self.incoming_transfers,
                 self.digest_differed_at,
-                self.have_at,
+                self.seen_report_sent_at,
                 self.range_digests_sent_at,
                 self.incoming_neighbours,
             ):
@@ -413,46 +413,46 @@
     def on_declared_dead(self, now):
         """The others went on without this process: it learns what they removed before it sends anything."""
         return [
-            SendMessage(peer, self._have_message())
+            SendMessage(peer, self._seen_report())
             for peer in self.chance.pick("fenced", sorted(self.peers), CATCH_UP_PEERS)
         ]
 
-    def renewed(self, name, incarnation):
+    def renew(self, name, incarnation):
         """Go on as a new incarnation; records that wait for the disk keep their versions."""
         self.name = name
         self.incarnation = incarnation
         self.counter = 0
 
-    def synced(self, number, now):
+    def on_written(self, number, now):
         """The write of that number is durable: push what waited for it."""
         if self.writing is None or self.writing[0] != number:
             return []
         self.on_disk = self.writing[1]
         released = self.writing[2]
         self.writing = None
-        self.kept = True
+        self.is_disk_writable = True
         actions = self._push(released, "", now)
         return actions + self._start_write() + self._end_catch_up_if_complete(now)
 
-    def not_kept(self, number, fault, now):
+    def on_write_failed(self, number, fault, now):
         """A write failed: records only make peers more careful, so they are still pushed, but not reported as seen."""
         released = self.writing[2] if self.writing else []
         self.writing = None
-        was_writable = self.kept
-        self.kept = False
-        self.waiting = released + self.waiting
+        was_writable = self.is_disk_writable
+        self.is_disk_writable = False
+        self.unpushed = released + self.unpushed
         events = [LogEvent("fleet_not_kept", {"error": fault})] if was_writable else []
         return events + self._push_unwritable(now) + self._end_catch_up_if_complete(now)
 
     def _push_unwritable(self, now):
         """Push own records while the disk fails, as no write will follow that would release them."""
-        if self.kept:
+        if self.is_disk_writable:
             return []
-        released = self.waiting
-        self.waiting = []
+        released = self.unpushed
+        self.unpushed = []
         return self._push(released, "", now)
 
-    def due(self, now):
+    def on_timer(self, now):
         """Run what is due by `now` (monotonic ns)."""
         actions = []
         for timer in [timer for timer, at in self.timers.items() if at <= now]:
@@ -475,7 +475,7 @@
             return self._report_full(record)
         if result is JoinResult.NEW:
             self._note_change(record, now)
-            self.waiting.append(record)
+            self.unpushed.append(record)
         return []
 
     def _lift_for_former_peers(self, key, now):
@@ -499,7 +499,7 @@
         """Begin a write if none is under way; what arrives meanwhile is written with the next one."""
         if self.writing is not None or not any(self.unsaved):
             return []
-        if not self.kept:
+        if not self.is_disk_writable:
             # A later snapshot contains these anyway; as a list they would grow for as long as the disk is full.
             if not self.recovery_snapshot_begun:
                 self.unsaved = [], [], []
@@ -507,20 +507,20 @@
         self.write_number += 1
         record = self.unsaved
         self.unsaved = ([], [], [])
-        self.writing = (self.write_number, self.store.seen.copy(), self.waiting)
-        self.waiting = []
+        self.writing = (self.write_number, self.store.seen.copy(), self.unpushed)
+        self.unpushed = []
         return [PersistRecords(self.write_number, record)]
 
-    def captured(self):
+    def begin_snapshot(self):
         """Return (records, versions seen) for a snapshot; after a disk failure, later changes are written after it."""
-        self.recovery_snapshot_begun = not self.kept
+        self.recovery_snapshot_begun = not self.is_disk_writable
         if self.recovery_snapshot_begun:
             self.unsaved = [], [], []
         return list(self.store.held.values()), self.store.seen.as_ranges()
 
-    def disk_is_back(self, lives, now):
+    def on_disk_recovered(self, lives, now):
         """The snapshot of a disk that failed before is durable; `lives`: the versions seen that it has."""
-        self.kept = True
+        self.is_disk_writable = True
         self.recovery_snapshot_begun = False
         self.on_disk = VersionVector(lives)
         return self._start_write() + self._end_catch_up_if_complete(now)
@@ -626,17 +626,17 @@
         self.store.remove(record.key)
         self.store.join(rewritten)
         self._note_change(rewritten, now)
-        self.waiting.append(rewritten)
+        self.unpushed.append(rewritten)
 
     # Repair.
 
-    def _have_message(self, part=(0, 1), number=0):
+    def _seen_report(self, part=(0, 1), number=0):
         # A request lists what is in memory: by what is durable, all that is being written would be sent once more.
         seen = self.store.seen if number else self.on_disk
         return SeenReport(seen.as_ranges(), self.store.root(), part, number)
 
     def _on_timer_digest(self, now):
-        self.timers["digest"] = now + HELD_EVERY
+        self.timers["digest"] = now + DIGEST_PERIOD
         return [SendMessage(peer, DigestAnnouncement(self.digest())) for peer in self.push_targets(now)]
 
     def on_digest(self, sender, theirs, now):
@@ -648,17 +648,17 @@
         # time.
         is_first = sender not in self.digest_differed_at
         self.digest_differed_at[sender] = now
-        if is_first or self.phase is CatchUpPhase.ASKING or now - self.repaired_at < HELD_EVERY:
+        if is_first or self.phase is CatchUpPhase.ASKING or now - self.repaired_at < DIGEST_PERIOD:
             return []
-        if now - self.have_at.get(sender, -S) < SEEN_REPORT_INTERVAL_MIN:
+        if now - self.seen_report_sent_at.get(sender, -S) < SEEN_REPORT_INTERVAL_MIN:
             return []
-        self.have_at[sender] = self.repaired_at = now
-        return [SendMessage(sender, self._have_message())]
+        self.seen_report_sent_at[sender] = self.repaired_at = now
+        return [SendMessage(sender, self._seen_report())]
 
     def _on_timer_seen_report(self, now):
         self.timers["seen_report"] = now + SEEN_REPORT_PERIOD
         return [
-            SendMessage(peer, self._have_message()) for peer in self.chance.pick("seen", sorted(self.peers))
+            SendMessage(peer, self._seen_report()) for peer in self.chance.pick("seen", sorted(self.peers))
         ]
 
     def _on_seen_report(self, sender, message, now):
@@ -689,9 +689,12 @@
             is_under_way = (
                 self.phase is CatchUpPhase.ASKING or now - self.repaired_at < SEEN_REPORT_INTERVAL_MIN
             )
-            if not is_under_way and now - self.have_at.get(sender, -S) >= SEEN_REPORT_INTERVAL_MIN:
-                self.have_at[sender] = now
-                actions.append(SendMessage(sender, self._have_message()))
+            if (
+                not is_under_way
+                and now - self.seen_report_sent_at.get(sender, -S) >= SEEN_REPORT_INTERVAL_MIN
+            ):
+                self.seen_report_sent_at[sender] = now
+                actions.append(SendMessage(sender, self._seen_report()))
         elif (
             message.root != self.store.root()
             and now - self.range_digests_sent_at.get(sender, -S) >= RANGE_DIGESTS_INTERVAL_MIN
@@ -871,7 +874,7 @@
         self.progress_at = now
         self.pending_shares = dict.fromkeys(names)
         return [
-            SendMessage(name, self._have_message((at, len(names)), self.request_number))
+            SendMessage(name, self._seen_report((at, len(names)), self.request_number))
             for at, name in enumerate(names)
         ]
 
@@ -896,13 +899,17 @@
             for name, mark in self.marks.items()
             if name in self.peers and not self.store.seen.covers(mark)
         ]
-        if not uncovered and any(not self.on_disk.covers(mark) for mark in self.marks.values()) and self.kept:
+        if (
+            not uncovered
+            and any(not self.on_disk.covers(mark) for mark in self.marks.values())
+            and self.is_disk_writable
+        ):
             return []  # all of it has arrived and is being written
         if uncovered:
             # Shares overlap where peers had seen different versions: request the rest from one that still has some.
             self.progress_at = now
             self.pending_shares = dict.fromkeys(uncovered[:1])
-            return [SendMessage(uncovered[0], self._have_message((0, 1), self.request_number))]
+            return [SendMessage(uncovered[0], self._seen_report((0, 1), self.request_number))]
         return self._ask_peers(now)
 
     def _end_catch_up_if_complete(self, now):
@@ -926,7 +933,7 @@
             )
         ):
             return []  # all of them still catch up themselves, and other peers may know more
-        seen = self.on_disk if self.kept else self.store.seen
+        seen = self.on_disk if self.is_disk_writable else self.store.seen
         if not all(seen.covers(self.marks[name]) for name in reachable):
             return []
         self.phase = CatchUpPhase.TOGETHER
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -126,7 +126,7 @@
             alone_after=self.node.alone_after,
         )
         records = list(stored.records.values())
-        self.peer.loaded(records, stored.lives, now)
+        self.peer.load(records, stored.lives, now)
         for at, record in enumerate(records):
             self._apply(record, loaded=True)
             if at % RECORDS_PER_PIECE == 0:
@@ -158,7 +158,7 @@
         )
         if fault := self.links.start():
             self.log("fleet_listen_failed", address=self.node.listen, error=fault)
-        self.do(self.peer.starts(time.monotonic_ns()))
+        self.do(self.peer.start(time.monotonic_ns()))
         pending = self.pending_records
         self.pending_records = []
         for key, value in pending:  # heard with the first list of servers
@@ -241,7 +241,7 @@
         if self.links is None:
             self.pending_records.append((key, value))
             return
-        self.do(self.peer.told(key, value, time.monotonic_ns()))
+        self.do(self.peer.on_own_record(key, value, time.monotonic_ns()))
 
     # Actions of the node.
 
@@ -315,13 +315,13 @@
     def _set_timer(self):
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0, self.peer.next_due() - time.monotonic_ns()) / S
+        wait = max(0, self.peer.next_deadline() - time.monotonic_ns()) / S
         self.timer = self.loop.call_later(wait, self._on_timer)
 
     def _on_timer(self):
         try:
             self.peer.replica.slow_peers = self.links.slow_peers()
-            self.do(self.peer.due(time.monotonic_ns()))
+            self.do(self.peer.on_timer(time.monotonic_ns()))
         except Exception as fault:  # without a next timer this front would stay silent for good
             self.driver.fault(fault)
             self.timer = self.loop.call_later(RETRY_S, self._on_timer)
@@ -348,11 +348,11 @@
                 )
 
     def _on_connection_reset(self, name):
-        self.do(self.peer.reset(name, time.monotonic_ns()))
+        self.do(self.peer.on_connection_reset(name, time.monotonic_ns()))
 
     def _on_port_refused(self, name, incarnation):
         self.log("fleet_refused", member=name, life=f"{incarnation:x}")
-        self.do(self.peer.refused(name, incarnation, time.monotonic_ns()))
+        self.do(self.peer.on_connection_refused(name, incarnation, time.monotonic_ns()))
 
     def _on_other_format(self, name):
         self.peer.views.on_other_version(name, time.monotonic_ns())
@@ -402,7 +402,7 @@
                 return receivers[0].on_message(name, message)
             if isinstance(message, codec.ConsensusFrame):
                 return None  # of a replicated log that this front doesn't follow
-            self.do(self.peer.heard(name, message, time.monotonic_ns()))
+            self.do(self.peer.on_message(name, message, time.monotonic_ns()))
         except codec.FrameError:
             raise  # a component can't decode it: the peer loses its connection
         except Exception as fault:  # the message is lost, and repaired as one lost on the network is
@@ -439,10 +439,10 @@
         fault = await self._on_disk_thread(self.storage.write, action.record)
         now = time.monotonic_ns()
         if fault is not None:
-            self.do(self.peer.not_kept(action.number, fault, now))
+            self.do(self.peer.on_write_failed(action.number, fault, now))
             self.loop.call_later(RETRY_S, lambda: self._start_task(self._snapshot()))
             return
-        self.do(self.peer.synced(action.number, now))
+        self.do(self.peer.on_written(action.number, now))
         if self.storage.full(self.node.log_most):
             self._start_task(self._snapshot())
 
@@ -455,8 +455,8 @@
         try:
             fault = await self._on_disk_thread(self.storage.begin_snapshot)
             pieces = []
-            is_recovery = not replica.kept
-            held, lives = replica.captured()
+            is_recovery = not replica.is_disk_writable
+            held, lives = replica.begin_snapshot()
             for at in range(0, len(held), RECORDS_PER_PIECE):
                 pieces.append(encode_records(held[at : at + RECORDS_PER_PIECE]))
                 await asyncio.sleep(0)
@@ -468,7 +468,7 @@
             self.log("fleet_snapshot_failed", error=fault)
             self.loop.call_later(RETRY_S, lambda: self._start_task(self._snapshot()))
         elif is_recovery:
-            self.do(replica.disk_is_back(lives, time.monotonic_ns()))
+            self.do(replica.on_disk_recovered(lives, time.monotonic_ns()))
             self.log("fleet_kept_again", facts=len(held))
 
     async def _renew(self, above, alias):
@@ -480,7 +480,7 @@
             except (OSError, ReplicaStorageError) as fault:
                 self.log("fleet_not_kept", error=str(fault))
                 await asyncio.sleep(RETRY_S)
-        self.peer.renewed(start, alias)
+        self.peer.renew(start, alias)
         if alias:
             self.links.close_all()
         for component in self.parts:
@@ -532,7 +532,7 @@
             "fleet": self.node.name,
             "phase": "caught up" if replica.phase is CatchUpPhase.TOGETHER else replica.phase.name.lower(),
             "root": f"{replica.store.root():016x}",
-            "kept": replica.kept,
+            "kept": replica.is_disk_writable,
             "health": members.local_health,
             "facts": kinds,
             "view": self._view_as_json(),
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -51,11 +51,11 @@
                 facts[fact.key] = fact
                 lives.append((*fact.version[:2], [fact.version[2], fact.version[2] + 1]))
             lives += [(owner, life, [first, past]) for owner, life, first, past in spans]
-        made.loaded(list(facts.values()), lives, 0)
+        made.load(list(facts.values()), lives, 0)
         self.writes[name] = []
         for other in self.names:
             if other != name:
-                made.stands(other, True, 0)
+                made.on_peer_changed(other, True, 0)
         made.neighbours = [n for n in self.names if n != name]
 
     def done(self, name, actions):
@@ -91,26 +91,26 @@
         self.steps += ((what, given, *more),)
         if what == "tell":
             key, value = self.tells[given].pop(0)
-            self.done(given, self.fronts[given].told(key, value, 0))
+            self.done(given, self.fronts[given].on_own_record(key, value, 0))
             fact = self.fronts[given].store.held.get(key)
             if fact is not None and fact.version[0] == given:
                 self.told.append(fact)
         elif what == "sync":
             action = self.writes[given].pop(0)
             self.disks[given].append(action.record)
-            self.done(given, self.fronts[given].synced(action.number, 0))
+            self.done(given, self.fronts[given].on_written(action.number, 0))
         elif what in ("come", "lose"):
             sender, to, message = self.flying.pop(given)
             if what == "lose":
                 self.losses -= 1
             else:
-                self.fronts[to].have_at.clear()
-                self.done(to, self.fronts[to].heard(sender, message, S))
+                self.fronts[to].seen_report_sent_at.clear()
+                self.done(to, self.fronts[to].on_message(sender, message, S))
         elif what == "kill":
             self.crashes -= 1
             self.start(given)
         else:
-            self.flying.append((given, more[0], self.fronts[given]._have_message()))
+            self.flying.append((given, more[0], self.fronts[given]._seen_report()))
 
     def holds(self, name):
         return self.fronts[name].store.held
@@ -138,7 +138,7 @@
             for name in self.names:
                 for other in self.names:
                     if name != other:
-                        self.flying.append((name, other, self.fronts[name]._have_message()))
+                        self.flying.append((name, other, self.fronts[name]._seen_report()))
             for _ in range(400):
                 if busy := [name for name in self.names if self.writes[name]]:
                     self.step("sync", busy[0])
@@ -167,7 +167,7 @@
                     tuple((o, life, tuple(ends)) for o, life, ends in f.on_disk.as_ranges()),
                     len(self.writes[name]),
                     len(self.tells[name]),
-                    len(f.waiting),
+                    len(f.unpushed),
                     len(f.unsaved[0]),
                 )
                 for name, f in self.fronts.items()
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -82,9 +82,9 @@
             return fleet.at(now + S, self._again)
         fleet.note(self.name, "life", life)
         self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
-        self.peer.loaded(kept.records.values(), kept.lives, now)
+        self.peer.load(kept.records.values(), kept.lives, now)
         fleet.note(self.name, "loaded", self.peer.replica.store.seen.as_ranges(), self.holds())
-        self.done(self.peer.starts(now))
+        self.done(self.peer.start(now))
 
     def _again(self):
         if not self.up:
@@ -102,7 +102,7 @@
 
     def told(self, key, value):
         before = self.peer.replica.counter
-        actions = self.peer.told(key, value, self.fleet.now)
+        actions = self.peer.on_own_record(key, value, self.fleet.now)
         fact = self.peer.replica.store.held.get(key)
         if fact is not None:
             self.fleet.note(self.name, "told", key, fact.value, self.peer.replica.counter > before)
@@ -186,7 +186,7 @@
             start = self.keeping.start(least)
         except OSError:
             return self.fleet.later(S, self, self._renew, least, alias, generation)
-        self.peer.renewed(start, alias)
+        self.peer.renew(start, alias)
         self.fleet.note(self.name, "life", self.peer.members.own.incarnation)
 
     def _looked(self, name, life):
@@ -194,7 +194,7 @@
         cut = self.fleet.network.cut
         there = self.fleet.fronts[name.partition("~")[0]].up
         if self.up and not there and not {(self.name, name), (name, self.name)} & cut:
-            self.done(self.peer.refused(name, life, self.fleet.now))
+            self.done(self.peer.on_connection_refused(name, life, self.fleet.now))
 
     def _address(self, name):
         member = self.peer.members.known.get(name)
@@ -203,13 +203,13 @@
     def _synced(self, number, generation):
         if generation != self.generation or not self.up:
             return
-        self.done(self.peer.synced(number, self.fleet.now))
+        self.done(self.peer.on_written(number, self.fleet.now))
         if self.up and self.keeping.full(LOG_MOST):
             self.snapshot()
 
     def _not_kept(self, number, fault, generation):
         if generation == self.generation and self.up:
-            self.done(self.peer.not_kept(number, fault, self.fleet.now))
+            self.done(self.peer.on_write_failed(number, fault, self.fleet.now))
             self.fleet.later(S, self, self.snapshot)
 
     def snapshot(self):
@@ -219,19 +219,19 @@
             if self.peer.replica.writing is not None:
                 return
             fault = self.keeping.begin_snapshot()
-            held, lives = self.peer.replica.captured()
+            held, lives = self.peer.replica.begin_snapshot()
             if fault is None:
                 pieces = [
                     encode_records(held[at : at + RECORDS_PER_PIECE])
                     for at in range(0, len(held), RECORDS_PER_PIECE)
                 ]
                 fault = self.keeping.finish_snapshot(lives, pieces, self.fleet.now)
-            if fault is None and not self.peer.replica.kept:
+            if fault is None and not self.peer.replica.is_disk_writable:
                 self.fleet.note(self.name, "kept", [(f.key, f.value) for f in held])
-                self.done(self.peer.replica.disk_is_back(lives, self.fleet.now))
+                self.done(self.peer.replica.on_disk_recovered(lives, self.fleet.now))
         except Crashed:
             return self.crash()
-        if fault is not None and not self.peer.replica.kept:
+        if fault is not None and not self.peer.replica.is_disk_writable:
             self.fleet.later(S, self, self.snapshot)
 
 
@@ -262,7 +262,7 @@
             if f is not ended and f.up and not {(f.name, ended.name), (ended.name, f.name)} & self.network.cut
         ]
         for other in self.chance.sample(others, min(LINKS, len(others))):
-            self.later(MS, other, other.event, other.peer.reset, ended.name, self.now + MS)
+            self.later(MS, other, other.event, other.peer.on_connection_reset, ended.name, self.now + MS)
 
     def pause(self, name, on):
         front = self.fronts[name]
@@ -348,10 +348,10 @@
 
     def _comes(self, sender, name, other, message):
         if other.up and other.peer is not None:
-            other.event(other.peer.heard, name, message, self.now)
+            other.event(other.peer.on_message, name, message, self.now)
 
     def wake(self, front):
-        due = front.peer.next_due()
+        due = front.peer.next_deadline()
         if self.armed.get(front.name, (None, None)) != (front.generation, due):
             self.armed[front.name] = front.generation, due
             heapq.heappush(
@@ -366,4 +366,4 @@
             self.turns[front.name] = self.now // S, 1 + (times if second == self.now // S else 0)
             if times > TURNS_MOST:
                 raise Spins(f"{front.name} is due without end at {self.now}")
-            front.event(front.peer.due, self.now)
+            front.event(front.peer.on_timer, self.now)
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -125,12 +125,12 @@
 
 def test_a_replica_with_a_full_store_obeys_records_and_does_not_push_them_on():
     receiver = replica.Replica("n1", 1, RandomSource("n1", 1), 0, max_records=1)
-    receiver.stands("n0", True, 0)
-    receiver.stands("n2", True, 0)
-    actions = receiver.heard("n0", replica.SpreadRecords([RECORDS[0]], 0, 0), 0)
+    receiver.on_peer_changed("n0", True, 0)
+    receiver.on_peer_changed("n2", True, 0)
+    actions = receiver.on_message("n0", replica.SpreadRecords([RECORDS[0]], 0, 0), 0)
     assert [a.to for a in actions if isinstance(a, replica.SendMessage)] == ["n2"]
     for _ in range(2):
-        actions = receiver.heard("n0", replica.SpreadRecords([RECORDS[1]], 0, 0), 0)
+        actions = receiver.on_message("n0", replica.SpreadRecords([RECORDS[1]], 0, 0), 0)
         assert [a.record for a in actions if isinstance(a, replica.RecordInForce)] == [RECORDS[1]]
         assert not any(isinstance(a, replica.SendMessage) for a in actions)
 
@@ -206,11 +206,11 @@
 def test_conflicts_of_one_message_cause_one_log_event_and_one_repair_to_their_owner():
     receiver = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
     for name in ("n0", "n2"):
-        receiver.stands(name, True, 0)
+        receiver.on_peer_changed(name, True, 0)
     ours = [ReplicatedRecord(("purge", "object", n), (5,), ("n2", 1, n + 1)) for n in range(150)]
-    receiver.heard("n0", replica.SpreadRecords(ours, 0, 0), 0)
-    receiver.synced(1, 0)
-    actions = receiver.heard(
+    receiver.on_message("n0", replica.SpreadRecords(ours, 0, 0), 0)
+    receiver.on_written(1, 0)
+    actions = receiver.on_message(
         "n0", replica.SpreadRecords([r._replace(value=(5 + r.key[2] % 2 * 2 - 1,)) for r in ours], 0, 0), 0
     )
     assert [a.fields["count"] for a in actions if isinstance(a, replica.LogEvent)] == [150]
@@ -231,19 +231,21 @@
     one, other = (replica.Replica(name, 1, RandomSource(name, 1), 0) for name in ("n1", "n2"))
     for receiver, value in ((one, 5), (other, 6)):
         records = [ReplicatedRecord(("purge", "object", n), (value,), ("n0", 1, n + 1)) for n in range(700)]
-        receiver.heard("n0", replica.SpreadRecords(records, 0, 0), 0)
-    keys = one.heard("n2", replica.RangeDigests(list(other.store.range_digests)), 0)[0].message
+        receiver.on_message("n0", replica.SpreadRecords(records, 0, 0), 0)
+    keys = one.on_message("n2", replica.RangeDigests(list(other.store.range_digests)), 0)[0].message
     repairs = [
-        a.message.records for a in other.heard("n1", keys, 0) if isinstance(a.message, replica.RepairRecords)
+        a.message.records
+        for a in other.on_message("n1", keys, 0)
+        if isinstance(a.message, replica.RepairRecords)
     ]
     assert sum(map(len, repairs)) == 700 and max(map(len, repairs)) <= replica.RECORDS_PER_REPAIR
 
 
 def test_records_are_pushed_while_the_disk_fails_and_not_reported_as_seen():
     receiver = replica.Replica("n1", 1, RandomSource("n1", 1), 0)
-    receiver.stands("n0", True, 0)
-    receiver.told(("purge", "object", 1), (5,), 0)
-    receiver.not_kept(1, "no space left", 0)
-    actions = receiver.told(("purge", "object", 2), (5,), 0)
+    receiver.on_peer_changed("n0", True, 0)
+    receiver.on_own_record(("purge", "object", 1), (5,), 0)
+    receiver.on_write_failed(1, "no space left", 0)
+    actions = receiver.on_own_record(("purge", "object", 2), (5,), 0)
     assert [a.message.records[0].key[2] for a in actions if isinstance(a, replica.SendMessage)] == [2]
-    assert not receiver.waiting and receiver.on_disk.as_ranges() == []
+    assert not receiver.unpushed and receiver.on_disk.as_ranges() == []
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -211,14 +211,14 @@
 
 
 def _report_before_durable(monkeypatch):
-    original = replica.Replica.synced
+    original = replica.Replica.on_written
 
-    def synced(self, number, now):
+    def on_written(self, number, now):
         actions = original(self, number, now)
         self.on_disk = self.store.seen.copy()
         return actions
 
-    monkeypatch.setattr(replica.Replica, "synced", synced)
+    monkeypatch.setattr(replica.Replica, "on_written", on_written)
 
 
 @pytest.mark.parametrize(
@@ -273,7 +273,7 @@
         fleet, _ = fleet_after_catch_up(fault_at=fault_at)
         failed += any(x[1:3] == ("n2", "not-kept") for x in fleet.trace)
         assert not checkers.broken(fleet.trace), fault_at
-        assert len(fleet.fronts["n2"].holds()) == 300 and fleet.fronts["n2"].peer.replica.kept
+        assert len(fleet.fronts["n2"].holds()) == 300 and fleet.fronts["n2"].peer.replica.is_disk_writable
         # The records are on its disk as well: it has them after a restart.
         fleet.kill("n2")
         fleet.start("n2")
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -367,26 +367,26 @@
         for action in actions:
             if isinstance(action, replica.PersistRecords):
                 assert self.keeping.write(action.record) is None
-                self.does(self.replica.synced(action.number, self.now))
+                self.does(self.replica.on_written(action.number, self.now))
 
     def told(self, key, value):
-        self.does(self.replica.told(key, value, self.now))
+        self.does(self.replica.on_own_record(key, value, self.now))
 
     def heard(self, sender, label, fields):
         """A message of another front, as it comes from the wire."""
         (payload,) = payloads_of(encoded_frame(label, fields))
-        self.does(self.replica.heard(sender, codec.message(payload), self.now))
+        self.does(self.replica.on_message(sender, codec.message(payload), self.now))
 
     def snapshot(self):
         assert self.keeping.begin_snapshot() is None
-        held, lives = self.replica.captured()
+        held, lives = self.replica.begin_snapshot()
         middle = len(held) // 2
         pieces = [encode_records(held[:middle]), encode_records(held[middle:])]
         assert self.keeping.finish_snapshot(lives, pieces, self.unix_time) is None
 
     def passes(self, span):
         self.now += span
-        self.does(self.replica.due(self.now))
+        self.does(self.replica.on_timer(self.now))
 
     def close(self):
         self.keeping.close()
@@ -398,7 +398,7 @@
     start, kept = keeping.start(), keeping.open(unix_time)
     keeping.close()
     loaded = replica.Replica("front-a", start << 32 | 1, RandomSource("front-a", 1), 0)
-    loaded.loaded(list(kept.records.values()), kept.lives, 0)
+    loaded.load(list(kept.records.values()), kept.lives, 0)
     return {
         "start": start,
         "refused": kept.refused,
