--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -177,8 +177,8 @@
 def filled(folder, count, now, later=0):
     """A front's folder with that many purges, as its own snapshot would be."""
     keeping = ReplicaStorage(Disk(), str(folder))
-    start = keeping.start()
-    keeping.open(0)
+    start = keeping.count_start()
+    keeping.load(0)
     # Purges of just now, old ones the front would put by at once; the same at all, or each dot had several contents.
     facts = [
         ReplicatedRecord(("purge", "object", n), (now - n + later,), ("n0", start << 32, n + 1))
--- a/sprucegate/fleet/replica_storage.py
+++ b/sprucegate/fleet/replica_storage.py
@@ -41,23 +41,23 @@
     """What a folder holds.
 
     :ivar records: records by key, in the order in which they were written
-    :ivar lives: versions seen, as VersionVector takes them
-    :ivar refused: files that were rejected, and why
+    :ivar seen: versions seen, as VersionVector takes them
+    :ivar rejected: files that were rejected, and why
     :ivar age: of the snapshot, in ns
     """
 
     def __init__(self):
         self.records = {}
-        self.lives = []
-        self.refused = []
+        self.seen = []
+        self.rejected = []
         self.age = 0
 
     def apply(self, records, intervals, removed):
         """Apply one record of the log: records written, versions seen, keys removed."""
         for record in records:
             self.records[record.key] = record
-            self.lives.append((*record.version[:2], [record.version[2], record.version[2] + 1]))
-        self.lives += [(owner, incarnation, [first, end]) for owner, incarnation, first, end in intervals]
+            self.seen.append((*record.version[:2], [record.version[2], record.version[2] + 1]))
+        self.seen += [(owner, incarnation, [first, end]) for owner, incarnation, first, end in intervals]
         for key in removed:
             self.records.pop(key, None)
 
@@ -73,7 +73,7 @@
         self.snapshots = SnapshotStore(disk, folder, "facts", keep=2)
         self.log_pattern = re.compile(r"facts-([0-9]{16})\.log")
 
-    def start(self, above=0):
+    def count_start(self, above=0):
         """Count this start: return a number above the last one and `above`, which is durable by then.
 
         Raises OSError or ReplicaStorageError.
@@ -91,16 +91,16 @@
         replace_file(self.disk, self.folder, "start", str(number).encode())
         return number
 
-    def open(self, now):
+    def load(self, now):
         """Return the newest usable snapshot with the logs since, and begin a new log. `now`: Unix ns."""
         self.disk.make_folder(self.folder)
         stored = StoredRecords()
         names = self.disk.names(self.folder)
         snapshot, rejected = self.snapshots.newest(now, AGE_UNLIMITED)
-        stored.refused = [f"{one.name} {one.why}" for one in rejected]
+        stored.rejected = [f"{one.name} {one.why}" for one in rejected]
         if snapshot is not None:
-            lives, pieces = _decode_snapshot(snapshot.payload)
-            stored.lives = list(lives)
+            seen, pieces = _decode_snapshot(snapshot.payload)
+            stored.seen = list(seen)
             stored.age = now - snapshot.at
             for piece in pieces:
                 stored.apply(_decode_piece(piece), [], [])
@@ -110,7 +110,7 @@
             scanned = log.recover()
             log.close()
             if scanned.fault:
-                stored.refused.append(f"facts-{number:016d}.log ends with {scanned.fault}")
+                stored.rejected.append(f"facts-{number:016d}.log ends with {scanned.fault}")
             for record in scanned.records:
                 stored.apply(*_decode_log_record(record))
         self.generation = max([*logs, snapshot.generation if snapshot is not None else 0], default=0)
@@ -121,7 +121,7 @@
         """Append to the log; return None once it is durable, or the fault as text."""
         return self.log.append(_encode(record))
 
-    def full(self, max_bytes):
+    def needs_snapshot(self, max_bytes):
         """Tell whether a snapshot is due: the log is longer than `max_bytes`, or takes no more after a fault."""
         return self.log.size > max_bytes or self.log.fault is not None
 
@@ -133,12 +133,12 @@
             return f"{type(fault).__name__}: {fault}"
         return None
 
-    def finish_snapshot(self, lives, pieces, at):
+    def finish_snapshot(self, seen, pieces, at):
         """Write the snapshot, then remove the logs that it replaces; return None or the fault as text.
 
-        `lives` and the packed `pieces` are of the time of `begin_snapshot`; `at`: Unix ns.
+        `seen` and the packed `pieces` are of the time of `begin_snapshot`; `at`: Unix ns.
         """
-        fault = self.snapshots.save(self.generation, at, _encode((lives, pieces)))
+        fault = self.snapshots.save(self.generation, at, _encode((seen, pieces)))
         if fault is None:
             self.snapshots.remove_logs_before(self.log_pattern)
         return fault
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -108,7 +108,7 @@
             # Without a count of starts it may not join: it serves by its own sources alone, as without a fleet.
             self.log("fleet_off", error=f"{type(fault).__name__}: {fault}")
             return
-        for why in stored.refused:
+        for why in stored.rejected:
             self.log("fleet_state_refused", error=why)
         now = time.monotonic_ns()
         address = self.node.advertise or self.node.listen
@@ -126,7 +126,7 @@
             alone_after=self.node.alone_after,
         )
         records = list(stored.records.values())
-        self.peer.load(records, stored.lives, now)
+        self.peer.load(records, stored.seen, now)
         for at, record in enumerate(records):
             self._apply(record, loaded=True)
             if at % RECORDS_PER_PIECE == 0:
@@ -136,8 +136,8 @@
         self.log("fleet_loaded", start=start, facts=len(records), age_s=stored.age // S)
 
     def _open_storage(self):
-        start = self.storage.start()
-        return start, self.storage.open(clock.unix())
+        start = self.storage.count_start()
+        return start, self.storage.load(clock.unix())
 
     def start(self):
         """Listen, look for others, and start the components; call once the loop runs."""
@@ -443,7 +443,7 @@
             self.loop.call_later(RETRY_S, lambda: self._start_task(self._snapshot()))
             return
         self.do(self.peer.on_written(action.number, now))
-        if self.storage.full(self.node.log_most):
+        if self.storage.needs_snapshot(self.node.log_most):
             self._start_task(self._snapshot())
 
     async def _snapshot(self):
@@ -475,7 +475,7 @@
         """Take a new incarnation, whose start is above `above`, and the alias if there is one."""
         while True:
             try:
-                start = await self._on_disk_thread(self.storage.start, above)
+                start = await self._on_disk_thread(self.storage.count_start, above)
                 break
             except (OSError, ReplicaStorageError) as fault:
                 self.log("fleet_not_kept", error=str(fault))
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -73,8 +73,8 @@
         self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
         self.keeping = ReplicaStorage(self.disk, "/f")
         try:
-            life = self.keeping.start() << 32 | fleet.chance.randrange(1 << 32)
-            kept = self.keeping.open(now)
+            life = self.keeping.count_start() << 32 | fleet.chance.randrange(1 << 32)
+            kept = self.keeping.load(now)
         except Crashed:
             return self.crash()
         except OSError:
@@ -82,7 +82,7 @@
             return fleet.at(now + S, self._again)
         fleet.note(self.name, "life", life)
         self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
-        self.peer.load(kept.records.values(), kept.lives, now)
+        self.peer.load(kept.records.values(), kept.seen, now)
         fleet.note(self.name, "loaded", self.peer.replica.store.seen.as_ranges(), self.holds())
         self.done(self.peer.start(now))
 
@@ -183,7 +183,7 @@
         if generation != self.generation or not self.up:
             return
         try:
-            start = self.keeping.start(least)
+            start = self.keeping.count_start(least)
         except OSError:
             return self.fleet.later(S, self, self._renew, least, alias, generation)
         self.peer.renew(start, alias)
@@ -204,7 +204,7 @@
         if generation != self.generation or not self.up:
             return
         self.done(self.peer.on_written(number, self.fleet.now))
-        if self.up and self.keeping.full(LOG_MOST):
+        if self.up and self.keeping.needs_snapshot(LOG_MOST):
             self.snapshot()
 
     def _not_kept(self, number, fault, generation):
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -152,8 +152,8 @@
     for _ in range(4):
         storage = ReplicaStorage(disk, "/f")
         try:
-            starts.append(storage.start())
-            stored = storage.open(1)
+            starts.append(storage.count_start())
+            stored = storage.load(1)
             assert {r.key for r in durable} <= set(stored.records), "lost"
             for _ in range(3):
                 counter += 1
@@ -177,8 +177,8 @@
 def test_a_full_disk_at_any_call_leaves_the_stored_state_as_it_was(at):
     disk = FaultyDisk()
     storage = ReplicaStorage(disk, "/f")
-    storage.start()
-    storage.open(1)
+    storage.count_start()
+    storage.load(1)
     assert storage.write((RECORDS, [], [])) is None
     disk.faults = {disk.calls + n: OSError(28, "no space left") for n in range(at, at + 4)}
     for _ in range(3):
@@ -187,7 +187,7 @@
         storage.write(([RECORDS[0]], [], []))
     disk.faults = {}
     reopened = ReplicaStorage(disk.after_crash(), "/f")
-    assert set(reopened.open(1).records) == {r.key for r in RECORDS}
+    assert set(reopened.load(1).records) == {r.key for r in RECORDS}
 
 
 def test_an_ack_tells_a_process_of_a_newer_incarnation_under_its_name():
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -101,8 +101,10 @@
 
 
 def _start_not_rising(monkeypatch):
-    original = ReplicaStorage.start
-    monkeypatch.setattr(ReplicaStorage, "start", lambda self, above=0: original(self, above) and 1 + above)
+    original = ReplicaStorage.count_start
+    monkeypatch.setattr(
+        ReplicaStorage, "count_start", lambda self, above=0: original(self, above) and 1 + above
+    )
 
 
 def _drop_some_writes(monkeypatch):
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -358,8 +358,8 @@
     def __init__(self, folder, name, life, starts, unix_time, **lives):
         self.keeping = ReplicaStorage(Disk(), str(folder))
         for _ in range(starts):
-            self.keeping.start()
-        self.keeping.open(unix_time)
+            self.keeping.count_start()
+        self.keeping.load(unix_time)
         self.replica = replica.Replica(name, life, RandomSource(name, 1), 0, **lives)
         self.now, self.unix_time = 0, unix_time
 
@@ -395,13 +395,13 @@
 def read_replica_folder(folder, unix_time):
     """What a start finds in the folder, as plain data. The start is counted and a new log is begun."""
     keeping = ReplicaStorage(Disk(), str(folder))
-    start, kept = keeping.start(), keeping.open(unix_time)
+    start, kept = keeping.count_start(), keeping.load(unix_time)
     keeping.close()
     loaded = replica.Replica("front-a", start << 32 | 1, RandomSource("front-a", 1), 0)
-    loaded.load(list(kept.records.values()), kept.lives, 0)
+    loaded.load(list(kept.records.values()), kept.seen, 0)
     return {
         "start": start,
-        "refused": kept.refused,
+        "refused": kept.rejected,
         "age": kept.age,
         "facts": plain(list(kept.records.values())),
         "seen": plain(loaded.store.seen.as_ranges()),
