--- a/sprucegate/cli/fleet.py
+++ b/sprucegate/cli/fleet.py
@@ -49,8 +49,8 @@
     host, _, port = (address or node.listen).rpartition(":")
     if not host or not port.isdigit():
         _fail(f"--at: must be HOST:PORT, not {address!r}", as_json, 2)
-    said = codec.greeting(codec.Greeting(codec.VERSION, node.name, "operator", "", "", 0))
-    asked = codec.question(codec.Question(what, list(given)))
+    said = codec.encode_greeting(codec.Greeting(codec.VERSION, node.name, "operator", "", "", 0))
+    asked = codec.encode_question(codec.Question(what, list(given)))
     data = b""
     try:
         with socket.create_connection((host, int(port)), PATIENCE) as sock:
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -127,11 +127,11 @@
     membership.ConnectionRefused: tuple[str, int],
     ComponentMessage: tuple[str, bytes],
 }
-_encode = msgspec.msgpack.Encoder().encode
-_decode_kind = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
-_decoders = {kind: msgspec.msgpack.Decoder(types).decode for kind, types in FIELD_TYPES.items()}
-_decode_greeting = msgspec.msgpack.Decoder(Greeting).decode
-_decode_question = msgspec.msgpack.Decoder(Question).decode
+_pack = msgspec.msgpack.Encoder().encode
+_unpack_kind = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
+_unpackers = {kind: msgspec.msgpack.Decoder(types).decode for kind, types in FIELD_TYPES.items()}
+_unpack_greeting = msgspec.msgpack.Decoder(Greeting).decode
+_unpack_question = msgspec.msgpack.Decoder(Question).decode
 # Of each kind of record: the types of its key after the kind, and the length of its value.
 KEY_TYPES = {
     replica.INVALIDATION: (str, int),
@@ -141,28 +141,28 @@
 VALUE_LENGTHS = {replica.INVALIDATION: 1, replica.SERVER_STATE: 3, replica.HELD_LIST: 1}
 
 
-def frame(message):
+def encode_message(message):
     """Return a message as the bytes of one checksummed record."""
-    return records.record(_encode((NUMBERS[type(message)], tuple(message))))
+    return records.record(_pack((NUMBERS[type(message)], tuple(message))))
 
 
-def greeting(fields):
+def encode_greeting(greeting):
     """Return a Greeting as the bytes of one record."""
-    return records.record(_encode(fields))
+    return records.record(_pack(greeting))
 
 
-def question(fields):
+def encode_question(question):
     """Return a Question as the bytes of one record."""
-    return records.record(_encode(fields))
+    return records.record(_pack(question))
 
 
-def message(payload):
+def decode_message(payload):
     """Return the message of one record's payload, with its records and versions checked; raises FrameError."""
     try:
-        number, raw = _decode_kind(payload)
+        number, raw = _unpack_kind(payload)
         if number not in KINDS:
             raise FrameError(f"a message of kind {number}, which format {VERSION} doesn't define")
-        decoded = KINDS[number](*_decoders[KINDS[number]](raw))
+        decoded = KINDS[number](*_unpackers[KINDS[number]](raw))
     except msgspec.MsgspecError as fault:
         raise FrameError(f"a message that can't be decoded: {fault}") from None
     if isinstance(decoded, replica.SpreadRecords | replica.RepairRecords):
@@ -175,18 +175,18 @@
     return decoded
 
 
-def greeted(payload):
+def decode_greeting(payload):
     """Return the Greeting of one record's payload; raises FrameError."""
     try:
-        return _decode_greeting(payload)
+        return _unpack_greeting(payload)
     except msgspec.MsgspecError as fault:
         raise FrameError(f"no greeting: {fault}") from None
 
 
-def asked(payload):
+def decode_question(payload):
     """Return the Question of one record's payload; raises FrameError."""
     try:
-        return _decode_question(payload)
+        return _unpack_question(payload)
     except msgspec.MsgspecError as fault:
         raise FrameError(f"no question: {fault}") from None
 
--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -188,7 +188,7 @@
             connection.sock.setblocking(False)
             async with asyncio.timeout(GREETING_TIMEOUT_S):
                 await self.loop.sock_connect(connection.sock, (host, int(port)))
-                await self.loop.sock_sendall(connection.sock, codec.greeting(self.greeting()))
+                await self.loop.sock_sendall(connection.sock, codec.encode_greeting(self.greeting()))
         except (OSError, TimeoutError, ValueError):
             return self._close(connection)  # down or cut off: the failure detector finds that by itself
         except asyncio.CancelledError:
@@ -219,7 +219,7 @@
         self.rejections += 1
         try:
             sock.setblocking(False)
-            sock.send(codec.greeting(self.greeting()))
+            sock.send(codec.encode_greeting(self.greeting()))
             # Not closed yet: with unread bytes of the peer that would reset the connection.
             sock.shutdown(socket.SHUT_WR)
         except OSError:
@@ -249,7 +249,7 @@
             async with asyncio.timeout(GREETING_TIMEOUT_S):
                 await self.loop.sock_connect(sock, (host, int(port)))
                 greeting = msgspec.structs.replace(self.greeting(), role="look")
-                await self.loop.sock_sendall(sock, codec.greeting(greeting))
+                await self.loop.sock_sendall(sock, codec.encode_greeting(greeting))
                 has_ended = not await self.loop.sock_recv(sock, READ_BYTES)
         except (ConnectionRefusedError, ConnectionResetError):
             has_ended = True
@@ -282,11 +282,13 @@
                         turn_begun = time.monotonic()
                     if not is_greeted:
                         is_greeted = True
-                        if not await self._on_greeting(connection, codec.greeted(payload), is_inbound):
+                        if not await self._on_greeting(
+                            connection, codec.decode_greeting(payload), is_inbound
+                        ):
                             continue
                         connection.write_task = self.loop.create_task(self._write(connection))
                     elif connection.name:
-                        message = codec.message(payload)
+                        message = codec.decode_message(payload)
                         self.reading_from = connection
                         try:
                             self.on_message(connection.name, message)
@@ -294,7 +296,7 @@
                             self.reading_from = None
                     else:
                         return await self.loop.sock_sendall(
-                            sock, await self.on_question(codec.asked(payload))
+                            sock, await self.on_question(codec.decode_question(payload))
                         )
         except codec.FrameError as fault:
             self.refused += 1
@@ -322,7 +324,7 @@
         if theirs.fleet != own.fleet:
             raise codec.FrameError(f"fleet {theirs.fleet[:60]!r}, not {own.fleet!r}")
         if is_inbound:
-            await self.loop.sock_sendall(connection.sock, codec.greeting(own))
+            await self.loop.sock_sendall(connection.sock, codec.encode_greeting(own))
         if theirs.role != "front":
             return False
         connection.name = theirs.name
--- a/sprucegate/fleet/links/send_queue.py
+++ b/sprucegate/fleet/links/send_queue.py
@@ -40,9 +40,9 @@
         elif isinstance(message, EvidenceMessage):
             self._gossip = message
         elif is_transfer:
-            self._put_transfer(codec.frame(message))
+            self._put_transfer(codec.encode_message(message))
         else:
-            self._put_control(codec.frame(message))
+            self._put_control(codec.encode_message(message))
 
     def take(self):
         """Remove and return the next bytes to send, about BATCH_BYTES at most."""
@@ -85,13 +85,13 @@
         if self.records:
             count = min(RECORDS_PER_MESSAGE, len(self.records))
             chosen = [self.records.popitem(last=False)[1] for _ in range(count)]
-            return codec.frame(SpreadRecords(chosen, 0, 0))
+            return codec.encode_message(SpreadRecords(chosen, 0, 0))
         if self._transfers:
             data = self._transfers.popleft()
             self.transfer_bytes -= len(data)
             return data
         if self._gossip is not None:
-            data = codec.frame(self._gossip)
+            data = codec.encode_message(self._gossip)
             self._gossip = None
             return data
         return None
--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -151,8 +151,8 @@
         try:
             with socket.create_connection(("127.0.0.1", self.fleet_port), 3) as sock:
                 sock.sendall(
-                    codec.greeting(codec.Greeting(codec.VERSION, "rig", "operator", "", "", 0))
-                    + codec.question(codec.Question(what, list(given)))
+                    codec.encode_greeting(codec.Greeting(codec.VERSION, "rig", "operator", "", "", 0))
+                    + codec.encode_question(codec.Question(what, list(given)))
                 )
                 while piece := sock.recv(1 << 16):
                     data += piece
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -44,17 +44,17 @@
 
 
 def test_messages_are_decoded_as_encoded_however_the_bytes_are_split():
-    data = b"".join(map(codec.frame, MESSAGES))
+    data = b"".join(map(codec.encode_message, MESSAGES))
     for size in (1, 7, len(data)):
         reader, found = codec.Reader(), []
         reader.max_bytes = codec.FRAME_BYTES_MAX
         for at in range(0, len(data), size):
-            found += [codec.message(payload) for payload in reader.feed(data[at : at + size])]
+            found += [codec.decode_message(payload) for payload in reader.feed(data[at : at + size])]
         assert found == MESSAGES and {type(m) for m in MESSAGES} == set(codec.KINDS.values())
 
 
 def test_a_change_of_any_byte_of_a_frame_is_detected():
-    data = codec.frame(MESSAGES[5])
+    data = codec.encode_message(MESSAGES[5])
     for at in range(len(data)):
         reader = codec.Reader()
         with pytest.raises(codec.FrameError):
@@ -77,19 +77,21 @@
 def test_a_malformed_record_is_rejected(record):
     payload = msgspec.msgpack.encode((codec.NUMBERS[replica.SpreadRecords], ([record], 0, 0)))
     with pytest.raises(codec.FrameError):
-        codec.message(payload)
+        codec.decode_message(payload)
 
 
 def test_counters_that_are_no_ascending_intervals_are_rejected():
     for bounds in ([1], [3, 2], [1, 1]):
         with pytest.raises(codec.FrameError):
-            codec.message(codec.frame(replica.TransferEnd(1, 1, [("a", 1, bounds)]))[records.HEAD.size :])
+            codec.decode_message(
+                codec.encode_message(replica.TransferEnd(1, 1, [("a", 1, bounds)]))[records.HEAD.size :]
+            )
 
 
 def sent(queue):
     reader = codec.Reader()
     reader.max_bytes = codec.FRAME_BYTES_MAX
-    return [codec.message(payload) for payload in reader.feed(queue.take())]
+    return [codec.decode_message(payload) for payload in reader.feed(queue.take())]
 
 
 def test_the_queue_sends_by_priority_and_only_the_latest_record_of_a_key():
--- a/tests/fleet/test_fleet_rig.py
+++ b/tests/fleet/test_fleet_rig.py
@@ -194,7 +194,7 @@
 
 
 def greeting(version, fleet):
-    return codec.greeting(codec.Greeting(version, fleet, "front", "x", "", 1))
+    return codec.encode_greeting(codec.Greeting(version, fleet, "front", "x", "", 1))
 
 
 @pytest.mark.parametrize(
@@ -209,7 +209,7 @@
         (greeting(codec.VERSION, "rig") + records.record(b"\x92\x63\xc0"), "kind"),
         (
             greeting(codec.VERSION, "rig")
-            + codec.frame(
+            + codec.encode_message(
                 codec.replica.SpreadRecords([codec.ReplicatedRecord(("bogus", 1), (1,), ("x", 1, 1))], 0, 0)
             ),
             "no known kind",
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -714,9 +714,13 @@
 def test_a_peer_that_lends_what_it_has_not_is_refused_and_loses_its_connection(shared):
     front = shared.fronts["n0"]
     with socket.create_connection(("127.0.0.1", front.fleet_port), 3) as sock:
-        sock.sendall(codec.greeting(codec.Greeting(codec.VERSION, "rig", "front", "n9", "127.0.0.1:1", 5)))
         sock.sendall(
-            codec.frame(codec.ComponentMessage("shares", encode(LeaseGrant(1, 1, 1, 1, [[0x13, 7, []]]))))
+            codec.encode_greeting(codec.Greeting(codec.VERSION, "rig", "front", "n9", "127.0.0.1:1", 5))
+        )
+        sock.sendall(
+            codec.encode_message(
+                codec.ComponentMessage("shares", encode(LeaseGrant(1, 1, 1, 1, [[0x13, 7, []]])))
+            )
         )
         sock.settimeout(5)
         while sock.recv(4096):
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -375,7 +375,7 @@
     life = five.fronts["n0"].ask("why", "view", "n1")["facts"][0]["life"]
     with socket.create_connection(("127.0.0.1", five.fronts["n0"].fleet_port), 3) as sock:
         sock.sendall(
-            codec.greeting(codec.Greeting(codec.VERSION + 1, "rig", "front", "n1", "", int(life, 16)))
+            codec.encode_greeting(codec.Greeting(codec.VERSION + 1, "rig", "front", "n1", "", int(life, 16)))
         )
         while sock.recv(4096):
             pass
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -205,52 +205,52 @@
 
 def encoded_frame(label, fields):
     if label == GREETING:
-        return codec.greeting(codec.Greeting(*fields))
+        return codec.encode_greeting(codec.Greeting(*fields))
     if label == QUESTION:
-        return codec.question(codec.Question(*fields))
-    return codec.frame(FRAME_KINDS[label](*fields))
+        return codec.encode_question(codec.Question(*fields))
+    return codec.encode_message(FRAME_KINDS[label](*fields))
 
 
 def decoded_frame(data, label=""):
     """(label, fields, the same bytes encoded anew from what was decoded); GREETING and QUESTION are asked for."""
     (payload,) = payloads_of(data)
     if label == GREETING:
-        made = codec.greeted(payload)
-        return label, plain(made), codec.greeting(made)
+        made = codec.decode_greeting(payload)
+        return label, plain(made), codec.encode_greeting(made)
     if label == QUESTION:
-        made = codec.asked(payload)
-        return label, plain(made), codec.question(made)
-    made = codec.message(payload)
-    return _label(FRAME_KINDS, made), plain(made), codec.frame(made)
+        made = codec.decode_question(payload)
+        return label, plain(made), codec.encode_question(made)
+    made = codec.decode_message(payload)
+    return _label(FRAME_KINDS, made), plain(made), codec.encode_message(made)
 
 
 def encoded_agreed(label, fields):
     """A word of the agreed log from voter-a to voter-b, as one frame between fronts."""
     number, data = consensus_codec.encode(AGREED_KINDS[label](*fields))
-    return codec.frame(codec.ConsensusFrame("voter-a", "voter-b", number, data))
+    return codec.encode_message(codec.ConsensusFrame("voter-a", "voter-b", number, data))
 
 
 def decoded_agreed(data):
     """(sender, receiver, label, fields, the frame encoded anew)."""
-    routed = codec.message(*payloads_of(data))
+    routed = codec.decode_message(*payloads_of(data))
     made = consensus_codec.decode(routed.number, routed.data)
     number, again = consensus_codec.encode(made)
-    frame = codec.frame(codec.ConsensusFrame(routed.sender, routed.to, number, again))
+    frame = codec.encode_message(codec.ConsensusFrame(routed.sender, routed.to, number, again))
     return routed.sender, routed.to, _label(AGREED_KINDS, made), plain(made), frame
 
 
 def encoded_shares(label, fields):
     """A word on shares as one frame between fronts."""
-    return codec.frame(
+    return codec.encode_message(
         codec.ComponentMessage(shares.QuotaComponent.name, quota_codec.encode(SHARES_KINDS[label](*fields)))
     )
 
 
 def decoded_shares(data, tenants, places):
     """(part of the fleet, label, fields, the frame encoded anew); `tenants` and `places` are the operator's."""
-    word = codec.message(*payloads_of(data))
+    word = codec.decode_message(*payloads_of(data))
     made = quota_codec.decode(word.data, QuotaSettings(tenants, (), places, 0))
-    frame = codec.frame(codec.ComponentMessage(word.part, quota_codec.encode(made)))
+    frame = codec.encode_message(codec.ComponentMessage(word.part, quota_codec.encode(made)))
     return word.part, _label(SHARES_KINDS, made), plain(made), frame
 
 
@@ -375,7 +375,7 @@
     def heard(self, sender, label, fields):
         """A message of another front, as it comes from the wire."""
         (payload,) = payloads_of(encoded_frame(label, fields))
-        self.does(self.replica.on_message(sender, codec.message(payload), self.now))
+        self.does(self.replica.on_message(sender, codec.decode_message(payload), self.now))
 
     def snapshot(self):
         assert self.keeping.begin_snapshot() is None
--- a/tests/test_entry_points.py
+++ b/tests/test_entry_points.py
@@ -25,7 +25,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 SECONDS = 30  # that one command may take, unless a test says otherwise
-GREETING = codec.greeting(codec.Greeting(codec.VERSION, "rig", "front", "n1", "", 0))
+GREETING = codec.encode_greeting(codec.Greeting(codec.VERSION, "rig", "front", "n1", "", 0))
 
 
 @contextlib.contextmanager
