--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -29,7 +29,7 @@
 class ComponentMessage(NamedTuple):
     """A message for the fleet component of that name, which alone encodes and decodes `data`."""
 
-    part: str
+    component: str
     data: bytes
 
 
@@ -96,14 +96,14 @@
     role: str
     name: str
     address: str
-    life: int
+    incarnation: int
 
 
 class Question(msgspec.Struct, array_like=True, frozen=True):
     """What the command line asks of a process, with its arguments."""
 
     what: str
-    given: list[str]
+    args: list[str]
 
 
 _Key, _Version = tuple, tuple[str, int, int]
@@ -169,7 +169,7 @@
         for record in decoded.records:
             _check_record(record)
     if isinstance(decoded, replica.TransferEnd | replica.SeenReport | replica.CatchUpMark):
-        for _, _, bounds in decoded.claims if isinstance(decoded, replica.TransferEnd) else decoded.lives:
+        for _, _, bounds in decoded.claims if isinstance(decoded, replica.TransferEnd) else decoded.seen:
             if len(bounds) % 2 or any(a >= b for a, b in zip(bounds, bounds[1:], strict=False)):
                 raise FrameError("versions whose intervals are not in ascending order")
     return decoded
--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -40,9 +40,9 @@
         self.replica = Replica(name, incarnation, chance, now, **replica_options)
         self.views = ViewTracker(now)
 
-    def load(self, records, lives, now):
+    def load(self, records, seen, now):
         """Take what the disk had, before any other event."""
-        self.replica.load(records, lives, now)
+        self.replica.load(records, seen, now)
 
     def start(self, now):
         """Begin to look for peers, and to catch up once one is met."""
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -50,11 +50,11 @@
 
 
 class SpreadRecords(NamedTuple):
-    """New records pushed to neighbours (`transfer` 0), or the piece `at` of a transfer of what one peer lacks."""
+    """New records pushed to neighbours (`transfer` 0), or the piece `piece` of a transfer of what one peer lacks."""
 
     records: list
     transfer: int
-    at: int
+    piece: int
 
 
 class TransferEnd(NamedTuple):
@@ -77,35 +77,35 @@
 class SeenReport(NamedTuple):
     """The versions that the sender has seen and made durable.
 
-    With `number` it requests a share of the rest, `part`: which of how many shares.
+    With `number` it requests one `share` of the rest: which of how many.
     """
 
-    lives: list
+    seen: list
     root: int
-    part: tuple
+    share: tuple
     number: int
 
 
 class EvidenceMessage(NamedTuple):
-    """What one front has observed of caches and parents, sent at `at` (Unix ns).
+    """What one front has observed of caches and parents, sent at `sent_at` (Unix ns).
 
     It loses weight as it ages, and is never stored.
     """
 
-    at: int
-    believed: list
-    resting: list
+    sent_at: int
+    beliefs: list
+    ejections: list
 
 
 class CatchUpMark(NamedTuple):
     """What the answering replica had seen when it was asked: the asker is as new as that once it has seen all of it.
 
-    `live`: the answering replica has itself caught up, or went on alone.
+    `has_caught_up`: the answering replica isn't catching up itself; it may have gone on alone.
     """
 
     number: int
-    lives: list
-    live: bool
+    seen: list
+    has_caught_up: bool
 
 
 class RangeDigests(NamedTuple):
@@ -115,11 +115,14 @@
 
 
 class RangeKeys(NamedTuple):
-    """The sender's records of some ranges, each by key, version and digest. `answer`: the receiver's are requested."""
+    """The sender's records of some ranges, each by key, version and digest.
+
+    `reply_requested`: the receiver is to send those of its own.
+    """
 
     ranges: list
     records: list
-    answer: bool
+    reply_requested: bool
 
 
 class RepairRecords(NamedTuple):
@@ -322,9 +325,9 @@
 
     # Events.
 
-    def load(self, records, lives, now):
+    def load(self, records, seen, now):
         """Take what the disk had, before any other event."""
-        self.store.seen = VersionVector(lives)
+        self.store.seen = VersionVector(seen)
         for record in records:
             self.store.seen.add(record.version)
             current = self.store.held.get(record.key)
@@ -371,9 +374,9 @@
                 return self._on_seen_report(sender, message, now)
             case CatchUpMark():
                 if message.number == self.request_number and self.phase is CatchUpPhase.ASKING:
-                    self.marks[sender] = VersionVector(message.lives)
+                    self.marks[sender] = VersionVector(message.seen)
                     self.progress_at = now
-                    self.is_catching_up[sender] = not message.live
+                    self.is_catching_up[sender] = not message.has_caught_up
                 return self._end_catch_up_if_complete(now)
             case RangeDigests():
                 return self._on_range_digests(sender, message)
@@ -518,11 +521,11 @@
             self.unsaved = [], [], []
         return list(self.store.held.values()), self.store.seen.as_ranges()
 
-    def on_disk_recovered(self, lives, now):
-        """The snapshot of a disk that failed before is durable; `lives`: the versions seen that it has."""
+    def on_disk_recovered(self, seen, now):
+        """The snapshot of a disk that failed before is durable; `seen`: the versions in it."""
         self.is_disk_writable = True
         self.recovery_snapshot_begun = False
-        self.on_disk = VersionVector(lives)
+        self.on_disk = VersionVector(seen)
         return self._start_write() + self._end_catch_up_if_complete(now)
 
     def _report_full(self, record):
@@ -546,7 +549,7 @@
         actions = [a for record in message.records for a in self._join(sender, record, now)]
         if message.transfer:
             transfer = self._incoming_transfer(sender, message.transfer, now)
-            transfer.pieces.add(message.at)
+            transfer.pieces.add(message.piece)
             # Not pushed on: other peers that lack these records request them as well.
             return actions + self._complete_transfer(sender, transfer) + self._start_write()
         # Records for which a full store has no room are obeyed but not pushed on: they would circulate for ever.
@@ -630,10 +633,10 @@
 
     # Repair.
 
-    def _seen_report(self, part=(0, 1), number=0):
+    def _seen_report(self, share=(0, 1), number=0):
         # A request lists what is in memory: by what is durable, all that is being written would be sent once more.
         seen = self.store.seen if number else self.on_disk
-        return SeenReport(seen.as_ranges(), self.store.root(), part, number)
+        return SeenReport(seen.as_ranges(), self.store.root(), share, number)
 
     def _on_timer_digest(self, now):
         self.timers["digest"] = now + DIGEST_PERIOD
@@ -662,20 +665,20 @@
         ]
 
     def _on_seen_report(self, sender, message, now):
-        theirs = VersionVector(message.lives)
+        theirs = VersionVector(message.seen)
         if sender in self.peers and not message.number:
             self.peers[sender] = theirs
-        live = self.phase in (CatchUpPhase.TOGETHER, CatchUpPhase.ALONE)
+        has_caught_up = self.phase in (CatchUpPhase.TOGETHER, CatchUpPhase.ALONE)
         actions = (
-            [SendMessage(sender, CatchUpMark(message.number, self.on_disk.as_ranges(), live))]
+            [SendMessage(sender, CatchUpMark(message.number, self.on_disk.as_ranges(), has_caught_up))]
             if message.number
             else []
         )
-        missing = _share_of(theirs.missing(self.on_disk), message.part)
+        missing = _share_of(theirs.missing(self.on_disk), message.share)
         if missing:
             # A share claims no versions: what replaced one of its records may arrive with another peer's share.
             claims = VersionVector()
-            for interval in missing if message.part[1] <= 1 else ():
+            for interval in missing if message.share[1] <= 1 else ():
                 claims.add_range(*interval)
             self.outgoing_transfers[sender] = OutgoingTransfer(
                 next(self.transfer_numbers), missing, claims.as_ranges()
@@ -760,9 +763,9 @@
                 chosen.append(at)
         return [SendMessage(sender, self._range_keys(chosen, True))] if chosen else []
 
-    def _range_keys(self, ranges, answer):
+    def _range_keys(self, ranges, reply_requested):
         records = [(r.key, r.version, hashed) for r, hashed in self.store.in_ranges(set(ranges))]
-        return RangeKeys(ranges, records, answer)
+        return RangeKeys(ranges, records, reply_requested)
 
     def _on_range_keys(self, sender, message, now):
         """Send what differs; remove a server's state that the peer has seen and removed."""
@@ -785,7 +788,7 @@
             SendMessage(sender, RepairRecords(different[at : at + RECORDS_PER_REPAIR]), True)
             for at in range(0, len(different), RECORDS_PER_REPAIR)
         ]
-        if message.answer:
+        if message.reply_requested:
             actions.append(SendMessage(sender, self._range_keys(sorted(chosen), False)))
         return actions + self._start_write()
 
@@ -966,17 +969,17 @@
     ]
 
 
-def _share_of(intervals, part):
+def _share_of(intervals, share):
     """Return the share of the intervals, cut into blocks, that is requested from one of several peers."""
-    share, shares = part
-    if shares <= 1:
+    number, count_of_shares = share
+    if count_of_shares <= 1:
         return intervals
     found = []
     for owner, incarnation, first, end in intervals:
         start = crc32(owner.encode()) + incarnation
         while first < end:
             block_end = min(end, (first // SHARE_BLOCK + 1) * SHARE_BLOCK)
-            if (start + first // SHARE_BLOCK) % shares == share:
+            if (start + first // SHARE_BLOCK) % count_of_shares == number:
                 found.append((owner, incarnation, first, block_end))
             first = block_end
     return found
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -380,10 +380,10 @@
         if not view.allows(PeerAction.BELIEVE, name) or not view.allows_own(OwnAction.BELIEVE):
             return
         # By the wall clocks of two machines: where either was stepped, gossip looks too old, or is from the future.
-        age = clock.unix() - message.at
+        age = clock.unix() - message.sent_at
         if abs(age) <= EVIDENCE_AGE_MAX:
-            self.evidence_rows_in += len(message.resting) + len(message.believed)
-            self.driver.router.receive_gossip(message.resting + message.believed, max(0, age), now)
+            self.evidence_rows_in += len(message.ejections) + len(message.beliefs)
+            self.driver.router.receive_gossip(message.ejections + message.beliefs, max(0, age), now)
 
     def _on_message(self, name, message):
         try:
@@ -394,7 +394,7 @@
                 return [
                     component.on_message(name, message.data)
                     for component in self.parts
-                    if component.name == message.part
+                    if component.name == message.component
                 ]
             if receivers := [
                 component for component in self.parts if isinstance(message, component.message_types)
@@ -456,19 +456,19 @@
             fault = await self._on_disk_thread(self.storage.begin_snapshot)
             pieces = []
             is_recovery = not replica.is_disk_writable
-            held, lives = replica.begin_snapshot()
+            held, seen = replica.begin_snapshot()
             for at in range(0, len(held), RECORDS_PER_PIECE):
                 pieces.append(encode_records(held[at : at + RECORDS_PER_PIECE]))
                 await asyncio.sleep(0)
             if fault is None:
-                fault = await self._on_disk_thread(self.storage.finish_snapshot, lives, pieces, clock.unix())
+                fault = await self._on_disk_thread(self.storage.finish_snapshot, seen, pieces, clock.unix())
         finally:
             self.is_saving_snapshot = False
         if fault is not None:
             self.log("fleet_snapshot_failed", error=fault)
             self.loop.call_later(RETRY_S, lambda: self._start_task(self._snapshot()))
         elif is_recovery:
-            self.do(replica.on_disk_recovered(lives, time.monotonic_ns()))
+            self.do(replica.on_disk_recovered(seen, time.monotonic_ns()))
             self.log("fleet_kept_again", facts=len(held))
 
     async def _renew(self, above, alias):
@@ -517,7 +517,7 @@
             handlers |= component.question_handlers
         if question.what not in handlers:
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known"})
-        fields = await handlers[question.what](question.given)
+        fields = await handlers[question.what](question.args)
         return orjson.dumps({"ok": True, "at": clock.unix(), "front": self.peer.members.own.name, **fields})
 
     async def _status(self, _):
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -128,7 +128,7 @@
             name, address, message, _ = sent
             to = name if name in fleet.fronts else fleet.by_address.get(address or self._address(name))
             if isinstance(message, CatchUpMark) or isinstance(message, SeenReport) and not message.number:
-                fleet.note(self.name, "says-seen", message.lives)
+                fleet.note(self.name, "says-seen", message.seen)
             if isinstance(message, SpreadRecords | TransferEnd):
                 fleet.bytes += sum(
                     20 + len(str(f)) for f in (message.records if isinstance(message, SpreadRecords) else [])
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -113,19 +113,19 @@
     swim.FullState: "members reply_requested",
     swim.ConnectionRefused: "name incarnation",
     Member: "name address incarnation refutation state reported_by",
-    replica.SpreadRecords: "records transfer at",
+    replica.SpreadRecords: "records transfer piece",
     replica.TransferEnd: "transfer pieces claims",
     replica.DigestAnnouncement: "digest",
-    replica.SeenReport: "lives root part number",
-    replica.CatchUpMark: "number lives live",
+    replica.SeenReport: "seen root share number",
+    replica.CatchUpMark: "number seen has_caught_up",
     replica.RangeDigests: "digests",
-    replica.RangeKeys: "ranges records answer",
+    replica.RangeKeys: "ranges records reply_requested",
     replica.RepairRecords: "records",
-    replica.EvidenceMessage: "at believed resting",
+    replica.EvidenceMessage: "sent_at beliefs ejections",
     codec.ConsensusFrame: "sender to number data",
-    codec.ComponentMessage: "part data",
-    codec.Greeting: "format fleet role name address life",
-    codec.Question: "what given",
+    codec.ComponentMessage: "component data",
+    codec.Greeting: "format fleet role name address incarnation",
+    codec.Question: "what args",
     messages.RequestVote: "term last_log_index last_log_term pre_vote leadership_transfer",
     messages.RequestVoteResponse: "term pre_vote vote_granted",
     messages.AppendEntries: "term prev_log_index prev_log_term entries leader_commit round",
@@ -250,8 +250,8 @@
     """(part of the fleet, label, fields, the frame encoded anew); `tenants` and `places` are the operator's."""
     word = codec.decode_message(*payloads_of(data))
     made = quota_codec.decode(word.data, QuotaSettings(tenants, (), places, 0))
-    frame = codec.encode_message(codec.ComponentMessage(word.part, quota_codec.encode(made)))
-    return word.part, _label(SHARES_KINDS, made), plain(made), frame
+    frame = codec.encode_message(codec.ComponentMessage(word.component, quota_codec.encode(made)))
+    return word.component, _label(SHARES_KINDS, made), plain(made), frame
 
 
 # The machine that the agreed log drives.
