--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -99,7 +99,7 @@
     if driver.fleet is not None:
         # What comes meanwhile is served; but nobody is told to send here before its guard facts are there.
         driver.fleet.start()
-        await _either(driver.fleet.up, stop)
+        await _either(driver.fleet.has_joined, stop)
         if not listed:
             await driver.membership.start()
     driver.ready = True
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -212,11 +212,11 @@
     async def _taken(self, servers):
         now = self.driver.clock()
         fleet, digest = self.driver.fleet, self.digest
-        held = fleet is not None and fleet.holds(digest)
+        held = fleet is not None and fleet.is_list_held(digest)
         passed = self.gate.offer(self.view.lists["file"], servers, now, held)
         self.held_digest = digest if passed.held is not None else ""
         if self.held_digest and fleet is not None:
-            fleet.held(digest, confirmed=False)
+            fleet.record_held_list(digest, confirmed=False)
         await asyncio.sleep(0)
         if passed.held is not None:
             held = passed.held
@@ -242,7 +242,7 @@
                 await asyncio.sleep(TURN)
         self.dirty = True
         if self.driver.fleet is not None:
-            self.driver.fleet.listed()
+            self.driver.fleet.on_endpoints_changed()
         if changed:
             self.log(
                 "servers_taken", generation=self.view.generation, changed=changed, entries=len(self.view.rows)
@@ -314,7 +314,7 @@
     async def _confirm(self):
         """`servers confirm NUMBER` leaves its number in the state folder; or it was left at another front."""
         fleet = self.driver.fleet
-        if self.gate.held is not None and fleet is not None and fleet.confirms(self.held_digest):
+        if self.gate.held is not None and fleet is not None and fleet.is_list_confirmed(self.held_digest):
             passed = self.gate.confirm(self.gate.held.number)
             self.log("servers_confirmed", number=0)
             return await self._file_told(passed.servers, True)
@@ -328,7 +328,7 @@
         if (passed := self.gate.confirm(number)) is not None:
             self.log("servers_confirmed", number=number)
             if self.driver.fleet is not None:
-                self.driver.fleet.held(self.held_digest, confirmed=True)
+                self.driver.fleet.record_held_list(self.held_digest, confirmed=True)
             await self._file_told(passed.servers, True)
 
     async def _run(self):
--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -20,9 +20,9 @@
 
     async def start(self):
         """Start the maintenance agent and the driver of the replicated log."""
-        fleet, own = self.fleet, self.fleet.peer.members.own
+        fleet, own = self.fleet, self.fleet.fleet_node.members.own
         self.face = MaintenanceAgent(
-            fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views
+            fleet.driver, fleet.merged, lambda: fleet.fleet_node.members.known, fleet.fleet_node.views
         )
         node = ConsensusSettings(self.file.addresses, self.file.state, self.rollout.limits)
         self.agreed = ConsensusDriver(
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -69,7 +69,7 @@
             fill_time_max=node.longest or max(timeouts, default=FILL_TIME_MAX_DEFAULT),
             waiting_max=node.waiting,
         )
-        self.quotas = QuotaCoordinator(fleet.name, fleet.being, self.settings, time.monotonic_ns())
+        self.quotas = QuotaCoordinator(fleet.name, fleet.random_bits, self.settings, time.monotonic_ns())
         # Until a view says otherwise; floors that a former incarnation may have lent are still waited for.
         self.quotas.borrower.may_use_floors = True
         self.waits_by_request = {}
@@ -82,7 +82,7 @@
     async def start(self):
         """Begin with the front's identity in the fleet."""
         self.up = True
-        own = self.fleet.peer.members.own
+        own = self.fleet.fleet_node.members.own
         self.on_identity_changed(own.name, own.incarnation)
         self._update_slow_start()
 
@@ -123,7 +123,7 @@
 
     def on_view_changed(self, view):
         """Tell the coordinator who may lend, and whether this front may borrow or use its floors."""
-        own = self.fleet.peer.members.own
+        own = self.fleet.fleet_node.members.own
         candidates = [
             (name, row.incarnation)
             for name, row in view.rows.items()
@@ -254,7 +254,7 @@
         self.driver.arm(now)
 
     def _send(self, to, message):
-        members = self.fleet.peer.members
+        members = self.fleet.fleet_node.members
         if to == members.own.name:
             self.loop.call_soon(self._on_own_message, message)
             return
@@ -264,7 +264,7 @@
             self.fleet.links.send(to, member.address, frame, False)
 
     def _on_own_message(self, message):
-        own = self.fleet.peer.members.own
+        own = self.fleet.fleet_node.members.own
         self._perform(self.quotas.on_message(own.name, message, time.monotonic_ns()))
 
     # Timers.
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -63,17 +63,18 @@
 
 
 class FleetService:
-    """Joins a front to its fleet. The front's driver calls `purged` and `listed`: neither waits, or raises for a peer.
+    """Joins a front to its fleet. The methods that the front's driver calls neither wait nor raise for a peer's fault.
 
-    :ivar peer: the FleetNode; None without a usable disk
-    :ivar up: set once this front has caught up, or goes on alone
-    :ivar parts: the configured components
-    :ivar being: the random bits of this process's incarnation
+    :ivar settings: the node `fleet` of the operator's file
+    :ivar fleet_node: the FleetNode; None without a usable disk
+    :ivar has_joined: event, set once this front has caught up, or goes on alone
+    :ivar components: the configured components
+    :ivar random_bits: those of this process's incarnation
     """
 
     def __init__(self, driver, node, name, seed, merged, agreement=None, disk=None, shares=None):
         self.driver = driver
-        self.node = node  # of the operator's file
+        self.settings = node
         self.log = driver.log
         self.merged = merged
         self.name = name
@@ -81,10 +82,10 @@
         self.loop = asyncio.get_running_loop()
         self.storage = ReplicaStorage(disk or Disk(), node.state)
         self.pool = ThreadPoolExecutor(1, "fleet-disk")
-        self.peer = None
+        self.fleet_node = None
         self.links = None
         self.timer = None
-        self.up = asyncio.Event()
+        self.has_joined = asyncio.Event()
         self.agreement = agreement  # this and the next: nodes of the operator's file, for the components
         self.shares = shares
         self.tasks = set()
@@ -93,8 +94,8 @@
         self.pending_records = []  # (key, value) from this process's own sources before `start`
         self.evidence_rows_out = 0
         self.evidence_rows_in = 0
-        self.being = int.from_bytes(os.urandom(4), "big")
-        self.parts = configured_components(self)
+        self.random_bits = int.from_bytes(os.urandom(4), "big")
+        self.components = configured_components(self)
         self.records_since_freeze = 0
         merged.view.news = []
 
@@ -111,22 +112,22 @@
         for why in stored.rejected:
             self.log("fleet_state_refused", error=why)
         now = time.monotonic_ns()
-        address = self.node.advertise or self.node.listen
-        incarnation = start << 32 | self.being
-        self.peer = FleetNode(
+        address = self.settings.advertise or self.settings.listen
+        incarnation = start << 32 | self.random_bits
+        self.fleet_node = FleetNode(
             self.name,
             address,
             incarnation,
-            self.node.join,
+            self.settings.join,
             self.seed,
             now,
-            rate=self.node.catch_up,
-            purge_life=self.node.purge_life,
-            word_life=self.node.word_life,
-            alone_after=self.node.alone_after,
+            rate=self.settings.catch_up,
+            purge_life=self.settings.purge_life,
+            word_life=self.settings.word_life,
+            alone_after=self.settings.alone_after,
         )
         records = list(stored.records.values())
-        self.peer.load(records, stored.seen, now)
+        self.fleet_node.load(records, stored.seen, now)
         for at, record in enumerate(records):
             self._apply(record, loaded=True)
             if at % RECORDS_PER_PIECE == 0:
@@ -141,13 +142,13 @@
 
     def start(self):
         """Listen, look for others, and start the components; call once the loop runs."""
-        if self.peer is None:
-            for component in self.parts:
+        if self.fleet_node is None:
+            for component in self.components:
                 component.start_without_storage()
-            return self.up.set()
+            return self.has_joined.set()
         is_voter = self.agreement is not None and self.name in self.agreement[0].addresses
         self.links = PeerLinks(
-            self.node.address,
+            self.settings.address,
             self.log,
             self._greeting,
             self._on_message,
@@ -157,35 +158,35 @@
             self._on_other_format,
         )
         if fault := self.links.start():
-            self.log("fleet_listen_failed", address=self.node.listen, error=fault)
-        self.do(self.peer.start(time.monotonic_ns()))
+            self.log("fleet_listen_failed", address=self.settings.listen, error=fault)
+        self.do(self.fleet_node.start(time.monotonic_ns()))
         pending = self.pending_records
         self.pending_records = []
         for key, value in pending:  # heard with the first list of servers
             self._record_own(key, value)
         self._start_task(self._check_idle_connections())
-        for component in self.parts:
+        for component in self.components:
             self._start_task(component.start())
-        if self.node.evidence:
+        if self.settings.evidence:
             self._start_task(self._send_evidence())
 
     def leave(self):
         """Announce at SIGTERM that this front leaves; it goes on exchanging messages until its end."""
         if self.links is not None:
-            for component in self.parts:
+            for component in self.components:
                 component.on_leaving()
-        if self.peer is not None and self.links is not None:
-            self.do(self.peer.leave(time.monotonic_ns()))
+        if self.fleet_node is not None and self.links is not None:
+            self.do(self.fleet_node.leave(time.monotonic_ns()))
 
-    def forwarded(self, cache, outcome, cache_status, duration, request):
+    def on_attempt_ended(self, cache, outcome, cache_status, duration, request):
         """Tell the components that an attempt ended; `duration` in ns."""
-        for component in self.parts:
+        for component in self.components:
             component.on_attempt_ended(cache, outcome, cache_status, duration, request)
 
     async def stop(self):
         """Stop the components, connections and the disk's thread."""
         self.stopped = True
-        for component in self.parts:
+        for component in self.components:
             await component.stop()
         if self.timer is not None:
             self.timer.cancel()
@@ -198,50 +199,54 @@
 
     # Events from the front's own sources.
 
-    def purged(self, obj, group, at):
+    def on_invalidation(self, obj, group, at):
         """Take an invalidation from a source of this front's own; `at` is the platform's time stamp (Unix ns)."""
         self._record_own((INVALIDATION, "object", obj) if obj >= 0 else (INVALIDATION, "group", group), (at,))
 
-    def listed(self):
+    def on_endpoints_changed(self):
         """Record the drains and removals that this front's own sources reported since the last call."""
         news, self.merged.view.news = self.merged.view.news, []
-        for component in self.parts:
+        for component in self.components:
             component.on_endpoints_changed()
-        if self.peer is None:
+        if self.fleet_node is None:
             return
-        held = self.peer.replica.store.held
+        held = self.fleet_node.replica.store.held
         for source, server, started, state in news:
             # A removal by a file may be meant for this front alone; the event bus speaks to all fronts.
             if state is EndpointState.GONE and source != "bus":
                 continue
-            key = (SERVER_STATE, server, started, source, self.peer.replica.name)
+            key = (SERVER_STATE, server, started, source, self.fleet_node.replica.name)
             if state is not EndpointState.SERVING or key in held:
                 self._record_own(key, (int(SOURCE_STATES[state]),))
 
-    def held(self, digest, confirmed):
+    def record_held_list(self, digest, confirmed):
         """Record that this front holds back a list that removes too many servers, or that an operator confirmed it."""
         if digest:
             self._record_own((HELD_LIST, digest), (int(confirmed),))
 
-    def holds(self, digest):
+    def is_list_held(self, digest):
         """Tell whether some front holds back the list of this digest and nobody has confirmed it."""
         return self._held_list_state(digest) == (0,)
 
-    def confirms(self, digest):
+    def is_list_confirmed(self, digest):
         """Tell whether an operator confirmed the list of this digest at some front."""
         return self._held_list_state(digest) == (1,)
 
     def _held_list_state(self, digest):
-        record = self.peer.replica.store.held.get((HELD_LIST, digest)) if self.peer is not None else None
+        record = (
+            self.fleet_node.replica.store.held.get((HELD_LIST, digest))
+            if self.fleet_node is not None
+            else None
+        )
         return None if record is None else record.value
 
     def _record_own(self, key, value):
-        if self.peer is None:
+        if self.fleet_node is None:
             return
         if self.links is None:
             self.pending_records.append((key, value))
             return
-        self.do(self.peer.on_own_record(key, value, time.monotonic_ns()))
+        self.do(self.fleet_node.on_own_record(key, value, time.monotonic_ns()))
 
     # Actions of the node.
 
@@ -259,7 +264,7 @@
         for action in actions:
             if (sending := outgoing(action)) is not None:
                 name, address, message, carries_records = sending
-                member = self.peer.members.known.get(name)
+                member = self.fleet_node.members.known.get(name)
                 self.links.send(name, address or (member.address if member else ""), message, carries_records)
                 continue
             match action:
@@ -271,10 +276,10 @@
                     self.log(
                         "fleet_" + action.how.replace("-", "_"),
                         asked=action.asked,
-                        facts=len(self.peer.replica.store.held),
+                        facts=len(self.fleet_node.replica.store.held),
                     )
                     gc.freeze()  # as in `load`
-                    self.up.set()
+                    self.has_joined.set()
                 case LogEvent():
                     self.log(action.event, **action.fields)
                 case CheckPort(name, address, incarnation):
@@ -309,19 +314,19 @@
                     self._start_task(self._renew(0, ""))
                 case RecordDiscarded():
                     pass  # the front's own tables drop entries by age as well
-        if not self.stopped and self.peer is not None:
+        if not self.stopped and self.fleet_node is not None:
             self._set_timer()
 
     def _set_timer(self):
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0, self.peer.next_deadline() - time.monotonic_ns()) / S
+        wait = max(0, self.fleet_node.next_deadline() - time.monotonic_ns()) / S
         self.timer = self.loop.call_later(wait, self._on_timer)
 
     def _on_timer(self):
         try:
-            self.peer.replica.slow_peers = self.links.slow_peers()
-            self.do(self.peer.on_timer(time.monotonic_ns()))
+            self.fleet_node.replica.slow_peers = self.links.slow_peers()
+            self.do(self.fleet_node.on_timer(time.monotonic_ns()))
         except Exception as fault:  # without a next timer this front would stay silent for good
             self.driver.fault(fault)
             self.timer = self.loop.call_later(RETRY_S, self._on_timer)
@@ -331,7 +336,7 @@
         while True:
             await asyncio.sleep(EVIDENCE_PERIOD_S)
             gossip = self.driver.router.gossip_to_send(
-                self.node.evidence // EVIDENCE_ROW_BYTES, self.driver.clock()
+                self.settings.evidence // EVIDENCE_ROW_BYTES, self.driver.clock()
             )
             if gossip:
                 message = EvidenceMessage(
@@ -343,19 +348,19 @@
                 self.do(
                     [
                         SendMessage(name, message)
-                        for name in self.peer.replica.push_targets(time.monotonic_ns())
+                        for name in self.fleet_node.replica.push_targets(time.monotonic_ns())
                     ]
                 )
 
     def _on_connection_reset(self, name):
-        self.do(self.peer.on_connection_reset(name, time.monotonic_ns()))
+        self.do(self.fleet_node.on_connection_reset(name, time.monotonic_ns()))
 
     def _on_port_refused(self, name, incarnation):
         self.log("fleet_refused", member=name, life=f"{incarnation:x}")
-        self.do(self.peer.on_connection_refused(name, incarnation, time.monotonic_ns()))
+        self.do(self.fleet_node.on_connection_refused(name, incarnation, time.monotonic_ns()))
 
     def _on_other_format(self, name):
-        self.peer.views.on_other_version(name, time.monotonic_ns())
+        self.fleet_node.views.on_other_version(name, time.monotonic_ns())
 
     def _on_view_changed(self, action):
         view = action.view
@@ -371,12 +376,12 @@
                 if name in view.rows
             },
         )
-        for component in self.parts:
+        for component in self.components:
             component.on_view_changed(view)
 
     def _on_evidence(self, name, message):
         now = self.driver.clock()
-        view = self.peer.views.view
+        view = self.fleet_node.views.view
         if not view.allows(PeerAction.BELIEVE, name) or not view.allows_own(OwnAction.BELIEVE):
             return
         # By the wall clocks of two machines: where either was stepped, gossip looks too old, or is from the future.
@@ -388,21 +393,21 @@
     def _on_message(self, name, message):
         try:
             if isinstance(message, EvidenceMessage):
-                self.peer.views.on_frame(name, time.monotonic_ns())
+                self.fleet_node.views.on_frame(name, time.monotonic_ns())
                 return self._on_evidence(name, message)
             if isinstance(message, codec.ComponentMessage):
                 return [
                     component.on_message(name, message.data)
-                    for component in self.parts
+                    for component in self.components
                     if component.name == message.component
                 ]
             if receivers := [
-                component for component in self.parts if isinstance(message, component.message_types)
+                component for component in self.components if isinstance(message, component.message_types)
             ]:
                 return receivers[0].on_message(name, message)
             if isinstance(message, codec.ConsensusFrame):
                 return None  # of a replicated log that this front doesn't follow
-            self.do(self.peer.on_message(name, message, time.monotonic_ns()))
+            self.do(self.fleet_node.on_message(name, message, time.monotonic_ns()))
         except codec.FrameError:
             raise  # a component can't decode it: the peer loses its connection
         except Exception as fault:  # the message is lost, and repaired as one lost on the network is
@@ -411,7 +416,7 @@
     def _apply(self, record, loaded=False, quiet=False):
         """Put a record in force at the front, whichever process it is from."""
         now = self.driver.clock()
-        if not loaded and not quiet and self.peer.replica.phase is not CatchUpPhase.ASKING:
+        if not loaded and not quiet and self.fleet_node.replica.phase is not CatchUpPhase.ASKING:
             self.log("fleet_told", kind=record.key[0], key=record.key[1:], by=record.version[0])
         if record.key[0] == INVALIDATION:
             _, kind, number = record.key
@@ -419,7 +424,7 @@
             self.driver.router.invalidate(obj, group, self.driver.platform.age(record.value[0], now), now)
         elif record.key[0] == SERVER_STATE:
             _, server, started, source, owner = record.key
-            is_own = owner == self.peer.replica.name
+            is_own = owner == self.fleet_node.replica.name
             if is_own and not loaded:
                 return  # here its own sources have set that already
             self.merged.word(
@@ -439,11 +444,11 @@
         fault = await self._on_disk_thread(self.storage.write, action.record)
         now = time.monotonic_ns()
         if fault is not None:
-            self.do(self.peer.on_write_failed(action.number, fault, now))
+            self.do(self.fleet_node.on_write_failed(action.number, fault, now))
             self.loop.call_later(RETRY_S, lambda: self._start_task(self._snapshot()))
             return
-        self.do(self.peer.on_written(action.number, now))
-        if self.storage.needs_snapshot(self.node.log_most):
+        self.do(self.fleet_node.on_written(action.number, now))
+        if self.storage.needs_snapshot(self.settings.log_most):
             self._start_task(self._snapshot())
 
     async def _snapshot(self):
@@ -451,7 +456,7 @@
         if self.is_saving_snapshot or self.stopped:
             return
         self.is_saving_snapshot = True
-        replica = self.peer.replica
+        replica = self.fleet_node.replica
         try:
             fault = await self._on_disk_thread(self.storage.begin_snapshot)
             pieces = []
@@ -480,13 +485,17 @@
             except (OSError, ReplicaStorageError) as fault:
                 self.log("fleet_not_kept", error=str(fault))
                 await asyncio.sleep(RETRY_S)
-        self.peer.renew(start, alias)
+        self.fleet_node.renew(start, alias)
         if alias:
             self.links.close_all()
-        for component in self.parts:
-            component.on_identity_changed(self.peer.members.own.name, self.peer.members.own.incarnation)
+        for component in self.components:
+            component.on_identity_changed(
+                self.fleet_node.members.own.name, self.fleet_node.members.own.incarnation
+            )
         self.log(
-            "fleet_renewed", name=self.peer.members.own.name, life=f"{self.peer.members.own.incarnation:x}"
+            "fleet_renewed",
+            name=self.fleet_node.members.own.name,
+            life=f"{self.fleet_node.members.own.incarnation:x}",
         )
 
     def _start_task(self, action):
@@ -508,28 +517,32 @@
     # Questions of the command line.
 
     def _greeting(self):
-        own = self.peer.members.own
-        return codec.Greeting(codec.VERSION, self.node.name, "front", own.name, own.address, own.incarnation)
+        own = self.fleet_node.members.own
+        return codec.Greeting(
+            codec.VERSION, self.settings.name, "front", own.name, own.address, own.incarnation
+        )
 
     async def _on_question(self, question):
         handlers = {"status": self._status, "facts": self._facts, "why": self._why}
-        for component in self.parts:
+        for component in self.components:
             handlers |= component.question_handlers
         if question.what not in handlers:
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known"})
         fields = await handlers[question.what](question.args)
-        return orjson.dumps({"ok": True, "at": clock.unix(), "front": self.peer.members.own.name, **fields})
+        return orjson.dumps(
+            {"ok": True, "at": clock.unix(), "front": self.fleet_node.members.own.name, **fields}
+        )
 
     async def _status(self, _):
-        replica = self.peer.replica
-        members = self.peer.members
+        replica = self.fleet_node.replica
+        members = self.fleet_node.members
         lag = {
             name: sum(end - first for _, _, first, end in seen.missing(replica.store.seen))
             for name, seen in replica.peers.items()
         }
         kinds = {kind: count for kind, count in replica.store.count_by_kind.items() if count}
         return {
-            "fleet": self.node.name,
+            "fleet": self.settings.name,
             "phase": "caught up" if replica.phase is CatchUpPhase.TOGETHER else replica.phase.name.lower(),
             "root": f"{replica.store.root():016x}",
             "kept": replica.is_disk_writable,
@@ -558,10 +571,10 @@
 
     async def _facts(self, given):
         count, found = await self._find(lambda key: not given or key[0] == given[0])
-        return {"count": count, "root": f"{self.peer.replica.store.root():016x}", "facts": found}
+        return {"count": count, "root": f"{self.fleet_node.replica.store.root():016x}", "facts": found}
 
     def _view_as_json(self):
-        view = self.peer.views.view
+        view = self.fleet_node.views.view
         now = time.monotonic_ns()
         return {
             "number": view.number,
@@ -587,7 +600,7 @@
                 "facts": [one for one in view["fronts"] if one["name"] in given[1:] or not given[1:]],
                 "view": view,
             }
-        for component in self.parts:
+        for component in self.components:
             if given[:1] == [component.question] and (rows := component.explain(given[1:])) is not None:
                 return {"facts": rows}
         wanted = set(given)
@@ -595,7 +608,7 @@
 
     async def _find(self, is_chosen):
         """Return how many records match and the first of them. GETs get a turn of the event loop after each range."""
-        store = self.peer.replica.store
+        store = self.fleet_node.replica.store
         count = 0
         found = []
         for keys in store.digests_by_key:
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -111,7 +111,7 @@
         get.story.append((now, f"attempt {out.number} {outcome.name.lower()}"))
         self.book.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
-            self.fleet.forwarded(out.cache, outcome, found, now - out.at, get.asked)
+            self.fleet.on_attempt_ended(out.cache, outcome, found, now - out.at, get.asked)
         finished = get.answered or get.client.get is not get
         decided = get.handle.attempt_ended(
             out.number, outcome, found, now - out.at, waited, load, finished, now
@@ -216,10 +216,10 @@
             if news is not None:
                 self.apply(news)
             if self.fleet is not None:
-                self.fleet.listed()
+                self.fleet.on_endpoints_changed()
         elif news is not None:
             if self.fleet is not None:
-                self.fleet.purged(news.object, news.group, news.at)
+                self.fleet.on_invalidation(news.object, news.group, news.at)
             self.router.invalidate(news.object, news.group, self.platform.age(news.at, now), now)
             # The oldest copy that a forward takes was worked out before the purge.
             self.take_back_all(
