--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -50,7 +50,7 @@
 
 
 class SpreadRecords(NamedTuple):
-    """New records pushed to neighbours (`transfer` 0), or the piece `piece` of a transfer of what one peer lacks."""
+    """New records pushed to neighbours (`transfer` 0), or one piece of a transfer of what one peer lacks."""
 
     records: list
     transfer: int
@@ -75,9 +75,9 @@
 
 
 class SeenReport(NamedTuple):
-    """The versions that the sender has seen and made durable.
+    """The versions that the sender has seen, as far as they are durable there.
 
-    With `number` it requests one `share` of the rest: which of how many.
+    With a `number` it requests the rest, or one `share` of it (which of how many), and lists all that it has seen.
     """
 
     seen: list
@@ -100,7 +100,7 @@
 class CatchUpMark(NamedTuple):
     """What the answering replica had seen when it was asked: the asker is as new as that once it has seen all of it.
 
-    `has_caught_up`: the answering replica isn't catching up itself; it may have gone on alone.
+    `has_caught_up`: the answering replica has itself caught up, or went on alone.
     """
 
     number: int
@@ -156,7 +156,7 @@
 
 
 class RecordDiscarded(NamedTuple):
-    """A record that is no longer held: it expired, or was lifted and removed elsewhere."""
+    """A record that is no longer held: it expired, or a peer had removed it."""
 
     record: ReplicatedRecord
 
