--- a/sprucegate/fleet/links/links.py
+++ b/sprucegate/fleet/links/links.py
@@ -328,7 +328,7 @@
         if theirs.role != "front":
             return False
         connection.name = theirs.name
-        # A process that bears this one's name is heard, but messages by name don't go to it.
+        # Messages of a process that bears this one's name are handled, but none are sent to it by name.
         if theirs.name != own.name:
             self.by_name[theirs.name] = connection
         return True
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -482,7 +482,7 @@
         return []
 
     def _lift_for_former_peers(self, key, now):
-        """A source of this process lifted a state: lift it too where its owner, which heard the same, is gone."""
+        """A source of this process lifted a state: lift it also where its owner, which had the same source, is gone."""
         for owner in sorted(self.former_peers):
             theirs = self.store.held.get((*key[:4], owner))
             if theirs is not None and theirs.value[2] != SourceState.LIFTED:
@@ -552,7 +552,7 @@
             transfer.pieces.add(message.piece)
             # Not pushed on: other peers that lack these records request them as well.
             return actions + self._complete_transfer(sender, transfer) + self._start_write()
-        # Records for which a full store has no room are obeyed but not pushed on: they would circulate for ever.
+        # Records for which a full store has no room are applied but not pushed on: they would circulate for ever.
         new = [a.record for a in actions if isinstance(a, RecordInForce) and a.record.key in self.store.held]
         return actions + self._push(new, sender, now) + self._start_write()
 
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -162,7 +162,7 @@
         self.do(self.fleet_node.start(time.monotonic_ns()))
         pending = self.pending_records
         self.pending_records = []
-        for key, value in pending:  # heard with the first list of servers
+        for key, value in pending:  # reported with the first list of servers
             self._record_own(key, value)
         self._start_task(self._check_idle_connections())
         for component in self.components:
@@ -506,7 +506,7 @@
     async def _reporting_faults(self, action):
         try:
             await action
-        except Exception as fault:  # the front goes on without what failed here
+        except Exception as fault:  # the front goes on whatever fails here
             self.driver.fault(fault)
 
     async def _check_idle_connections(self):
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -125,7 +125,7 @@
     assert queue.control_bytes <= CONTROL_BYTES_MAX and queue.transfer_bytes <= TRANSFER_BYTES_MAX
 
 
-def test_a_replica_with_a_full_store_obeys_records_and_does_not_push_them_on():
+def test_a_replica_with_a_full_store_applies_records_and_does_not_push_them_on():
     receiver = replica.Replica("n1", 1, RandomSource("n1", 1), 0, max_records=1)
     receiver.on_peer_changed("n0", True, 0)
     receiver.on_peer_changed("n2", True, 0)
