--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -28,9 +28,9 @@
     async def start(self):
         """Start the maintenance agent and the driver of the replicated log."""
         fleet = self.fleet
-        own = self.fleet.peer.members.own
+        own = self.fleet.fleet_node.members.own
         self.agent = MaintenanceAgent(
-            fleet.driver, fleet.merged, lambda: fleet.peer.members.known, fleet.peer.views
+            fleet.driver, fleet.merged, lambda: fleet.fleet_node.members.known, fleet.fleet_node.views
         )
         settings = ConsensusSettings(self.agreement.addresses, self.agreement.state, self.rollout.limits)
         self.consensus = ConsensusDriver(
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -113,19 +113,19 @@
     swim.FullState: "members reply_requested",
     swim.ConnectionRefused: "name incarnation",
     Member: "name address incarnation refutation state reported_by",
-    replica.SpreadRecords: "facts transfer at",
+    replica.SpreadRecords: "records transfer piece",
     replica.TransferEnd: "transfer pieces claims",
     replica.DigestAnnouncement: "digest",
-    replica.SeenReport: "lives root part number",
-    replica.CatchUpMark: "number lives live",
+    replica.SeenReport: "seen root share number",
+    replica.CatchUpMark: "number seen has_caught_up",
     replica.RangeDigests: "digests",
-    replica.RangeKeys: "ranges facts answer",
-    replica.RepairRecords: "facts",
-    replica.EvidenceMessage: "at believed resting",
+    replica.RangeKeys: "ranges records reply_requested",
+    replica.RepairRecords: "records",
+    replica.EvidenceMessage: "sent_at beliefs ejections",
     codec.ConsensusFrame: "sender to number data",
-    codec.ComponentMessage: "part data",
-    codec.Greeting: "format fleet role name address life",
-    codec.Question: "what given",
+    codec.ComponentMessage: "component data",
+    codec.Greeting: "format fleet role name address incarnation",
+    codec.Question: "what args",
     messages.RequestVote: "term last_log_index last_log_term pre_vote leadership_transfer",
     messages.RequestVoteResponse: "term pre_vote vote_granted",
     messages.AppendEntries: "term prev_log_index prev_log_term entries leader_commit round",
@@ -145,7 +145,7 @@
     quota_messages.LeaseGrant: "epoch sequence stamp grant sources",
     quota_messages.LeaseHolderQuery: "incarnation followers",
     quota_messages.LeaseHolderNotice: "name incarnation followers",
-    facts.ReplicatedRecord: "key value dot",
+    facts.ReplicatedRecord: "key value version",
     events.BeliefGossip: "object part cache started remaining age",
     events.EjectionGossip: "cache started as_source remaining slowness age",
     permits.ManagedServer: "name role location kind group weight",
@@ -205,53 +205,53 @@
 
 def encoded_frame(label, fields):
     if label == GREETING:
-        return codec.greeting(codec.Greeting(*fields))
+        return codec.encode_greeting(codec.Greeting(*fields))
     if label == QUESTION:
-        return codec.question(codec.Question(*fields))
-    return codec.frame(FRAME_KINDS[label](*fields))
+        return codec.encode_question(codec.Question(*fields))
+    return codec.encode_message(FRAME_KINDS[label](*fields))
 
 
 def decoded_frame(data, label=""):
     """(label, fields, the same bytes encoded anew from what was decoded); GREETING and QUESTION are asked for."""
     (payload,) = payloads_of(data)
     if label == GREETING:
-        made = codec.greeted(payload)
-        return label, plain(made), codec.greeting(made)
+        made = codec.decode_greeting(payload)
+        return label, plain(made), codec.encode_greeting(made)
     if label == QUESTION:
-        made = codec.asked(payload)
-        return label, plain(made), codec.question(made)
-    made = codec.message(payload)
-    return _label(FRAME_KINDS, made), plain(made), codec.frame(made)
+        made = codec.decode_question(payload)
+        return label, plain(made), codec.encode_question(made)
+    made = codec.decode_message(payload)
+    return _label(FRAME_KINDS, made), plain(made), codec.encode_message(made)
 
 
 def encoded_agreed(label, fields):
     """A word of the agreed log from voter-a to voter-b, as one frame between fronts."""
     number, data = consensus_codec.encode(AGREED_KINDS[label](*fields))
-    return codec.frame(codec.ConsensusFrame("voter-a", "voter-b", number, data))
+    return codec.encode_message(codec.ConsensusFrame("voter-a", "voter-b", number, data))
 
 
 def decoded_agreed(data):
     """(sender, receiver, label, fields, the frame encoded anew)."""
-    routed = codec.message(*payloads_of(data))
+    routed = codec.decode_message(*payloads_of(data))
     made = consensus_codec.decode(routed.number, routed.data)
     number, again = consensus_codec.encode(made)
-    frame = codec.frame(codec.ConsensusFrame(routed.sender, routed.to, number, again))
+    frame = codec.encode_message(codec.ConsensusFrame(routed.sender, routed.to, number, again))
     return routed.sender, routed.to, _label(AGREED_KINDS, made), plain(made), frame
 
 
 def encoded_shares(label, fields):
     """A word on shares as one frame between fronts."""
-    return codec.frame(
+    return codec.encode_message(
         codec.ComponentMessage(shares.QuotaComponent.name, quota_codec.encode(SHARES_KINDS[label](*fields)))
     )
 
 
 def decoded_shares(data, tenants, places):
     """(part of the fleet, label, fields, the frame encoded anew); `tenants` and `places` are the operator's."""
-    word = codec.message(*payloads_of(data))
+    word = codec.decode_message(*payloads_of(data))
     made = quota_codec.decode(word.data, QuotaSettings(tenants, (), places, 0))
-    frame = codec.frame(codec.ComponentMessage(word.part, quota_codec.encode(made)))
-    return word.part, _label(SHARES_KINDS, made), plain(made), frame
+    frame = codec.encode_message(codec.ComponentMessage(word.component, quota_codec.encode(made)))
+    return word.component, _label(SHARES_KINDS, made), plain(made), frame
 
 
 # The machine that the agreed log drives.
@@ -358,8 +358,8 @@
     def __init__(self, folder, name, life, starts, unix_time, **lives):
         self.keeping = ReplicaStorage(Disk(), str(folder))
         for _ in range(starts):
-            self.keeping.start()
-        self.keeping.open(unix_time)
+            self.keeping.count_start()
+        self.keeping.load(unix_time)
         self.replica = replica.Replica(name, life, RandomSource(name, 1), 0, **lives)
         self.now, self.unix_time = 0, unix_time
 
@@ -367,26 +367,26 @@
         for action in actions:
             if isinstance(action, replica.PersistRecords):
                 assert self.keeping.write(action.record) is None
-                self.does(self.replica.synced(action.number, self.now))
+                self.does(self.replica.on_written(action.number, self.now))
 
     def told(self, key, value):
-        self.does(self.replica.told(key, value, self.now))
+        self.does(self.replica.on_own_record(key, value, self.now))
 
     def heard(self, sender, label, fields):
         """A message of another front, as it comes from the wire."""
         (payload,) = payloads_of(encoded_frame(label, fields))
-        self.does(self.replica.heard(sender, codec.message(payload), self.now))
+        self.does(self.replica.on_message(sender, codec.decode_message(payload), self.now))
 
     def snapshot(self):
         assert self.keeping.begin_snapshot() is None
-        held, lives = self.replica.captured()
+        held, lives = self.replica.begin_snapshot()
         middle = len(held) // 2
         pieces = [encode_records(held[:middle]), encode_records(held[middle:])]
         assert self.keeping.finish_snapshot(lives, pieces, self.unix_time) is None
 
     def passes(self, span):
         self.now += span
-        self.does(self.replica.due(self.now))
+        self.does(self.replica.on_timer(self.now))
 
     def close(self):
         self.keeping.close()
@@ -395,16 +395,16 @@
 def read_replica_folder(folder, unix_time):
     """What a start finds in the folder, as plain data. The start is counted and a new log is begun."""
     keeping = ReplicaStorage(Disk(), str(folder))
-    start, kept = keeping.start(), keeping.open(unix_time)
+    start, kept = keeping.count_start(), keeping.load(unix_time)
     keeping.close()
     loaded = replica.Replica("front-a", start << 32 | 1, RandomSource("front-a", 1), 0)
-    loaded.loaded(list(kept.facts.values()), kept.lives, 0)
+    loaded.load(list(kept.records.values()), kept.seen, 0)
     return {
         "start": start,
-        "refused": kept.refused,
+        "refused": kept.rejected,
         "age": kept.age,
-        "facts": plain(list(kept.facts.values())),
-        "seen": plain(loaded.facts.seen.as_ranges()),
+        "facts": plain(list(kept.records.values())),
+        "seen": plain(loaded.store.seen.as_ranges()),
         "digest": loaded.digest(),
     }
 
