--- a/sprucegate/routing/attempt_results.py
+++ b/sprucegate/routing/attempt_results.py
@@ -9,7 +9,7 @@
 from sprucegate.routing.digest import Digest, ObjectRecord
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.routing.fill_source import Fill
-from sprucegate.routing.health_record import CROWDED_SLOWNESS
+from sprucegate.routing.health_record import CONGESTED_SLOWNESS
 from sprucegate.routing.inbound_link import InboundLink
 from sprucegate.routing.load_estimation import LoadEstimator
 from sprucegate.routing.outlier_detection import OutlierDetector
@@ -24,17 +24,17 @@
 
 SENDING_TIME_MIN_NS = 20 * MILLISECOND  # shorter ones give no slowness worth the name
 
-_UNKNOWN_REACH = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)
-_NO_FAULT_OF_CACHE = (AttemptOutcome.FULL, AttemptOutcome.NOT_SENT)
-_NOTHING_OF_FILL = (AttemptOutcome.RESET, AttemptOutcome.NOT_SENT)
+_REACHABILITY_UNKNOWN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)
+_NOT_CACHE_FAILURES = (AttemptOutcome.FULL, AttemptOutcome.NOT_SENT)
+_FILL_RESULT_UNKNOWN = (AttemptOutcome.RESET, AttemptOutcome.NOT_SENT)
 _MISSES = (AttemptOutcome.MISS, AttemptOutcome.NOT_SENT)
 
 
 class AttemptResult:
     """How one attempt ended; see RequestState.attempt_ended for the fields that it shares.
 
-    :ivar good: whether a response was returned.
-    :ivar unexplained: an error of which the cache gave no reason.
+    :ivar succeeded: whether a response was returned.
+    :ivar unspecified_error: an error of which the cache gave no reason.
     """
 
     __slots__ = (
@@ -44,10 +44,10 @@
         "status",
         "elapsed",
         "fill_wait",
-        "load",
+        "load_report",
         "now",
-        "good",
-        "unexplained",
+        "succeeded",
+        "unspecified_error",
     )
 
     def __init__(  # noqa: PLR0913 - a record
@@ -58,7 +58,7 @@
         status: CacheStatus,
         elapsed: int,
         fill_wait: int,
-        load: dict[str, float],
+        load_report: dict[str, float],
         now: int,
     ) -> None:
         self.state = state
@@ -67,10 +67,10 @@
         self.status = status
         self.elapsed = elapsed
         self.fill_wait = fill_wait
-        self.load = load
+        self.load_report = load_report
         self.now = now
-        self.good = outcome is AttemptOutcome.RETURNED
-        self.unexplained = outcome is AttemptOutcome.ERROR and status is CacheStatus.UNKNOWN
+        self.succeeded = outcome is AttemptOutcome.RETURNED
+        self.unspecified_error = outcome is AttemptOutcome.ERROR and status is CacheStatus.UNKNOWN
 
 
 class ResultRecorder:
@@ -104,48 +104,48 @@
         runs_at_origin = self.settings.of_service("runs_at_origin", request.delivery_service, False)
         state.missed = result.outcome in _MISSES
         cache.in_flight = max(0, cache.in_flight - 1)
-        record.returned = result.good or record.returned
-        self._record_reach(result)
+        record.returned = result.succeeded or record.returned
+        self._record_reachability(result)
         self._record_load(result)
-        if result.good and not runs_at_origin:
-            result.status = self.resolved_status(result.attempt, result.status, self._slowness(result))
+        if result.succeeded and not runs_at_origin:
+            result.status = self.inferred_status(result.attempt, result.status, self._slowness(result))
         if result.attempt.fill:
             self._record_fill(result, result.attempt.fill)
-        if result.good and not runs_at_origin and (request.size or record.sending_times):
+        if result.succeeded and not runs_at_origin and (request.size or record.sending_times):
             self._record_speed(result)
-        if result.good:
-            self._record_return(result, record, runs_at_origin)
+        if result.succeeded:
+            self._record_success(result, record, runs_at_origin)
         elif result.outcome is AttemptOutcome.MISS or result.status in FILL_SOURCE_FAULTS:
             self._record_failed_fill(result, record)
         elif result.outcome is not AttemptOutcome.CANCELLED:
             self._record_cache_failure(result, record)
-        self._judge(result)
+        self._evaluate(result)
 
     def _slowness(self, result: AttemptResult) -> float:
         """Ratio of actual to expected sending time."""
         expected = max(SENDING_TIME_MIN_NS, self.load.sending_time(result.state.request))
         return (result.elapsed - result.fill_wait) / expected
 
-    def _record_reach(self, result: AttemptResult) -> None:
+    def _record_reachability(self, result: AttemptResult) -> None:
         now = result.now
         platform_now = now + self.registry.platform_clock_offset
-        if result.outcome not in _UNKNOWN_REACH:
-            reached = result.outcome is not AttemptOutcome.UNREACHABLE
-            result.attempt.cache.reached(reached, now, platform_now)
+        if result.outcome not in _REACHABILITY_UNKNOWN:
+            reachable = result.outcome is not AttemptOutcome.UNREACHABLE
+            result.attempt.cache.set_reachable(reachable, now, platform_now)
         source_unreachable = result.outcome.never_executed and result.status is CacheStatus.FILL_SOURCE_BROKEN
         if result.status in FILLS or source_unreachable:
-            result.attempt.source.reached(result.status in FILLS, now, platform_now)
+            result.attempt.source.set_reachable(result.status in FILLS, now, platform_now)
 
     def _record_load(self, result: AttemptResult) -> None:
         cache = result.attempt.cache
-        if result.load:
-            cache.load = result.load
-            cache.load_at = result.now
-        if cache.role == "cache" and "link_use" in result.load:
-            self.link.use = result.load["link_use"]
-            self.link.use_at = result.now
-
-    def resolved_status(self, attempt: "Attempt", status: CacheStatus, slowness: float) -> CacheStatus:
+        if result.load_report:
+            cache.load_report = result.load_report
+            cache.load_reported_at = result.now
+        if cache.role == "cache" and "link_use" in result.load_report:
+            self.link.utilization = result.load_report["link_use"]
+            self.link.utilization_reported_at = result.now
+
+    def inferred_status(self, attempt: "Attempt", status: CacheStatus, slowness: float) -> CacheStatus:
         """What an answer without a status shows by its speed, where caches never tell one; UNKNOWN if it is
         open.
 
@@ -159,7 +159,7 @@
             return status
         if attempt.source is attempt.cache:
             return CacheStatus.HIT
-        if slowness <= CROWDED_SLOWNESS * max(1.0, attempt.cache.as_cache.slowness(self.load.now)):
+        if slowness <= CONGESTED_SLOWNESS * max(1.0, attempt.cache.as_cache.slowness(self.load.now)):
             return CacheStatus.HIT
         return CacheStatus.UNKNOWN if attempt.believed else CacheStatus.FILLED
 
@@ -168,11 +168,16 @@
         cache = result.attempt.cache
         self.link.fills_in_flight -= 1
         cache.fills_in_flight = max(0, cache.fills_in_flight - 1)
-        if result.good:
-            self.link.misses.append(result.status not in HITS)
-        fill.on_time = result.good and result.now <= fill.late_at
-        left_in_time = result.outcome is AttemptOutcome.CANCELLED and result.now < fill.late_at
-        if result.status in HITS or result.unexplained or left_in_time or result.outcome in _NOTHING_OF_FILL:
+        if result.succeeded:
+            self.link.recent_misses.append(result.status not in HITS)
+        fill.on_time = result.succeeded and result.now <= fill.due_at
+        cancelled_in_time = result.outcome is AttemptOutcome.CANCELLED and result.now < fill.due_at
+        if (
+            result.status in HITS
+            or result.unspecified_error
+            or cancelled_in_time
+            or result.outcome in _FILL_RESULT_UNKNOWN
+        ):
             fill.disregard()
         elif result.status in (CacheStatus.FILLED_BY_ORIGIN, CacheStatus.ORIGIN_FAILED) and (
             origins := self.registry.group("origin")
@@ -181,34 +186,36 @@
             fill.source = origins[-1]
             expected = self.load.sending_time(result.state.request)
             fill.on_time = (
-                result.good and result.now - result.elapsed + result.fill_wait + expected <= fill.late_at
+                result.succeeded and result.now - result.elapsed + result.fill_wait + expected <= fill.due_at
             )
 
     def _record_speed(self, result: AttemptResult) -> None:
         attempt = result.attempt
         slowness = self._slowness(result)
-        of_cache = result.status in HITS or result.status is CacheStatus.UNKNOWN
-        attempt.cache.as_cache.record(result.now, True, slowness if of_cache else 0, attempt.sharing)
+        is_cache_speed = result.status in HITS or result.status is CacheStatus.UNKNOWN
+        attempt.cache.as_cache.record(
+            result.now, True, slowness if is_cache_speed else 0, attempt.concurrent_transfers
+        )
         if attempt.fill and result.status in (CacheStatus.FILLED, CacheStatus.COLLAPSED):
-            self.link.record_fill(attempt.source, slowness, attempt.fills_sharing, result.now)
+            self.link.record_fill(attempt.source, slowness, attempt.concurrent_fills, result.now)
 
-    def _record_return(self, result: AttemptResult, record: ObjectRecord, runs_at_origin: bool) -> None:
+    def _record_success(self, result: AttemptResult, record: ObjectRecord, runs_at_origin: bool) -> None:
         request = result.state.request
         cache = result.attempt.cache
         source = result.attempt.source
         if result.status is not CacheStatus.UNKNOWN:
             self.slow_start.statuses.append(result.status)
-        self.load.returns.append((result.now, self.load.sending_time(request)))
+        self.load.completions.append((result.now, self.load.sending_time(request)))
         if not request.size and not runs_at_origin:
             sending_time = result.elapsed - result.fill_wait
             record.sending_times.append(sending_time)
             self.load.sending_times[request.delivery_service].append(sending_time)
         if not runs_at_origin and cache.role == "cache":
-            self.digest.believe(record, cache, result.now)
+            self.digest.add_belief(record, cache, result.now)
         if result.status in FILLS:
             source.as_source.record(result.now, True, self._slowness(result))
             if source.role == "cache":
-                self.digest.believe(record, source, result.now)
+                self.digest.add_belief(record, source, result.now)
 
     def _record_failed_fill(self, result: AttemptResult, record: ObjectRecord) -> None:
         """The cache had no copy, and its source did not fill it."""
@@ -232,18 +239,18 @@
         """
         cache = result.attempt.cache
         result.state.failed_servers.add(cache.index)
-        if result.outcome not in _NO_FAULT_OF_CACHE and (record.returned or not result.unexplained):
+        if result.outcome not in _NOT_CACHE_FAILURES and (record.returned or not result.unspecified_error):
             cache.as_cache.record(result.now, False, 0)
 
-    def _judge(self, result: AttemptResult) -> None:
+    def _evaluate(self, result: AttemptResult) -> None:
         cache: Server = result.attempt.cache
         source: Server = result.attempt.source
-        self.outliers.changed(cache)
+        self.outliers.health_changed(cache)
         if source is not cache:
-            self.outliers.changed(source)
+            self.outliers.health_changed(source)
         # A time-out may be the source's fault: it tells of the cache where all end so and its peers' don't.
-        self.outliers.judge_cache(cache, result.outcome is not AttemptOutcome.TIMED_OUT, result.now)
+        self.outliers.evaluate_cache(cache, result.outcome is not AttemptOutcome.TIMED_OUT, result.now)
         if source is not cache and source.role != "origin":
             # Parents fail alike where the origin or the load is at fault; one out of reach is down alone.
             unreachable = result.outcome.never_executed and result.status is CacheStatus.FILL_SOURCE_BROKEN
-            self.outliers.judge_source(source, unreachable, result.now)
+            self.outliers.evaluate_source(source, unreachable, result.now)
--- a/sprucegate/routing/cache_selection.py
+++ b/sprucegate/routing/cache_selection.py
@@ -9,7 +9,7 @@
 from math import sqrt
 from typing import TYPE_CHECKING
 
-from sprucegate.routing.digest import COUNTING_SPAN_NS, ObjectRecord
+from sprucegate.routing.digest import COUNTING_INTERVAL_NS, ObjectRecord
 from sprucegate.routing.events import Request
 from sprucegate.routing.load_estimation import LoadEstimator
 from sprucegate.routing.outlier_detection import OutlierDetector
@@ -23,7 +23,7 @@
 WIDTH_MAX = 3
 HOT_SHARE = 0.25  # of one cache's part of the work
 TIME_LEFT_RATIO = 0.75  # of the time left that an answer may be expected to take: others will come to share
-PASSED_BY_MAX = 128
+FALLBACK_CACHES_MAX = 128
 
 
 def object_key(request: Request) -> bytes:
@@ -49,33 +49,33 @@
         Two standard deviations of the count (Poisson) are subtracted, as a router among many sees few
         requests.
         """
-        seen = sum(record.counts[:2])
-        surely_seen = seen - 2 * sqrt(seen)
-        share = surely_seen * self.load.sending_time(request) / (2 * COUNTING_SPAN_NS) * caches
+        requests = sum(record.counts[:2])
+        requests_min = requests - 2 * sqrt(requests)
+        share = requests_min * self.load.sending_time(request) / (2 * COUNTING_INTERVAL_NS) * caches
         hot = HOT_SHARE * self.load.rate(now)
         return 1 + (share > hot > 0) + (share > 2 * hot > 0)
 
     def pick(self, state: "RequestState", record: ObjectRecord, now: int) -> tuple[Server | None, bool]:
         """The cache for a request, or None, and whether an answer from it can be expected in time."""
         request = state.request
-        avoided = self.outliers.avoided(now)
-        first, others = self._candidates(state, record, avoided, now)
+        excluded = self.outliers.excluded(now)
+        first, others = self._candidates(state, record, excluded, now)
         if not first:
             return None, False
-        usable = len(self.registry.group("cache")) - len(avoided)
+        usable = len(self.registry.group("cache")) - len(excluded)
         spread = first[: self.width(request, record, usable, now)]
         best = spread[0] if len(spread) == 1 else min(spread, key=lambda cache: _load_order(cache, now))
         time_left = TIME_LEFT_RATIO * (state.objective_at - now)
         slowness_max = max(1.0, time_left / max(1, self.load.sending_time(request)))
         if best.expected_slowness(now) <= slowness_max:
             return best, True
-        for cache in chain(first, islice(others, PASSED_BY_MAX)):
+        for cache in chain(first, islice(others, FALLBACK_CACHES_MAX)):
             if cache.expected_slowness(now) <= slowness_max:
                 return cache, True
         return best, False
 
     def _candidates(
-        self, state: "RequestState", record: ObjectRecord, avoided: set[int], now: int
+        self, state: "RequestState", record: ObjectRecord, excluded: set[int], now: int
     ) -> tuple[list[Server], Iterator[Server]]:
         """The first WIDTH_MAX caches for the object, and those after them.
 
@@ -83,21 +83,21 @@
         """
         request = state.request
         key = object_key(request)
-        others = self._available(record, key, avoided | state.failed_servers, request.delivery_service, now)
+        others = self._available(record, key, excluded | state.failed_servers, request.delivery_service, now)
         first: list[Server] = self.registry.ranking(record.rankings, "cache", key).nodes[:WIDTH_MAX]
-        if avoided or state.failed_servers or any([cache.started for cache in first]):
+        if excluded or state.failed_servers or any([cache.started for cache in first]):
             first = list(islice(others, WIDTH_MAX))
         if not first and state.failed_servers:
-            others = self._available(record, key, avoided, request.delivery_service, now)
+            others = self._available(record, key, excluded, request.delivery_service, now)
             first = list(islice(others, WIDTH_MAX))
         return first, others
 
     def _available(
-        self, record: ObjectRecord, key: bytes, avoided: set[int], delivery_service: int, now: int
+        self, record: ObjectRecord, key: bytes, excluded: set[int], delivery_service: int, now: int
     ) -> Iterator[Server]:
         """Caches in the key's order that may take a request now."""
         for cache in self.registry.ranked(record.rankings, "cache", key):
-            if cache.index not in avoided and (
+            if cache.index not in excluded and (
                 not cache.started or self.slow_start.has_budget(cache, delivery_service, now)
             ):
                 yield cache
--- a/sprucegate/routing/fill_source.py
+++ b/sprucegate/routing/fill_source.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from sprucegate.routing.digest import RECHECK_MARGIN_NS, Digest, ObjectRecord
-from sprucegate.routing.hashing import HashSequence
+from sprucegate.routing.hashing import HashRandom
 from sprucegate.routing.sentinels import LONG_AGO
 from sprucegate.routing.server import Server
 from sprucegate.routing.server_registry import ServerRegistry
@@ -35,21 +35,21 @@
 
     :ivar source: who is to be held responsible for it.
     :ivar started_at: when the attempt was sent.
-    :ivar late_at: from when on it is late.
+    :ivar due_at: from when on it is late.
     :ivar on_time: whether it came in time, None while that is open and where nothing can be said.
     """
 
-    __slots__ = ("source", "started_at", "late_at", "on_time")
+    __slots__ = ("source", "started_at", "due_at", "on_time")
 
-    def __init__(self, source: Server, started_at: int, late_at: int, on_time: bool | None = None) -> None:
+    def __init__(self, source: Server, started_at: int, due_at: int, on_time: bool | None = None) -> None:
         self.source = source
         self.started_at = started_at
-        self.late_at = late_at
+        self.due_at = due_at
         self.on_time = on_time
 
     def disregard(self) -> None:
         """It says nothing of how sources do."""
-        self.late_at = -LONG_AGO
+        self.due_at = -LONG_AGO
         self.on_time = None
 
 
@@ -65,13 +65,13 @@
         registry: ServerRegistry,
         digest: Digest,
         slow_start: SlowStart,
-        draws: HashSequence,
+        random: HashRandom,
     ) -> None:
         self.settings = settings
         self.registry = registry
         self.digest = digest
         self.slow_start = slow_start
-        self.draws = draws
+        self.random = random
         self.fills: deque[Fill] = deque(maxlen=FILLS_KEPT)
         self._counted_at = LONG_AGO
         self._ended: Counter[int] = Counter()
@@ -84,18 +84,19 @@
         (fills + PRIOR_FILLS).
         """
         if now - self._counted_at >= ON_TIME_RATIOS_AGE_MAX_NS:
-            self._count(now)
-        of_all = (self._on_time.total() + 1) / (self._ended.total() + 1)
+            self._count_on_time(now)
+        overall_ratio = (self._on_time.total() + 1) / (self._ended.total() + 1)
         return [
-            (self._on_time[source.index] + PRIOR_FILLS * of_all) / (self._ended[source.index] + PRIOR_FILLS)
+            (self._on_time[source.index] + PRIOR_FILLS * overall_ratio)
+            / (self._ended[source.index] + PRIOR_FILLS)
             for source in sources
         ]
 
-    def _count(self, now: int) -> None:
+    def _count_on_time(self, now: int) -> None:
         ended = [
             fill
             for fill in self.fills
-            if now - fill.started_at < FILL_AGE_MAX_NS and (fill.on_time is not None or fill.late_at <= now)
+            if now - fill.started_at < FILL_AGE_MAX_NS and (fill.on_time is not None or fill.due_at <= now)
         ]
         self._counted_at = now
         self._ended = Counter([fill.source.index for fill in ended])
@@ -141,7 +142,7 @@
         chosen = order[position] if order else None
         if chosen is None:
             return None, False
-        if self.draws.chance(state.request.id) < max(FILL_SHARE_MIN, THROTTLE_RATIO * origin_ratio):
+        if self.random.next_float(state.request.id) < max(FILL_SHARE_MIN, THROTTLE_RATIO * origin_ratio):
             return chosen, True
         if chosen.role != "origin":
             return chosen, False
--- a/sprucegate/routing/gossip.py
+++ b/sprucegate/routing/gossip.py
@@ -7,7 +7,7 @@
 import heapq
 from collections.abc import Sequence
 
-from sprucegate.routing.digest import BELIEF_TIME_MAX_NS, RECHECK_MARGIN_NS, Belief, Digest
+from sprucegate.routing.digest import BELIEF_LIFETIME_MAX_NS, RECHECK_MARGIN_NS, Belief, Digest
 from sprucegate.routing.events import BeliefGossip, EjectionGossip
 from sprucegate.routing.health_record import (
     EJECTION_TIME_MAX_NS,
@@ -21,7 +21,7 @@
 from sprucegate.routing.server_registry import ServerRegistry
 
 TRUST_RATIO = 0.5  # of the time left
-SLOWNESS_TOLD_MIN = 1.5
+SLOWNESS_SENT_MIN = 1.5
 SLOWNESS_UNIT = 1000  # slowness is told in thousandths
 
 
@@ -32,31 +32,31 @@
         self.registry = registry
         self.digest = digest
         self.outliers = outliers
-        self.beliefs_told_at = LONG_AGO
+        self.beliefs_sent_at = LONG_AGO
 
-    def to_send(self, most: int, now: int) -> list[EjectionGossip | BeliefGossip]:
-        """At most `most` facts: ejected and slow servers, then new beliefs.
+    def to_send(self, limit: int, now: int) -> list[EjectionGossip | BeliefGossip]:
+        """At most `limit` facts: ejected and slow servers, then new beliefs.
 
         Beliefs are those since the last call, of the objects most requested first.
         """
-        told: list[EjectionGossip | BeliefGossip] = []
-        for _, server in sorted(self.outliers.all_seen()):
+        facts: list[EjectionGossip | BeliefGossip] = []
+        for _, server in sorted(self.outliers.possible_outliers()):
             for health in (server.as_cache, server.as_source):
                 slowness = health.slowness(now)
-                if health.ejected_until > now or slowness > SLOWNESS_TOLD_MIN:
-                    told.append(_ejection(server, health, slowness, now))
-        told += self._new_beliefs(max(0, most - len(told)), now)
-        return told[:most]
+                if health.ejected_until > now or slowness > SLOWNESS_SENT_MIN:
+                    facts.append(_ejection(server, health, slowness, now))
+        facts += self._new_beliefs(max(0, limit - len(facts)), now)
+        return facts[:limit]
 
-    def _new_beliefs(self, most: int, now: int) -> list[BeliefGossip]:
-        since = self.beliefs_told_at
-        self.beliefs_told_at = now
+    def _new_beliefs(self, limit: int, now: int) -> list[BeliefGossip]:
+        since = self.beliefs_sent_at
+        self.beliefs_sent_at = now
         servers = self.registry.servers
         records = self.digest.records
         new = [
-            (-sum(records[slot].counts[:2]), key, index, belief)
-            for key, slot in self.digest.slot_of.items()
-            for index, belief in records[slot].beliefs.items()
+            (-sum(records[position].counts[:2]), key, index, belief)
+            for key, position in self.digest.position_of.items()
+            for index, belief in records[position].beliefs.items()
             if belief.since > since and belief.expires_at - now > 2 * RECHECK_MARGIN_NS and index in servers
         ]
         return [
@@ -68,7 +68,7 @@
                 belief.expires_at - now,
                 now - belief.since,
             )
-            for _, key, index, belief in heapq.nsmallest(most, new)
+            for _, key, index, belief in heapq.nsmallest(limit, new)
         ]
 
     def receive(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
@@ -82,19 +82,19 @@
                 self._receive_ejection(fact, server, time_left, now - age - fact.age, now)
             elif time_left > 0 and self.digest.may_add(fact):
                 beliefs = self.digest.record_of(fact, now).beliefs
-                expires_at = now + min(time_left, BELIEF_TIME_MAX_NS)
+                expires_at = now + min(time_left, BELIEF_LIFETIME_MAX_NS)
                 beliefs.setdefault(server.index, Belief(expires_at, now - fact.age - age, server.started))
 
     def _receive_ejection(
         self, fact: EjectionGossip, server: Server, time_left: int, sampled_at: int, now: int
     ) -> None:
         health = server.as_source if fact.as_source else server.as_cache
-        if fact.slowness and not any(now - at < SAMPLE_AGE_MAX_NS for at, _, _ in health.speeds):
-            health.speeds.extend([(sampled_at, fact.slowness / SLOWNESS_UNIT, 1)] * SAMPLES_MIN)
+        if fact.slowness and not any(now - at < SAMPLE_AGE_MAX_NS for at, _, _ in health.slowness_samples):
+            health.slowness_samples.extend([(sampled_at, fact.slowness / SLOWNESS_UNIT, 1)] * SAMPLES_MIN)
         if time_left > 0 and not any(now - at < SAMPLE_AGE_MAX_NS for at, _ in health.results):
             health.ejected_until = max(health.ejected_until, now + min(time_left, EJECTION_TIME_MAX_NS))
             health.on_probation = True
-        self.outliers.changed(server)
+        self.outliers.health_changed(server)
 
 
 def _ejection(server: Server, health: HealthRecord, slowness: float, now: int) -> EjectionGossip:
@@ -104,5 +104,5 @@
         health is server.as_source,
         max(0, health.ejected_until - now),
         int(SLOWNESS_UNIT * slowness),
-        now - health.speeds[-1][0] if slowness else 0,
+        now - health.slowness_samples[-1][0] if slowness else 0,
     )
--- a/sprucegate/routing/hashing.py
+++ b/sprucegate/routing/hashing.py
@@ -7,30 +7,30 @@
 MURMUR_FACTOR_2 = 0xC2B2AE35
 
 
-def hash32(data: bytes, start: int = 0) -> int:
-    """A hash of bytes between 0 and 2**32 - 1; `start` seeds it.
+def hash32(data: bytes, seed: int = 0) -> int:
+    """A hash of bytes between 0 and 2**32 - 1; `seed` seeds it.
 
     CRC-32 is affine, so the hashes of two inputs would differ by a constant for every seed. The finalizer of
     MurmurHash3 (Appleby 2011) removes that.
     """
-    value = crc32(data, start)
+    value = crc32(data, seed)
     value = (value ^ (value >> 16)) * MURMUR_FACTOR_1 & LOW_32_BITS
     value = (value ^ (value >> 13)) * MURMUR_FACTOR_2 & LOW_32_BITS
     return value ^ (value >> 16)
 
 
-class HashSequence:
+class HashRandom:
     """Pseudo-random draws that are the same for the same seed, router and sequence of texts.
 
-    :ivar draws: how many were made.
+    :ivar draw_count: how many were made.
     """
 
     def __init__(self, router_number: int, seed: int) -> None:
         self.router_number = router_number
         self.seed = seed
-        self.draws = 0
+        self.draw_count = 0
 
-    def chance(self, text: str) -> float:
+    def next_float(self, label: str) -> float:
         """The next draw, at least 0 and less than 1."""
-        self.draws += 1
-        return hash32(f"{self.router_number}/{text}/{self.draws}".encode(), self.seed % 2**32) / 2**32
+        self.draw_count += 1
+        return hash32(f"{self.router_number}/{label}/{self.draw_count}".encode(), self.seed % 2**32) / 2**32
--- a/sprucegate/routing/health_record.py
+++ b/sprucegate/routing/health_record.py
@@ -22,8 +22,10 @@
 FAILURE_RATIO_MAX = 0.5
 EJECTION_TIME_MIN_NS = 2 * SECOND
 EJECTION_TIME_MAX_NS = 8 * EJECTION_TIME_MIN_NS
-CROWDED_SLOWNESS = 1.3  # below it a sample shows only its own noise
-CROWD_MIN = 3  # transfers; with fewer, only a slowness above SLOWNESS_RATIO_MAX is laid to the link
+CONGESTED_SLOWNESS = 1.3  # below it a sample shows only its own noise
+CONGESTION_TRANSFERS_MIN = (
+    3  # transfers; with fewer, only a slowness above SLOWNESS_RATIO_MAX is laid to the link
+)
 LINK_CAPACITY_QUANTILE = 0.25  # a low one keeps the link's queue short
 ESTIMATE_AGE_MAX_NS = 20 * MILLISECOND
 
@@ -32,24 +34,31 @@
     """The last results of one server in one of its two roles.
 
     :ivar results: (time, success) of the last attempts.
-    :ivar speeds: (time, slowness, transfers that shared the link) of the last attempts.
+    :ivar slowness_samples: (time, slowness, transfers that shared the link) of the last attempts.
     :ivar ejection_time: how long the last ejection lasted (ns).
     :ivar ejected_until: end of the ejection, 0 for none.
     :ivar on_probation: whether nothing has succeeded since the last ejection.
     :ivar link_capacity: (time of the estimate, transfers that the link bears without being slower).
     """
 
-    __slots__ = ("results", "speeds", "ejection_time", "ejected_until", "on_probation", "link_capacity")
+    __slots__ = (
+        "results",
+        "slowness_samples",
+        "ejection_time",
+        "ejected_until",
+        "on_probation",
+        "link_capacity",
+    )
 
     def __init__(self) -> None:
         self.results: deque[tuple[int, bool]] = deque(maxlen=RESULTS_MAX)
-        self.speeds: deque[tuple[int, float, int]] = deque(maxlen=SAMPLES_MAX)
+        self.slowness_samples: deque[tuple[int, float, int]] = deque(maxlen=SAMPLES_MAX)
         self.ejection_time = 0
         self.ejected_until = 0
         self.on_probation = False
         self.link_capacity: tuple[int, float] = (LONG_AGO, -LONG_AGO)
 
-    def record(self, now: int, success: bool, slowness: float, sharing: int = 0) -> None:
+    def record(self, now: int, success: bool, slowness: float, concurrent_transfers: int = 0) -> None:
         """Note the result of one attempt; a slowness of 0 says nothing of the speed."""
         if success and self.ejected_until <= now:
             self.on_probation = False
@@ -61,15 +70,15 @@
         if success or not results or results[-1][1] or now - results[-1][0] >= RESULT_SPACING_NS:
             results.append((now, success))
         if slowness:
-            self.speeds.append((now, slowness, sharing))
+            self.slowness_samples.append((now, slowness, concurrent_transfers))
 
     def slowness(self, now: int) -> float:
         """Median ratio of actual to expected sending time, 0 if too few samples are known."""
-        fresh = [slowness for at, slowness, _ in self.speeds if now - at < SAMPLE_AGE_MAX_NS]
+        fresh = [slowness for at, slowness, _ in self.slowness_samples if now - at < SAMPLE_AGE_MAX_NS]
         return median(fresh) if len(fresh) >= SAMPLES_MIN else 0
 
-    def expected_slowness(self, sharing: int, now: int) -> float:
-        """Slowness to expect if `sharing` transfers share the link, at least 1.
+    def expected_slowness(self, concurrent_transfers: int, now: int) -> float:
+        """Slowness to expect if `concurrent_transfers` transfers share the link, at least 1.
 
         A full link is divided evenly, so `sharing / slowness` of a sample is the number of transfers that it
         bears.
@@ -78,8 +87,9 @@
             capacities = sorted(
                 [
                     transfers / slowness
-                    for at, slowness, transfers in self.speeds
-                    if slowness > (CROWDED_SLOWNESS if transfers >= CROWD_MIN else SLOWNESS_RATIO_MAX)
+                    for at, slowness, transfers in self.slowness_samples
+                    if slowness
+                    > (CONGESTED_SLOWNESS if transfers >= CONGESTION_TRANSFERS_MIN else SLOWNESS_RATIO_MAX)
                     and now - at < SAMPLE_AGE_MAX_NS
                 ]
             )
@@ -87,51 +97,53 @@
                 self.link_capacity = now, capacities[int(LINK_CAPACITY_QUANTILE * (len(capacities) - 1))]
             else:
                 self.link_capacity = now, -LONG_AGO
-        return max(1.0, sharing / self.link_capacity[1])
+        return max(1.0, concurrent_transfers / self.link_capacity[1])
 
     def failure_ratio(self, now: int) -> float:
         """Share of the last attempts that failed, 0 if too few are known."""
         fresh = [success for at, success in self.results if now - at < SAMPLE_AGE_MAX_NS]
         return fresh.count(False) / len(fresh) if len(fresh) >= SAMPLES_MIN else 0
 
-    def needs_judging(self, now: int) -> bool:
+    def needs_evaluation(self, now: int) -> bool:
         """Whether the last result can lead to an ejection: a success at a normal speed can't."""
         if self.ejected_until > now:
             return False
         last_was_good = bool(self.results) and self.results[-1][1]
-        return not (last_was_good and self.speeds and self.speeds[-1][1] <= SLOWNESS_RATIO_MAX)
+        return not (
+            last_was_good and self.slowness_samples and self.slowness_samples[-1][1] <= SLOWNESS_RATIO_MAX
+        )
 
-    def judge(
-        self, peers: Sequence["HealthRecord"], own_fault: bool, now: int, silent_peers: int = 0
+    def evaluate(
+        self, peers: Sequence["HealthRecord"], attributable: bool, now: int, idle_peers: int = 0
     ) -> None:
         """Eject the server if it is an outlier.
 
         It is one if it is SLOWNESS_RATIO_MAX times slower than the median of its peers, or if it fails: in
-        more than half of its last results if the last failure can only be its own fault (`own_fault`),
+        more than half of its last results if the last failure can only be its own fault (`attributable`),
         otherwise in all of them while the median failure ratio of its peers is below one half.
-        `silent_peers` have no recent result and count as healthy.
+        `idle_peers` have no recent result and count as healthy.
         """
-        if not self.needs_judging(now):
+        if not self.needs_evaluation(now):
             return
         slowness = self.slowness(now)
         failure_ratio = self.failure_ratio(now)
-        peer_speeds = [speed for peer in peers if peer is not self and (speed := peer.slowness(now))]
-        if own_fault:
+        peer_slowness = [speed for peer in peers if peer is not self and (speed := peer.slowness(now))]
+        if attributable:
             failing = failure_ratio > FAILURE_RATIO_MAX
         else:
             failing = (
-                failure_ratio == 1 and self._median_of_peers(peers, now, silent_peers) < FAILURE_RATIO_MAX
+                failure_ratio == 1 and self._median_failure_ratio(peers, now, idle_peers) < FAILURE_RATIO_MAX
             )
-        if failing or peer_speeds and slowness > SLOWNESS_RATIO_MAX * max(1.0, median(peer_speeds)):
+        if failing or peer_slowness and slowness > SLOWNESS_RATIO_MAX * max(1.0, median(peer_slowness)):
             self._eject(now)
 
-    def _median_of_peers(self, peers: Sequence["HealthRecord"], now: int, silent_peers: int) -> float:
+    def _median_failure_ratio(self, peers: Sequence["HealthRecord"], now: int, idle_peers: int) -> float:
         ratios = [peer.failure_ratio(now) for peer in peers if peer is not self]
-        return 0 if silent_peers > len(ratios) else median(ratios + [0] * silent_peers or [1])
+        return 0 if idle_peers > len(ratios) else median(ratios + [0] * idle_peers or [1])
 
     def _eject(self, now: int) -> None:
         self.ejection_time = min(EJECTION_TIME_MAX_NS, max(EJECTION_TIME_MIN_NS, 2 * self.ejection_time))
         self.ejected_until = now + self.ejection_time
         self.on_probation = True
         self.results.clear()
-        self.speeds.clear()
+        self.slowness_samples.clear()
--- a/sprucegate/routing/inbound_link.py
+++ b/sprucegate/routing/inbound_link.py
@@ -4,7 +4,7 @@
 from statistics import median_low
 
 from sprucegate.routing.events import Request
-from sprucegate.routing.hashing import HashSequence
+from sprucegate.routing.hashing import HashRandom
 from sprucegate.routing.health_record import HealthRecord
 from sprucegate.routing.load_estimation import LoadEstimator
 from sprucegate.routing.outlier_detection import OutlierDetector
@@ -14,11 +14,11 @@
 from sprucegate.units import SECOND
 
 USE_REPORT_AGE_MAX_NS = SECOND
-MISSES_KEPT = 64
+RECENT_MISSES_MAX = 64
 LINK_SHARE = 0.3  # of an even part of the link: other routers' parts are uneven, and waits add
 TRIAL_SHARE = 0.08  # of what looks late is sent all the same, or nothing would show that it no longer is
 SIMILAR_SLOWNESS_RATIO = 1.5
-UNKNOWN_SLOWNESS = 9
+PEER_SLOWNESS_DEFAULT = 9
 
 
 class InboundLink:
@@ -26,8 +26,8 @@
 
     :ivar health: speeds of fills.
     :ivar fills_in_flight: this router's fills under way.
-    :ivar use: last reported load, 1 for full; `use_at` is when it was reported.
-    :ivar misses: whether the last answers to requests without a believed copy were misses.
+    :ivar utilization: last reported load, 1 for full; `utilization_reported_at` is when it was reported.
+    :ivar recent_misses: whether the last answers to requests without a believed copy were misses.
     """
 
     def __init__(
@@ -35,17 +35,17 @@
         settings: RoutingSettings,
         load: LoadEstimator,
         outliers: OutlierDetector,
-        draws: HashSequence,
+        random: HashRandom,
     ) -> None:
         self.settings = settings
         self.load = load
         self.outliers = outliers
-        self.draws = draws
+        self.random = random
         self.health = HealthRecord()
         self.fills_in_flight = 0
-        self.use = 0.0
-        self.use_at = LONG_AGO
-        self.misses: deque[bool] = deque(maxlen=MISSES_KEPT)
+        self.utilization = 0.0
+        self.utilization_reported_at = LONG_AGO
+        self.recent_misses: deque[bool] = deque(maxlen=RECENT_MISSES_MAX)
 
     def expected_slowness(self, now: int) -> float:
         """Slowness that one more fill of this router has to expect, at least 1.
@@ -57,20 +57,22 @@
         rate = self.settings.client_kb_per_s
         link_rates = self.settings.link_in_kb_per_s
         if self.settings.tells == "none" and rate and here < len(link_rates) and link_rates[here]:
-            fills = 1 + self.fills_in_flight * (1 + sum(self.misses)) / (2 + len(self.misses))
+            fills = 1 + self.fills_in_flight * (1 + sum(self.recent_misses)) / (2 + len(self.recent_misses))
             routers = sum(self.settings.fronts_by_location[here : here + 1]) or 1
             return max(1.0, fills * routers * rate / link_rates[here] / LINK_SHARE)
-        reported = self.use / 2 if now - self.use_at < USE_REPORT_AGE_MAX_NS else 0
+        reported = self.utilization / 2 if now - self.utilization_reported_at < USE_REPORT_AGE_MAX_NS else 0
         return max(reported, self.health.expected_slowness(self.fills_in_flight + 1, now))
 
     def fill_would_be_late(self, request: Request, objective_at: int, now: int) -> bool:
         """Whether a fill would miss the objective; a random share of these is let through as a trial."""
         expected = self.load.sending_time(request) * self.expected_slowness(now)
-        return expected > objective_at - now and self.draws.chance(request.id) >= TRIAL_SHARE
+        return expected > objective_at - now and self.random.next_float(request.id) >= TRIAL_SHARE
 
-    def record_fill(self, source: Server, slowness: float, sharing: int, now: int) -> None:
+    def record_fill(self, source: Server, slowness: float, concurrent_transfers: int, now: int) -> None:
         """Note the speed of a fill, unless its source is slow beside its peers, by its own fault."""
         peers, _ = self.outliers.comparison_group("parent")
-        speeds = [speed for peer in peers if (speed := peer.as_source.slowness(now))] or [UNKNOWN_SLOWNESS]
-        if source.as_source.slowness(now) <= SIMILAR_SLOWNESS_RATIO * median_low(speeds):
-            self.health.record(now, True, slowness, sharing)
+        peer_slowness = [speed for peer in peers if (speed := peer.as_source.slowness(now))] or [
+            PEER_SLOWNESS_DEFAULT
+        ]
+        if source.as_source.slowness(now) <= SIMILAR_SLOWNESS_RATIO * median_low(peer_slowness):
+            self.health.record(now, True, slowness, concurrent_transfers)
--- a/sprucegate/routing/invalidation.py
+++ b/sprucegate/routing/invalidation.py
@@ -10,8 +10,8 @@
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.units import MICROSECOND, SECOND
 
-OWN_COPY_AGE_MAX_NS = 30 * SECOND
-FORGOTTEN_AT_ONCE = 4  # bounds the time of one call where many purges get old together
+CACHED_RESPONSE_AGE_MAX_NS = 30 * SECOND
+EXPIRED_PER_CALL_MAX = 4  # bounds the time of one call where many purges get old together
 MAX_AGE_MIN_NS = MICROSECOND  # 0 would mean the freshness lifetime
 UNLIMITED_AGE_NS = 1 << 62
 
@@ -32,15 +32,15 @@
 
     def invalidate(self, identifier: int, group: int, age: int, now: int) -> None:
         """Note a purge, issued `age` ns ago, of one object or, if `identifier` is negative, of a group."""
-        self._forget_old(now)
+        self._expire_old(now)
         key = ("object", identifier) if identifier >= 0 else ("group", group)
         self.purges[key] = max(now - age, self.purges.get(key, LONG_AGO))
         heapq.heappush(self.by_age, (self.purges[key], key))
 
-    def _forget_old(self, now: int) -> None:
+    def _expire_old(self, now: int) -> None:
         # Beliefs and own copies may outlive the old copies at the caches.
-        lifetime = self.settings.purge_done + OWN_COPY_AGE_MAX_NS
-        for _ in range(FORGOTTEN_AT_ONCE):
+        lifetime = self.settings.purge_done + CACHED_RESPONSE_AGE_MAX_NS
+        for _ in range(EXPIRED_PER_CALL_MAX):
             if not self.by_age or now - self.by_age[0][0] <= lifetime:
                 break
             at, key = heapq.heappop(self.by_age)
--- a/sprucegate/routing/load_estimation.py
+++ b/sprucegate/routing/load_estimation.py
@@ -10,7 +10,7 @@
 from sprucegate.units import MILLISECOND, SECOND
 
 SENDING_TIMES_PER_SERVICE = 64
-RETURNS_MAX = 256
+COMPLETIONS_MAX = 256
 RATE_AGE_MAX_NS = 20 * MILLISECOND
 DEFAULT_SENDING_TIME_NS = 400 * MILLISECOND
 
@@ -20,7 +20,7 @@
 
     :ivar now: time of the last request or result (ns).
     :ivar sending_times: last ones by delivery service (ns).
-    :ivar returns: (time, sending time) of the last requests returned.
+    :ivar completions: (time, sending time) of the last requests returned.
     """
 
     def __init__(self, settings: RoutingSettings, digest: Digest, now: int) -> None:
@@ -30,8 +30,8 @@
         self.sending_times: defaultdict[int, deque[int]] = defaultdict(
             lambda: deque(maxlen=SENDING_TIMES_PER_SERVICE)
         )
-        self.returns: deque[tuple[int, int]] = deque(maxlen=RETURNS_MAX)
-        self._rated_at = LONG_AGO
+        self.completions: deque[tuple[int, int]] = deque(maxlen=COMPLETIONS_MAX)
+        self._rate_updated_at = LONG_AGO
         self._rate = 0.0
 
     def mean_sending_time(self, delivery_service: int) -> int:
@@ -68,7 +68,9 @@
 
     def rate(self, now: int) -> float:
         """Sending time returned per nanosecond, over the last returns: the mean number of transfers."""
-        if now - self._rated_at >= RATE_AGE_MAX_NS and self.returns:
-            self._rated_at = now
-            self._rate = sum([work for _, work in self.returns]) / max(SECOND, now - self.returns[0][0])
+        if now - self._rate_updated_at >= RATE_AGE_MAX_NS and self.completions:
+            self._rate_updated_at = now
+            self._rate = sum([work for _, work in self.completions]) / max(
+                SECOND, now - self.completions[0][0]
+            )
         return self._rate
--- a/sprucegate/routing/load_shedding.py
+++ b/sprucegate/routing/load_shedding.py
@@ -16,7 +16,7 @@
 Timer = tuple[int, int, "RequestState | None"]
 
 
-def rejection(
+def final_answer(
     state: "RequestState", settings: RoutingSettings, retry_policy: RetryPolicy
 ) -> RejectRequest | FailRequest:
     """The final answer: a rejection while a retry by the client is harmless, else a failure."""
@@ -28,35 +28,35 @@
 class DeadlineQueue:
     """Deadlines of requests, and times at which to ask for the endpoint list (with None for a request).
 
-    :ivar waiting: heap of (time, order, request or None); entries of finished requests go when it is
+    :ivar timers: heap of (time, order, request or None); entries of finished requests go when it is
         compacted.
     """
 
     def __init__(self) -> None:
-        self.waiting: list[Timer] = []
-        self._order = count()
+        self.timers: list[Timer] = []
+        self._sequence = count()
         self._compact_at = COMPACTION_MIN
 
     def add(self, at: int, state: "RequestState | None") -> None:
         """Remind of a request at a time (ns)."""
-        if len(self.waiting) >= self._compact_at:
+        if len(self.timers) >= self._compact_at:
             # Clients may wait for an hour: what is finished need not stand there until then.
-            self.waiting = [timer for timer in self.waiting if timer[2] is None or not timer[2].finished]
-            heapq.heapify(self.waiting)
-            self._compact_at = max(COMPACTION_MIN, 2 * len(self.waiting))
-        heapq.heappush(self.waiting, (at, next(self._order), state))
+            self.timers = [timer for timer in self.timers if timer[2] is None or not timer[2].finished]
+            heapq.heapify(self.timers)
+            self._compact_at = max(COMPACTION_MIN, 2 * len(self.timers))
+        heapq.heappush(self.timers, (at, next(self._sequence), state))
 
     def next(self) -> int | None:
         """Time of the next reminder (ns), None if there is none."""
-        while self.waiting and self.waiting[0][2] is not None and self.waiting[0][2].finished:
-            heapq.heappop(self.waiting)
-        return self.waiting[0][0] if self.waiting else None
+        while self.timers and self.timers[0][2] is not None and self.timers[0][2].finished:
+            heapq.heappop(self.timers)
+        return self.timers[0][0] if self.timers else None
 
     def pop_expired(self, now: int) -> "list[RequestState | None]":
         """All that are reminded of by now, without requests that are finished or being answered."""
         expired = []
-        while self.waiting and self.waiting[0][0] <= now:
-            state = heapq.heappop(self.waiting)[2]
+        while self.timers and self.timers[0][0] <= now:
+            state = heapq.heappop(self.timers)[2]
             if state is None or not state.finished and not state.streaming:
                 expired.append(state)
         return expired
--- a/sprucegate/routing/outlier_detection.py
+++ b/sprucegate/routing/outlier_detection.py
@@ -25,12 +25,12 @@
         self.suspects: dict[int, Server] = {}
         self.recent: defaultdict[str, OrderedDict[int, Server]] = defaultdict(OrderedDict)
 
-    def forget(self, server: Server) -> None:
+    def remove(self, server: Server) -> None:
         """Drop a server that is gone."""
         self.suspects.pop(server.index, None)
         self.recent[server.role].pop(server.index, None)
 
-    def changed(self, server: Server) -> None:
+    def health_changed(self, server: Server) -> None:
         """Note that a record of the server has changed."""
         recent = self.recent[server.role]
         recent[server.index] = server
@@ -45,30 +45,30 @@
 
     def comparison_group(self, role: str) -> tuple[list[Server], int]:
         """Usable servers of a role with a recent result, and the number of those without one."""
-        seen = [server for server in self.recent[role].values() if self.registry.in_group(server)]
-        return seen, len(self.registry.group(role)) - len(seen)
+        active = [server for server in self.recent[role].values() if self.registry.in_group(server)]
+        return active, len(self.registry.group(role)) - len(active)
 
-    def judge_cache(self, cache: Server, own_fault: bool, now: int) -> None:
+    def evaluate_cache(self, cache: Server, attributable: bool, now: int) -> None:
         """Eject the server as a cache if its last result shows it to be an outlier."""
-        if cache.as_cache.needs_judging(now):
-            peers, silent = self.comparison_group("cache")
-            cache.as_cache.judge([peer.as_cache for peer in peers], own_fault, now, silent)
-            self.changed(cache)
+        if cache.as_cache.needs_evaluation(now):
+            peers, idle = self.comparison_group("cache")
+            cache.as_cache.evaluate([peer.as_cache for peer in peers], attributable, now, idle)
+            self.health_changed(cache)
 
-    def judge_source(self, source: Server, own_fault: bool, now: int) -> None:
+    def evaluate_source(self, source: Server, attributable: bool, now: int) -> None:
         """Eject the server as a source of fills if its last result shows it to be an outlier."""
-        if source.as_source.needs_judging(now):
-            peers, silent = self.comparison_group(source.role)
-            source.as_source.judge([peer.as_source for peer in peers], own_fault, now, silent)
+        if source.as_source.needs_evaluation(now):
+            peers, idle = self.comparison_group(source.role)
+            source.as_source.evaluate([peer.as_source for peer in peers], attributable, now, idle)
 
-    def all_seen(self) -> ItemsView[int, Server]:
+    def possible_outliers(self) -> ItemsView[int, Server]:
         """Index and server of all that may be slow or ejected."""
-        found = dict(self.suspects)
+        servers = dict(self.suspects)
         for recent in self.recent.values():
-            found.update(recent)
-        return found.items()
+            servers.update(recent)
+        return servers.items()
 
-    def avoided(self, now: int) -> set[int]:
+    def excluded(self, now: int) -> set[int]:
         """Indices of caches that get nothing now: out of reach, or ejected.
 
         Of the caches in reach at most half are ejected at a time; a cache on probation has one request at a
@@ -89,5 +89,5 @@
             elif health.ejected_until > now or health.on_probation and server.in_flight:
                 ejected.append(server)
         ejected.sort(key=lambda server: (-server.as_cache.ejected_until, server.id))
-        most = (len(self.registry.group("cache")) - len(unreachable)) // 2
-        return unreachable.union([server.index for server in ejected[:most]])
+        ejected_max = (len(self.registry.group("cache")) - len(unreachable)) // 2
+        return unreachable.union([server.index for server in ejected[:ejected_max]])
--- a/sprucegate/routing/rendezvous.py
+++ b/sprucegate/routing/rendezvous.py
@@ -21,7 +21,7 @@
 
 LABEL_BYTES = 8
 LANE_BYTES = 8  # a hash of 32 bits, and room above it for a product
-HASH_SPAN = 2**32
+HASH_RANGE = 2**32
 SMALL_GROUP = 32  # servers that are scored and sorted one by one, which is quicker then
 ZEROS = bytes(LABEL_BYTES)
 
@@ -41,15 +41,15 @@
 
 def score(weight: float, hashed: int) -> float:
     """Score of a server of this weight for its 32-bit hash with the key; never positive."""
-    return weight / log((hashed + 0.5) / HASH_SPAN)
+    return weight / log((hashed + 0.5) / HASH_RANGE)
 
 
 class _Lanes(NamedTuple):
     """Whole numbers with one value in each of so many lanes."""
 
     ones: int
-    words: int  # the low 32 bits of each lane set
-    places: int  # the lane's own number
+    low_words: int  # the low 32 bits of each lane set
+    indices: int  # the lane's own number
 
 
 @lru_cache(8)
@@ -69,70 +69,73 @@
     :ivar nodes: its servers.
     :ivar weights: their weights.
     :ivar lanes: their lanes, joined.
-    :ivar counted: servers of each weight.
+    :ivar weight_counts: servers of each weight.
     """
 
     def __init__(self) -> None:
         self.nodes: list[Any] = []
         self.weights: list[float] = []
         self.lanes = bytearray()
-        self.counted: Counter[float] = Counter()
+        self.weight_counts: Counter[float] = Counter()
 
-    def insert(self, at: int, node: Member, weight: float) -> None:
+    def insert(self, position: int, node: Member, weight: float) -> None:
         """Put a server at a position."""
-        self.nodes.insert(at, node)
-        self.weights.insert(at, weight)
-        self.lanes[LANE_BYTES * at : LANE_BYTES * at] = node.lane
-        self.counted[weight] += 1
+        self.nodes.insert(position, node)
+        self.weights.insert(position, weight)
+        self.lanes[LANE_BYTES * position : LANE_BYTES * position] = node.lane
+        self.weight_counts[weight] += 1
 
-    def remove(self, at: int) -> None:
+    def remove(self, position: int) -> None:
         """Take out the server at a position."""
-        weight = self.weights.pop(at)
-        del self.nodes[at], self.lanes[LANE_BYTES * at : LANE_BYTES * (at + 1)]
-        self.counted[weight] -= 1
-        if not self.counted[weight]:
-            del self.counted[weight]
+        weight = self.weights.pop(position)
+        del self.nodes[position], self.lanes[LANE_BYTES * position : LANE_BYTES * (position + 1)]
+        self.weight_counts[weight] -= 1
+        if not self.weight_counts[weight]:
+            del self.weight_counts[weight]
 
     def weight(self) -> float:
         """Of all servers together; by counts, as sums of thousands drift and take long."""
-        return sum([weight * count for weight, count in self.counted.items()])
+        return sum([weight * count for weight, count in self.weight_counts.items()])
 
-    def best(self, key: bytes, most: int) -> list[Any]:
-        """The first `most` servers for a key, or all where there are fewer."""
-        start = hash32(key)
-        if len(self.nodes) <= SMALL_GROUP or 2 * most >= len(self.nodes):
+    def best(self, key: bytes, limit: int) -> list[Any]:
+        """The first `limit` servers for a key, or all where there are fewer."""
+        seed = hash32(key)
+        if len(self.nodes) <= SMALL_GROUP or 2 * limit >= len(self.nodes):
             scored = [
-                (score(weight, hash32(node.label, start)), node.id, node)
+                (score(weight, hash32(node.label, seed)), node.id, node)
                 for node, weight in zip(self.nodes, self.weights, strict=True)
             ]
         else:
-            scored = self._scored(start, most)
-        return [node for _, _, node in sorted(scored)[:most]]
-
-    def _scored(self, start: int, most: int) -> list[tuple[float, int, Any]]:
-        """(score, id, node) of all that may be among the first `most`."""
-        hashed = self._hashes(start)
-        first = nlargest(most, hashed)
-        if len(self.counted) > 1:
+            scored = self._scored(seed, limit)
+        return [node for _, _, node in sorted(scored)[:limit]]
+
+    def _scored(self, seed: int, limit: int) -> list[tuple[float, int, Any]]:
+        """(score, id, node) of all that may be among the first `limit`."""
+        hashed = self._hashes(seed)
+        first = nlargest(limit, hashed)
+        if len(self.weight_counts) > 1:
             # A heavier one may come before these by a lower hash, though not by one under this.
             worst = max(score(self.weights[h & LOW_32_BITS], h >> 32) for h in first)
-            least = max(0, int(exp(max(self.counted) / worst) * HASH_SPAN) - 2) << 32
+            least = max(0, int(exp(max(self.weight_counts) / worst) * HASH_RANGE) - 2) << 32
             first = [h for h in hashed if h >= least]
         pairs = [(h & LOW_32_BITS, h >> 32) for h in first]
-        return [(score(self.weights[at], h), self.nodes[at].id, self.nodes[at]) for at, h in pairs]
+        return [
+            (score(self.weights[position], h), self.nodes[position].id, self.nodes[position])
+            for position, h in pairs
+        ]
 
-    def _hashes(self, start: int) -> "array[int]":
+    def _hashes(self, seed: int) -> "array[int]":
         """Of each server, its hash above its place in the group: `hash32(label, start)` of all at once."""
         count = len(self.nodes)
-        ones, words, places = _lanes(count)
+        ones, low_words, indices = _lanes(count)
         # crc32(label, start) is crc32(label) xor a term of `start` alone, as CRC is affine.
-        hashes = int.from_bytes(self.lanes, "little") ^ ones * (crc32(ZEROS, start) ^ crc32(ZEROS))
-        hashes = (hashes ^ (hashes >> 16) & words) * MURMUR_FACTOR_1 & words
-        hashes = (hashes ^ (hashes >> 13) & words) * MURMUR_FACTOR_2 & words
-        hashes ^= (hashes >> 16) & words
-        found = array("Q")
-        found.frombytes((hashes << 32 | places).to_bytes(LANE_BYTES * count, "little"))
-        return found
+        hashes = int.from_bytes(self.lanes, "little") ^ ones * (crc32(ZEROS, seed) ^ crc32(ZEROS))
+        hashes = (hashes ^ (hashes >> 16) & low_words) * MURMUR_FACTOR_1 & low_words
+        hashes = (hashes ^ (hashes >> 13) & low_words) * MURMUR_FACTOR_2 & low_words
+        hashes ^= (hashes >> 16) & low_words
+        packed = array("Q")
+        packed.frombytes((hashes << 32 | indices).to_bytes(LANE_BYTES * count, "little"))
+        return packed
 
 
 class Ranking:
--- a/sprucegate/routing/request.py
+++ b/sprucegate/routing/request.py
@@ -6,7 +6,7 @@
 from sprucegate.routing.attempt_results import AttemptResult
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, Request
 from sprucegate.routing.fill_source import Fill
-from sprucegate.routing.load_shedding import rejection
+from sprucegate.routing.load_shedding import final_answer
 from sprucegate.routing.server import Server
 from sprucegate.units import MILLISECOND
 
@@ -21,19 +21,31 @@
 class Attempt:
     """One attempt of a request.
 
-    :ivar sharing: this router's transfers at the cache with it, without those that wait for fills.
-    :ivar fills_sharing: this router's fills under way with it, 0 if no fill is expected.
+    :ivar concurrent_transfers: this router's transfers from the cache when it was sent, including this one
+        and excluding attempts that wait for a fill.
+    :ivar concurrent_fills: this router's fills under way with it, 0 if no fill is expected.
     :ivar believed: whether the cache was believed to hold the object when it was sent.
     :ivar fill: the fill asked for, if one is expected.
     """
 
-    __slots__ = ("cache", "source", "sharing", "fills_sharing", "believed", "is_open", "outcome", "fill")
-
-    def __init__(self, cache: Server, source: Server, sharing: int, believed: bool = False) -> None:
+    __slots__ = (
+        "cache",
+        "source",
+        "concurrent_transfers",
+        "concurrent_fills",
+        "believed",
+        "is_open",
+        "outcome",
+        "fill",
+    )
+
+    def __init__(
+        self, cache: Server, source: Server, concurrent_transfers: int, believed: bool = False
+    ) -> None:
         self.cache = cache
         self.source = source
-        self.sharing = sharing
-        self.fills_sharing = 0
+        self.concurrent_transfers = concurrent_transfers
+        self.concurrent_fills = 0
         self.believed = believed
         self.is_open = True
         self.outcome: AttemptOutcome | None = None
@@ -99,9 +111,9 @@
         self.finished = True
         router = self.router
         router.digest.record_of(self.request, now).rejected_at = now
-        return [rejection(self, router.settings, router.retry_policy), *self._cancel_open()]
+        return [final_answer(self, router.settings, router.retry_policy), *self._cancel_open_attempts()]
 
-    def _cancel_open(self) -> list[Action]:
+    def _cancel_open_attempts(self) -> list[Action]:
         return [CancelAttempt(number) for number in self.open_attempts() if self.router.settings.cancel]
 
     def attempt_ended(  # noqa: PLR0913 - called by position from every driver
@@ -142,4 +154,4 @@
         if self.finished:
             return []
         self.finished = True
-        return self._cancel_open()
+        return self._cancel_open_attempts()
--- a/sprucegate/routing/response_cache.py
+++ b/sprucegate/routing/response_cache.py
@@ -2,13 +2,15 @@
 
 from sprucegate.routing.digest import Digest
 from sprucegate.routing.events import Request
-from sprucegate.routing.invalidation import OWN_COPY_AGE_MAX_NS, UNLIMITED_AGE_NS, InvalidationLog
+from sprucegate.routing.invalidation import CACHED_RESPONSE_AGE_MAX_NS, UNLIMITED_AGE_NS, InvalidationLog
 from sprucegate.routing.load_estimation import LoadEstimator
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.units import MILLISECOND
 
 OWN_COPIES_BYTES = 64 << 20
-QUEUE_PRODUCT_MAX = 5 * MILLISECOND * 100 * MILLISECOND  # queue on the own link (ns) times sending time (ns)
+QUEUE_TIMES_SENDING_TIME_MAX = (
+    5 * MILLISECOND * 100 * MILLISECOND
+)  # queue on the own link (ns) times sending time (ns)
 
 
 class ResponseCachePolicy:
@@ -26,13 +28,15 @@
         self.invalidations = invalidations
         self.load = load
 
-    def may_answer(self, request: Request, made: int, since: int, wait: int, now: int) -> bool:
+    def may_serve(
+        self, request: Request, generated_at: int, stored_at: int, link_queue: int, now: int
+    ) -> bool:
         """Whether an own copy may answer: young enough, and the own link's queue short, more so for a large
         one.
 
-        :param made: when the response was generated (ns).
-        :param since: when it was stored here (ns).
-        :param wait: queue on the own link (ns).
+        :param generated_at: when the response was generated (ns).
+        :param stored_at: when it was stored here (ns).
+        :param link_queue: queue on the own link (ns).
         """
         limit = (
             self.invalidations.max_age(request, False, now)
@@ -40,14 +44,14 @@
             or UNLIMITED_AGE_NS
         )
         return (
-            now - since < OWN_COPY_AGE_MAX_NS
-            and now - made < limit
-            and wait * self.load.sending_time(request) <= QUEUE_PRODUCT_MAX
+            now - stored_at < CACHED_RESPONSE_AGE_MAX_NS
+            and now - generated_at < limit
+            and link_queue * self.load.sending_time(request) <= QUEUE_TIMES_SENDING_TIME_MAX
         )
 
-    def should_store(self, request: Request, made: int, now: int) -> bool:
+    def should_store(self, request: Request, generated_at: int, now: int) -> bool:
         """Whether to keep a copy: of what is asked for again, never of what runs at the origin."""
-        asked_again = sum(self.digest.record_of(request, now).counts) > 1
-        if not asked_again or self.settings.of_service("runs_at_origin", request.delivery_service, False):
+        requested_again = sum(self.digest.record_of(request, now).counts) > 1
+        if not requested_again or self.settings.of_service("runs_at_origin", request.delivery_service, False):
             return False
-        return self.may_answer(request, made, now, 0, now)
+        return self.may_serve(request, generated_at, now, 0, now)
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -12,7 +12,7 @@
 from sprucegate.routing.events import AttemptOutcome, BeliefGossip, EjectionGossip, Endpoint, Request
 from sprucegate.routing.fill_source import Fill, FillSourceSelector
 from sprucegate.routing.gossip import Gossip
-from sprucegate.routing.hashing import HashSequence
+from sprucegate.routing.hashing import HashRandom
 from sprucegate.routing.inbound_link import TRIAL_SHARE, InboundLink
 from sprucegate.routing.invalidation import InvalidationLog
 from sprucegate.routing.load_estimation import LoadEstimator
@@ -39,30 +39,30 @@
     """The decisions of one router process.
 
     :ivar slot_limited_sources: ids of sources whose concurrency slots another module hands out.
-    :ivar actions_due: actions for the next call of the timer.
+    :ivar pending_actions: actions for the next call of the timer.
     """
 
     def __init__(self, settings: RoutingSettings, seed: int, now: int) -> None:
         self.settings = settings
-        self.draws = HashSequence(settings.my_number, seed)
+        self.random = HashRandom(settings.my_number, seed)
         self.registry = ServerRegistry(settings)
         self.invalidations = InvalidationLog(settings)
         self.digest = Digest(self.registry, self.invalidations)
         self.load = LoadEstimator(settings, self.digest, now)
         self.outliers = OutlierDetector(self.registry)
-        self.slow_start = SlowStart(settings, self.registry, self.load, self.draws)
+        self.slow_start = SlowStart(settings, self.registry, self.load, self.random)
         self.caches = CacheSelector(self.registry, self.load, self.slow_start, self.outliers)
-        self.sources = FillSourceSelector(settings, self.registry, self.digest, self.slow_start, self.draws)
-        self.link = InboundLink(settings, self.load, self.outliers, self.draws)
+        self.sources = FillSourceSelector(settings, self.registry, self.digest, self.slow_start, self.random)
+        self.link = InboundLink(settings, self.load, self.outliers, self.random)
         self.retry_policy = RetryPolicy(settings)
-        self.own_copies = ResponseCachePolicy(settings, self.digest, self.invalidations, self.load)
+        self.response_cache = ResponseCachePolicy(settings, self.digest, self.invalidations, self.load)
         self.results = ResultRecorder(
             settings, self.registry, self.digest, self.load, self.slow_start, self.outliers, self.link
         )
         self.gossip = Gossip(self.registry, self.digest, self.outliers)
         self.deadlines = DeadlineQueue()
         self.slot_limited_sources: Sequence[int] | dict[int, int] = ()
-        self.actions_due = [SubscribeToEndpoints()] if settings.discovery == "ask" else []
+        self.pending_actions = [SubscribeToEndpoints()] if settings.discovery == "ask" else []
 
     # Requests.
 
@@ -100,10 +100,10 @@
             # An answer straight from the origin occupies the inbound link as long as a fill does.
             if self.link.fill_would_be_late(request, state.objective_at, now):
                 return None
-        elif not in_time and self.draws.chance(request.id) >= TRIAL_SHARE:
+        elif not in_time and self.random.next_float(request.id) >= TRIAL_SHARE:
             return None  # it would only crowd out what can still be in time
         else:
-            source, only_if_cached = self._source_for(state, record, cache, now)
+            source, only_if_cached = self._select_source(state, record, cache, now)
         if cache is None:
             return None
         if source is not None and self._needs_slot(
@@ -115,7 +115,7 @@
     def _first_origin(self) -> Server | None:
         return next(iter(self.registry.group("origin")), None)
 
-    def _source_for(
+    def _select_source(
         self, state: RequestState, record: ObjectRecord, cache: Server, now: int
     ) -> tuple[Server, bool]:
         """The source of a fill, and whether the attempt is only for what is cached."""
@@ -186,7 +186,7 @@
 
     def _count_fill(self, attempt: Attempt, request: Request, only_if_cached: bool, now: int) -> None:
         self.link.fills_in_flight += 1
-        attempt.fills_sharing = self.link.fills_in_flight
+        attempt.concurrent_fills = self.link.fills_in_flight
         attempt.cache.fills_in_flight += 1
         attempt.fill = Fill(attempt.source, now, now + self.latency_objective(request))
         if not only_if_cached:
@@ -196,14 +196,14 @@
 
     def next_deadline(self) -> int | None:
         """When `on_timer` is to be called (ns), None for never; 0 is at once."""
-        at = self.deadlines.next()
-        return 0 if self.actions_due else at
+        due = self.deadlines.next()
+        return 0 if self.pending_actions else due
 
     def on_timer(self, now: int) -> list[tuple[RequestState | None, list[Action | SubscribeToEndpoints]]]:
         """Actions that are due, each list with its request, or None where it belongs to none."""
         decided: list[tuple[RequestState | None, list[Action | SubscribeToEndpoints]]]
-        decided = [(None, [*self.actions_due])]
-        self.actions_due = []
+        decided = [(None, [*self.pending_actions])]
+        self.pending_actions = []
         for state in self.deadlines.pop_expired(now):
             decided.append((state, [*state.give_up(now)] if state else [SubscribeToEndpoints()]))
         return decided
@@ -222,16 +222,16 @@
     def update_endpoints(self, entries: Sequence[Endpoint], complete: bool, now: int) -> None:
         """The endpoint list has come, or, if not `complete`, changed entries of it."""
         for server in self.registry.update(entries, complete, now):
-            self.outliers.forget(server)
+            self.outliers.remove(server)
 
     def endpoint_list_failed(self, now: int) -> None:
         """Service discovery did not answer."""
         if self.settings.discovery == "ask":
             self.deadlines.add(now + ENDPOINT_RETRY_NS, None)
 
-    def endpoints_to_connect(self, most: int) -> list[int]:
-        """Ids of servers to connect to at the start, at most `most`."""
-        return self.registry.endpoints_to_connect(most)
+    def endpoints_to_connect(self, limit: int) -> list[int]:
+        """Ids of servers to connect to at the start, at most `limit`."""
+        return self.registry.endpoints_to_connect(limit)
 
     def group(self, role: str) -> list[Server]:
         """Servers of a role that requests or fills may go to."""
@@ -252,19 +252,26 @@
         """A purge of an object, or of a group if `identifier` is negative, was issued `age` ns ago."""
         self.invalidations.invalidate(identifier, group, age, now)
 
-    def may_answer_from_own_copy(self, request: Request, made: int, since: int, wait: int, now: int) -> bool:
-        """Whether an own copy, generated at `made` and stored at `since`, may answer after `wait` ns."""
-        return self.own_copies.may_answer(request, made, since, wait, now)
+    def may_answer_from_own_copy(
+        self, request: Request, generated_at: int, stored_at: int, link_queue: int, now: int
+    ) -> bool:
+        """Whether the request may be answered from a response that this process stored.
+
+        :param generated_at: when the response was generated (ns).
+        :param stored_at: when it was stored (ns).
+        :param link_queue: queueing delay on this process's outbound link (ns).
+        """
+        return self.response_cache.may_serve(request, generated_at, stored_at, link_queue, now)
 
-    def should_store_own_copy(self, request: Request, made: int, now: int) -> bool:
-        """Whether to keep a copy of a response generated at `made`."""
-        return self.own_copies.should_store(request, made, now)
+    def should_store_own_copy(self, request: Request, generated_at: int, now: int) -> bool:
+        """Whether to store a response that was generated at `generated_at` (ns)."""
+        return self.response_cache.should_store(request, generated_at, now)
 
     # Other routers.
 
-    def gossip_to_send(self, most: int, now: int) -> list[EjectionGossip | BeliefGossip]:
-        """At most `most` facts for other routers."""
-        return self.gossip.to_send(most, now)
+    def gossip_to_send(self, limit: int, now: int) -> list[EjectionGossip | BeliefGossip]:
+        """At most `limit` facts for other routers."""
+        return self.gossip.to_send(limit, now)
 
     def receive_gossip(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
         """Facts that another router sent `age` ns ago."""
--- a/sprucegate/routing/server.py
+++ b/sprucegate/routing/server.py
@@ -8,7 +8,7 @@
 
 UNREACHABLE_TIME_NS = SECOND
 REPORT_AGE_MAX_NS = SECOND
-CROWD_REPORT_AGE_MAX_NS = 2 * SECOND
+CONGESTION_REPORT_AGE_MAX_NS = 2 * SECOND
 SLOWNESS_PER_REPORTED_REQUEST = 0.6  # for each request in flight per transfer that the link bears
 
 
@@ -23,17 +23,17 @@
     :ivar in_flight: this router's attempts under way there.
     :ivar fills_in_flight: those of them that are expected to wait for a fill.
     :ivar started: start of its process on the platform's clock (ns), 0 if unknown.
-    :ivar replaced_at: when this router saw it come back after being out of reach, None if the list told its
-        start.
-    :ivar load: its last load report; `load_at` is when it came.
+    :ivar restart_observed_at: when this router saw it become reachable again, None if `started` comes from
+        the endpoint list.
+    :ivar load_report: its last load report; `load_reported_at` is when it came.
     :ivar slow_start_budget: sending time that slow start still allows (ns), None before its first use, as of
         `slow_start_budget_at`.
     """
 
     __slots__ = (
         "index", "id", "entry", "role", "label", "lane", "unreachable_until", "in_flight", "fills_in_flight",
-        "as_cache", "as_source", "load", "load_at", "started", "replaced_at", "slow_start_budget",
-        "slow_start_budget_at",
+        "as_cache", "as_source", "load_report", "load_reported_at", "started", "restart_observed_at",
+        "slow_start_budget", "slow_start_budget_at",
     )  # fmt: skip
 
     def __init__(self, index: int, entry: Endpoint, role: str) -> None:
@@ -46,39 +46,44 @@
         self.unreachable_until = 0
         self.in_flight = 0
         self.fills_in_flight = 0
-        self.restarted(entry.started)
+        self.on_restart(entry.started)
 
-    def restarted(self, started: int, replaced_at: int | None = None) -> None:
+    def on_restart(self, started: int, restart_observed_at: int | None = None) -> None:
         """Forget what was known of the process before; attempts in flight stay counted."""
         self.as_cache = HealthRecord()
         self.as_source = HealthRecord()
-        self.load: dict[str, float] = {}
-        self.load_at = LONG_AGO
+        self.load_report: dict[str, float] = {}
+        self.load_reported_at = LONG_AGO
         self.started = started
-        self.replaced_at = replaced_at
+        self.restart_observed_at = restart_observed_at
         self.slow_start_budget: float | None = None
         self.slow_start_budget_at = LONG_AGO
 
-    def reached(self, success: bool, now: int, platform_now: int) -> None:
+    def set_reachable(self, reachable: bool, now: int, platform_now: int) -> None:
         """Note whether it could be reached.
 
         Back in reach it counts as restarted, as the endpoint list may tell a restart late.
         """
-        if not success:
+        if not reachable:
             self.unreachable_until = now + UNREACHABLE_TIME_NS
             return
         if self.unreachable_until:
-            self.restarted(platform_now, now)
+            self.on_restart(platform_now, now)
         self.unreachable_until = 0
 
     def expected_slowness(self, now: int) -> float:
         """Slowness that one more request has to expect of its link, by own samples and by its load report."""
-        reported = self.load.get("inflight", 0) if now - self.load_at < CROWD_REPORT_AGE_MAX_NS else 0
+        reported = (
+            self.load_report.get("inflight", 0)
+            if now - self.load_reported_at < CONGESTION_REPORT_AGE_MAX_NS
+            else 0
+        )
         sampled = self.as_cache.expected_slowness(self.in_flight - self.fills_in_flight + 1, now)
         return max(SLOWNESS_PER_REPORTED_REQUEST * reported / self.entry.weight, sampled)
 
     def requests_in_flight(self, now: int) -> float:
         """Requests under way there: this router's, or all routers' by its last report."""
         return max(
-            self.in_flight, self.load.get("inflight", 0) if now - self.load_at < REPORT_AGE_MAX_NS else 0
+            self.in_flight,
+            self.load_report.get("inflight", 0) if now - self.load_reported_at < REPORT_AGE_MAX_NS else 0,
         )
--- a/sprucegate/routing/server_registry.py
+++ b/sprucegate/routing/server_registry.py
@@ -64,7 +64,7 @@
             self.servers[index] = Server(index, entry, self._role_of(entry.kind))
         server = self.servers[self.index_of[entry.id]]
         if entry.started > server.started:
-            server.restarted(entry.started)
+            server.on_restart(entry.started)
         server.entry = entry
 
     def _role_of(self, kind: int) -> str:
@@ -98,42 +98,42 @@
 
     def ranking(self, rankings: dict[str, Ranking], role: str, key: bytes) -> Ranking:
         """The first servers of a role for a key, kept in `rankings` by role."""
-        kept = rankings.get(role)
+        cached = rankings.get(role)
         version = self.versions[role]
-        if kept is None or kept.version != version:
-            kept = rankings[role] = Ranking(version, self.groups[role].best(key, RANKED_FIRST))
-        return kept
+        if cached is None or cached.version != version:
+            cached = rankings[role] = Ranking(version, self.groups[role].best(key, RANKED_FIRST))
+        return cached
 
     def ranked(self, rankings: dict[str, Ranking], role: str, key: bytes) -> Iterator[Server]:
         """All servers of a role in the order for a key, alike at all routers; computed on demand."""
         group = self.group(role)
-        kept = self.ranking(rankings, role, key)
+        cached = self.ranking(rankings, role, key)
         position = 0
         while True:
-            yield from islice(kept.nodes, position, None)
-            position = len(kept.nodes)
+            yield from islice(cached.nodes, position, None)
+            position = len(cached.nodes)
             if position >= len(group):
                 return
-            kept.nodes = self.groups[role].best(key, RANKING_GROWTH * position)
+            cached.nodes = self.groups[role].best(key, RANKING_GROWTH * position)
 
     def age(self, server: Server, now: int) -> int:
         """Nanoseconds since it started, at most the true ones."""
-        if server.replaced_at is not None:
-            return now - server.replaced_at
+        if server.restart_observed_at is not None:
+            return now - server.restart_observed_at
         return now + self.platform_clock_offset - server.started
 
-    def endpoints_to_connect(self, most: int) -> list[int]:
-        """Ids of servers to connect to at the start, where there may be `most` connections.
+    def endpoints_to_connect(self, limit: int) -> list[int]:
+        """Ids of servers to connect to at the start, where there may be `limit` connections.
 
         All of them where they are so few. Else the origin and the parents, which all fills go through, and
         the near caches if all of them fit: a connection to one of thousands would go idle before its first
         request.
         """
-        if len(self.servers) <= most:
+        if len(self.servers) <= limit:
             return [server.id for server in self.servers.values()]
-        most = int(CONNECTIONS_AT_START_RATIO * most)
+        limit = int(CONNECTIONS_AT_START_RATIO * limit)
         chosen = [*self.group("origin"), *self.group("parent")]
         caches = self.group("cache")
-        if len(chosen) + len(caches) <= most:
+        if len(chosen) + len(caches) <= limit:
             chosen += caches
-        return [server.id for server in chosen[:most]]
+        return [server.id for server in chosen[:limit]]
--- a/sprucegate/routing/settings.py
+++ b/sprucegate/routing/settings.py
@@ -88,7 +88,7 @@
     @classmethod
     def from_mapping(cls, settings: Mapping[str, Any]) -> "RoutingSettings":
         """The record of a mapping under the names above; what decisions don't use is passed over."""
-        known = {one.name for one in fields(cls)}
+        known = {field.name for field in fields(cls)}
         return cls(**{name: value for name, value in settings.items() if name in known})
 
     def of_service(self, name: str, delivery_service: int, default: Any) -> Any:
--- a/sprucegate/routing/slow_start.py
+++ b/sprucegate/routing/slow_start.py
@@ -13,7 +13,7 @@
 
 from sprucegate.routing.cache_status import HITS
 from sprucegate.routing.events import CacheStatus
-from sprucegate.routing.hashing import HashSequence
+from sprucegate.routing.hashing import HashRandom
 from sprucegate.routing.load_estimation import LoadEstimator
 from sprucegate.routing.server import Server
 from sprucegate.routing.server_registry import ServerRegistry
@@ -23,7 +23,7 @@
 OVERLOAD_MARGIN_RATIO = 0.7  # of the work at which it fails: the rest is what this router does not see
 BURST_RATIO = 0.9  # of that work in any one window, with what was saved up
 STATUSES_KEPT = 64
-ASSUMED_FILLS = 8  # fills that the estimate of their share begins with
+PRIOR_FILLS = 8  # fills that the estimate of their share begins with
 
 
 class _Ramp(NamedTuple):
@@ -41,15 +41,15 @@
     """
 
     def __init__(
-        self, settings: RoutingSettings, registry: ServerRegistry, load: LoadEstimator, draws: HashSequence
+        self, settings: RoutingSettings, registry: ServerRegistry, load: LoadEstimator, random: HashRandom
     ) -> None:
         self.settings = settings
         self.registry = registry
         self.load = load
-        self.draws = draws
+        self.random = random
         self.statuses: deque[CacheStatus] = deque(maxlen=STATUSES_KEPT)
-        self._of_caches = _Ramp(settings.cold_share, settings.warm_time, settings.fall_multiple)
-        self._of_parents = _Ramp(
+        self._cache_ramp = _Ramp(settings.cold_share, settings.warm_time, settings.fall_multiple)
+        self._parent_ramp = _Ramp(
             settings.parent_cold_share, settings.parent_warm_time, settings.parent_fall_multiple
         )
 
@@ -60,7 +60,7 @@
 
     def has_budget(self, server: Server, delivery_service: int, now: int) -> bool:
         """Whether the server's budget allows one more request of this service; a warm one's always does."""
-        ramp = self._of_parents if server.role == "parent" else self._of_caches
+        ramp = self._parent_ramp if server.role == "parent" else self._cache_ramp
         age = self.registry.age(server, now)
         if server.role == "origin" or not server.started or age >= ramp.warm_time:
             return True
@@ -68,12 +68,12 @@
         share = ramp.cold_share + (1 - ramp.cold_share) * max(0, age) / ramp.warm_time
         rate = self._full_rate(server, now)
         overload = ramp.fall_multiple * share * rate * window
-        budget = min(BUDGET_RATIO_MAX * share * rate * window, OVERLOAD_MARGIN_RATIO * overload)
+        window_budget = min(BUDGET_RATIO_MAX * share * rate * window, OVERLOAD_MARGIN_RATIO * overload)
         cost = max(1, self.load.mean_sending_time(delivery_service))
-        savings = max(0, BURST_RATIO * overload - budget)
-        if not self.load.returns:  # among cold servers alone nothing would ever be earned
-            budget = savings = cost * window / ramp.warm_time
-        self._refill(server, budget, cost, savings, now)
+        burst = max(0, BURST_RATIO * overload - window_budget)
+        if not self.load.completions:  # among cold servers alone nothing would ever be earned
+            window_budget = burst = cost * window / ramp.warm_time
+        self._refill(server, window_budget, cost, burst, now)
         return server.slow_start_budget is not None and server.slow_start_budget >= cost
 
     def _full_rate(self, server: Server, now: int) -> float:
@@ -85,24 +85,24 @@
         rate = self.load.rate(now) * server.entry.weight / (self.registry.largest_weight[server.role] or 1)
         if server.role != "parent":
             return rate
-        fills = ASSUMED_FILLS + sum(status not in HITS for status in self.statuses)
-        return rate * (fills / (ASSUMED_FILLS + len(self.statuses)))
+        fills = PRIOR_FILLS + sum(status not in HITS for status in self.statuses)
+        return rate * (fills / (PRIOR_FILLS + len(self.statuses)))
 
-    def _refill(self, server: Server, budget: float, cost: int, savings: float, now: int) -> None:
+    def _refill(self, server: Server, window_budget: float, cost: int, burst: float, now: int) -> None:
         """Add to the server's slow-start budget (ns of sending time) what it earned since the last call.
 
-        :param budget: what it earns in one window of `fall_time`.
+        :param window_budget: what it earns in one window of `fall_time`.
         :param cost: expected sending time of the request at hand.
-        :param savings: most that it keeps beyond that request.
+        :param burst: most that it keeps beyond that request.
         """
         if server.slow_start_budget is None:
             # A part of a request by chance: the first requests of many routers together would overload it.
-            server.slow_start_budget = self.draws.chance(server.label.hex()) * cost
+            server.slow_start_budget = self.random.next_float(server.label.hex()) * cost
             server.slow_start_budget_at = now
         elapsed = now - server.slow_start_budget_at
-        earned = server.slow_start_budget + budget * elapsed / self.settings.fall_time
+        tokens = server.slow_start_budget + window_budget * elapsed / self.settings.fall_time
         # Capped, or what routers saved up in a quiet time would come from all of them at once. By whole
         # requests: capped alike, all routers would hold one ready at any time.
-        earned -= cost * max(0, ceil((earned - cost - savings) / cost))
-        server.slow_start_budget = earned
+        tokens -= cost * max(0, ceil((tokens - cost - burst) / cost))
+        server.slow_start_budget = tokens
         server.slow_start_budget_at = now
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -6,8 +6,8 @@
 from sprucegate.routing.actions import FailRequest, RejectRequest, SendAttempt
 from sprucegate.routing.attempt_results import AttemptResult
 from sprucegate.routing.digest import (
-    BELIEF_TIME_MAX_NS,
-    COUNTING_SPAN_NS,
+    BELIEF_LIFETIME_MAX_NS,
+    COUNTING_INTERVAL_NS,
     EVICTION_THRESHOLD,
     RECHECK_MARGIN_NS,
     ROUND_TRIP_NS,
@@ -16,9 +16,9 @@
 from sprucegate.routing.events import AttemptOutcome, BeliefGossip, CacheStatus, EjectionGossip, EndpointState
 from sprucegate.routing.fill_source import Fill
 from sprucegate.routing.health_record import ESTIMATE_AGE_MAX_NS, HealthRecord
-from sprucegate.routing.invalidation import OWN_COPY_AGE_MAX_NS
+from sprucegate.routing.invalidation import CACHED_RESPONSE_AGE_MAX_NS
 from sprucegate.routing.request import ANSWER_MARGIN_NS, Attempt, RequestState
-from sprucegate.routing.response_cache import QUEUE_PRODUCT_MAX
+from sprucegate.routing.response_cache import QUEUE_TIMES_SENDING_TIME_MAX
 from sprucegate.units import MILLISECOND as MS
 from sprucegate.units import SECOND as S
 
@@ -41,19 +41,19 @@
 @pytest.mark.parametrize(
     "older, newer, life",
     [
-        (9, 9, BELIEF_TIME_MAX_NS),  # equal
-        (3, 9, BELIEF_TIME_MAX_NS),  # rising
-        (4, 3, BELIEF_TIME_MAX_NS),  # falls within the noise of counting
-        (20, 8, int((8 - EVICTION_THRESHOLD) * COUNTING_SPAN_NS / 12 - ROUND_TRIP_NS)),  # the line
+        (9, 9, BELIEF_LIFETIME_MAX_NS),  # equal
+        (3, 9, BELIEF_LIFETIME_MAX_NS),  # rising
+        (4, 3, BELIEF_LIFETIME_MAX_NS),  # falls within the noise of counting
+        (20, 8, int((8 - EVICTION_THRESHOLD) * COUNTING_INTERVAL_NS / 12 - ROUND_TRIP_NS)),  # the line
         (9, 0, 0),  # already under the threshold
-        (90, 60, int((60 - EVICTION_THRESHOLD) * COUNTING_SPAN_NS / 30 - ROUND_TRIP_NS)),
-        (90, 76, BELIEF_TIME_MAX_NS),  # the cap bounds the line
+        (90, 60, int((60 - EVICTION_THRESHOLD) * COUNTING_INTERVAL_NS / 30 - ROUND_TRIP_NS)),
+        (90, 76, BELIEF_LIFETIME_MAX_NS),  # the cap bounds the line
     ],
 )
 def test_validity_of_a_belief_follows_the_request_rate(older, newer, life):
     record = ObjectRecord(0)
     record.counts = [0, newer, older]
-    assert record.belief_time() == min(BELIEF_TIME_MAX_NS, life)
+    assert record.belief_lifetime() == min(BELIEF_LIFETIME_MAX_NS, life)
 
 
 def test_counts_advance_by_spans():
@@ -159,7 +159,7 @@
 def test_a_hot_object_is_spread(count, width):
     made = router()
     made.load.sending_times[0] = [100 * MS]
-    made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
+    made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
     record = made.digest.record_of(asked(), NOW)
     record.counts = [count, 0, 0]
     assert made.caches.width(asked(), record, len(made.group("cache")), NOW) == width
@@ -168,7 +168,7 @@
 def test_a_slow_cache_is_passed_by():
     made = router()
     first = made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[0]
-    first.as_cache.speeds.extend((NOW, 6.0, 12) for _ in range(4))
+    first.as_cache.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
     first.in_flight = 40
     later = NOW + ESTIMATE_AGE_MAX_NS
     second, in_time = made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), later)
@@ -177,9 +177,9 @@
 
 def test_what_would_be_late_everywhere_is_rejected_with_retry_after():
     made = router()
-    made.draws.chance = lambda text: 0.99
+    made.random.next_float = lambda text: 0.99
     for cache in CACHES:
-        node(made, cache).as_cache.speeds.extend((NOW, 6.0, 12) for _ in range(4))
+        node(made, cache).as_cache.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
         node(made, cache).in_flight = 40
     assert state_with(made, asked()).route(NOW) == [RejectRequest(S)]
 
@@ -190,7 +190,7 @@
 )
 def test_fills_are_throttled_by_their_success(results, held, looks):
     made = router()
-    made.draws.chance = lambda text: 0.5
+    made.random.next_float = lambda text: 0.5
     for source in (*PARENTS, ORIGIN):
         made.sources.fills.extend(Fill(node(made, source), NOW - S, NOW, good) for good in results)
     believed(made, asked(), *(CACHES if held else ()))
@@ -301,7 +301,7 @@
 )
 def test_slow_start_earns_credit(cache, ago, carried, room):
     made = router([entry(c, started=NOW - 3 * S) for c in (11, 21)])
-    made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(carried))
+    made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(carried))
     made.slow_start.has_budget(node(made, cache), 0, NOW - ago * MS)
     assert made.slow_start.has_budget(node(made, cache), 0, NOW) is room
 
@@ -309,7 +309,7 @@
 def test_the_last_cold_cache_does_not_earn_for_those_gone():
     """As its group's last one it earned what four had carried, and was attempt 3.3 times what it could do."""
     made = router([entry(11, started=NOW - 9 * S)])
-    made.load.returns.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
+    made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
     made.slow_start.has_budget(node(made, 11), 0, NOW - 2 * S)
     among_four = made.load.rate(NOW), node(made, 11)
     made.update_endpoints([entry(c, EndpointState.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S)
@@ -343,7 +343,7 @@
     attempt = 0
     for number in range(150):
         made = router([entry(21, started=NOW)], my_number=number)
-        made.load.returns.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
+        made.load.completions.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
         for at in range(20):
             if made.slow_start.has_budget(node(made, 21), 0, NOW + at * 100 * MS):
                 node(made, 21).slow_start_budget -= made.load.mean_sending_time(0)
@@ -396,7 +396,7 @@
         one.record(NOW - (9 - at) * 10 * MS, good, speed)
     for at, rival in enumerate(rivals * 4):
         rival.record(NOW - (9 - at) * 10 * MS, peers_good, peers_speed)
-    one.judge([one, *rivals], alone, NOW)
+    one.evaluate([one, *rivals], alone, NOW)
     assert (one.ejected_until > NOW) is aside
 
 
@@ -404,8 +404,8 @@
     made = router()
     for cache in CACHES:
         node(made, cache).as_cache.ejected_until = NOW + S
-        made.outliers.changed(node(made, cache))
-    assert len(made.outliers.avoided(NOW)) == 2
+        made.outliers.health_changed(node(made, cache))
+    assert len(made.outliers.excluded(NOW)) == 2
 
 
 def test_the_origin_fills_when_no_parent_is_up():
@@ -419,7 +419,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, found, ends, speeds",
+    "outcome, found, ends, slowness_samples",
     [
         (AttemptOutcome.RETURNED, CacheStatus.HIT, [True], 1),
         (AttemptOutcome.RETURNED, CacheStatus.FILLED_BY_ORIGIN, [True], 0),  # its speed tells of the origin
@@ -427,33 +427,33 @@
         (AttemptOutcome.FULL, CacheStatus.UNKNOWN, [], 0),  # load, not a fault
     ],
 )
-def test_a_slow_fill_does_not_count_against_the_cache(outcome, found, ends, speeds):
+def test_a_slow_fill_does_not_count_against_the_cache(outcome, found, ends, slowness_samples):
     made = router()
     state = state_with(made, asked(size=100), None)
     state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
     learn(made, state, state.attempts[0], outcome, found, S, 0, {}, NOW)
     health = node(made, 11).as_cache
-    assert ([good for _, good in health.results], len(health.speeds)) == (ends, speeds)
+    assert ([good for _, good in health.results], len(health.slowness_samples)) == (ends, slowness_samples)
 
 
 @pytest.mark.parametrize("slowness, noted", [(1.0, 1), (5.0, 0)])
 def test_fills_of_a_slow_parent_say_nothing_of_the_link(slowness, noted):
     made = router(client_kb_per_s=1000)
     for parent, slow in zip(PARENTS, (slowness, 1.0), strict=True):
-        node(made, parent).as_source.speeds.extend((NOW, slow, 0) for _ in range(4))
-        made.outliers.changed(node(made, parent))
+        node(made, parent).as_source.slowness_samples.extend((NOW, slow, 0) for _ in range(4))
+        made.outliers.health_changed(node(made, parent))
     state = state_with(made, asked(size=100), None)
     state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
     learn(made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW)
-    assert len(made.link.health.speeds) == noted
+    assert len(made.link.health.slowness_samples) == noted
 
 
 def test_an_unreachable_cache_is_avoided_then_tried_and_taken_for_restarted():
     made = router()
     state = state_with(made, asked(), None, None)
     learn(made, state, state.attempts[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
-    assert made.outliers.avoided(NOW + MS) == {made.registry.index_of[11]}
-    assert made.outliers.avoided(NOW + 2 * S) == set()
+    assert made.outliers.excluded(NOW + MS) == {made.registry.index_of[11]}
+    assert made.outliers.excluded(NOW + 2 * S) == set()
     believed(made, asked(), 11)
     learn(made, state, state.attempts[1], AttemptOutcome.RETURNED, CacheStatus.HIT, MS, 0, {}, NOW + 2 * S)
     assert node(made, 11).started == NOW + 2 * S
@@ -503,15 +503,15 @@
 
 def test_a_throttled_request_never_asks_the_origin():
     made = router([entry(c, EndpointState.GONE) for c in PARENTS])
-    made.draws.chance = lambda text: 0.99
+    made.random.next_float = lambda text: 0.99
     made.sources.fills.extend(Fill(node(made, ORIGIN), NOW - S, NOW, False) for _ in range(20))
     assert made.sources.parent_or_origin(state_with(made, asked()), NOW) == (None, False)
 
 
-@pytest.mark.parametrize("use, age, looks", [(20.0, 0, True), (1.0, 0, False), (20.0, 2 * S, False)])
-def test_a_link_reported_full_takes_no_new_fills(use, age, looks):
+@pytest.mark.parametrize("utilization, age, looks", [(20.0, 0, True), (1.0, 0, False), (20.0, 2 * S, False)])
+def test_a_link_reported_full_takes_no_new_fills(utilization, age, looks):
     made = router(client_kb_per_s=1000)
-    made.link.use, made.link.use_at = use, NOW - age
+    made.link.utilization, made.link.utilization_reported_at = utilization, NOW - age
     attempt = made.plan(state_with(made, asked(size=500)), NOW)
     assert attempt.only_if_cached is looks and (attempt.cache == attempt.fill_source) is looks
 
@@ -519,7 +519,7 @@
 @pytest.mark.parametrize("slow, seen", [(5.0, 5.0), (2.0, 1.0)])
 def test_a_router_with_one_request_at_a_time_still_sees_a_full_link(slow, seen):
     one = HealthRecord()
-    one.speeds.extend((NOW, slow, 1) for _ in range(4))
+    one.slowness_samples.extend((NOW, slow, 1) for _ in range(4))
     assert one.expected_slowness(1, NOW) == seen
 
 
@@ -532,8 +532,8 @@
         (0, 2 * S, 0, 0, 3 * S, True),
         (0, 2 * S, 0, 0, 2 * S, False),
         (0, 2 * S, 0, 0, S, False),
-        (0, 20 * S, OWN_COPY_AGE_MAX_NS, 0, None, False),  # its purge might be forgotten by then
-        (0, 20 * S, 0, QUEUE_PRODUCT_MAX + 1, None, False),
+        (0, 20 * S, CACHED_RESPONSE_AGE_MAX_NS, 0, None, False),  # its purge might be forgotten by then
+        (0, 20 * S, 0, QUEUE_TIMES_SENDING_TIME_MAX + 1, None, False),
     ],
 )
 def test_an_own_copy_answers_while_young_unpurged_and_without_a_queue(ds, age, since, wait, purged, may):
@@ -594,7 +594,7 @@
 
 def test_a_link_that_looks_full_is_tried_by_some_fills():
     made = router(client_kb_per_s=1000)
-    made.link.health.speeds.extend((NOW, 20.0, 3) for _ in range(16))
+    made.link.health.slowness_samples.extend((NOW, 20.0, 3) for _ in range(16))
     tried = 0
     for n in range(300):
         state = RequestState(made, asked(f"r-{n}", obj=n, size=200), NOW)
@@ -622,7 +622,7 @@
     made = router()
     made.plan(state_with(made, asked()), NOW)
     cache = next(n for n in made.registry.servers.values() if n.in_flight)
-    cache.restarted(NOW)
+    cache.on_restart(NOW)
     assert cache.in_flight == 1
 
 
@@ -648,14 +648,14 @@
     """Untold fill waits read as crowded caches: hits were shed, the full link in was not seen."""
     made = router(**{**SILENT, "tells": tells})
     attempt = Attempt(node(made, 11), node(made, source), 1, held)
-    assert made.results.resolved_status(attempt, CacheStatus.UNKNOWN, spent / 400) is found
+    assert made.results.inferred_status(attempt, CacheStatus.UNKNOWN, spent / 400) is found
 
 
 @pytest.mark.parametrize("filling, hits, pace", [(0, 0, 1.1), (3, 0, 4.4), (3, 64, 1.2)])
 def test_an_even_part_of_the_stated_link_rate_stands_in_for_fill_waits(filling, hits, pace):
     made = router(**SILENT)  # 12 transfers over four fronts, of which LINK_SHARE counts
     made.link.fills_in_flight = filling
-    made.link.misses.extend([False] * hits or [True] * 64)
+    made.link.recent_misses.extend([False] * hits or [True] * 64)
     assert made.link.expected_slowness(NOW) == pytest.approx(pace, abs=0.06)
 
 
@@ -674,7 +674,7 @@
 def test_reported_requests_over_the_weight_raise_the_expected_slowness(told_ago, inflight, pace):
     made = router()
     at = node(made, 11)
-    at.load, at.load_at = {"inflight": inflight}, NOW - told_ago
+    at.load_report, at.load_reported_at = {"inflight": inflight}, NOW - told_ago
     assert at.expected_slowness(NOW) == pytest.approx(pace)
 
 
@@ -755,7 +755,7 @@
             made.start_request(ask, NOW)
         believed(made, ask, 12, expiry=NOW + expiry)
     node(made, 13).as_cache.ejected_until = NOW + S
-    made.outliers.changed(node(made, 13))
+    made.outliers.health_changed(node(made, 13))
     assert made.gossip_to_send(9, NOW) == [
         EjectionGossip(13, 0, False, S, 0, 0),
         BeliefGossip(2, 0, 12, 0, 8 * S, MS),
--- a/tests/routing/test_slow_start_of_many_routers.py
+++ b/tests/routing/test_slow_start_of_many_routers.py
@@ -47,7 +47,7 @@
             front.update_endpoints([entry(at) for at in (*CACHES, ORIGIN)], True, NOW)
         parts = [1 / (1 + at) if uneven else 1 for at in range(count)]
         self.parts = [sum(parts[: at + 1]) / sum(parts) for at in range(count)]
-        self.rate, self.seed, self.at, self.count, self.sent, self.returns = rate, seed, NOW, 0, [], []
+        self.rate, self.seed, self.at, self.count, self.sent, self.completions = rate, seed, NOW, 0, [], []
 
     def told(self, at, started):
         self.fronts[at].update_endpoints([entry(COLD, started=started)], False, self.at)
@@ -58,8 +58,8 @@
             draw = drawn(self.seed, "gap", self.count)
             level = loud(self.at)
             self.at += int(S / self.rate / max(level, 1e-9) * -_log(draw)) if level else 10 * MS
-            while self.returns and self.returns[0][0] <= self.at:
-                when, handle, number, found = self.returns.pop(0)
+            while self.completions and self.completions[0][0] <= self.at:
+                when, handle, number, found = self.completions.pop(0)
                 handle.attempt_ended(number, AttemptOutcome.RETURNED, found, SERVICE, 0, {}, True, when)
             if level:
                 self.count += 1
@@ -74,7 +74,7 @@
             if isinstance(said, SendAttempt):
                 if COLD in (said.cache, said.fill_source):
                     self.sent.append(self.at)
-                self.returns.append((self.at + SERVICE, handle, said.number, CacheStatus.HIT))
+                self.completions.append((self.at + SERVICE, handle, said.number, CacheStatus.HIT))
 
     def budget(self, at, started):
         """What the settings allow in the window that ends at `at`: of what a warm cache of its weight returns."""
