--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -530,7 +530,7 @@
         await asyncio.sleep(0.3)
         far.close()
         near.close()
-        return len(made.limits), len(made.router.deadlines.waiting), len(made.open)
+        return len(made.limits), len(made.router.deadlines.timers), len(made.open)
 
-    limits, waiting, still_open = asyncio.run(run())
-    assert limits <= 200 and waiting <= 200 and still_open == 0
+    limits, timers, still_open = asyncio.run(run())
+    assert limits <= 200 and timers <= 200 and still_open == 0
