--- a/sprucegate/routing/request.py
+++ b/sprucegate/routing/request.py
@@ -1,4 +1,4 @@
-"""The life of one request: its attempts, its deadline, and its final answer."""
+"""State of one request: its attempts, its deadline, and its final answer."""
 
 from typing import TYPE_CHECKING
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from sprucegate.routing.router import Router
 
-ANSWER_MARGIN_NS = 20 * MILLISECOND  # kept before the end of the client's time
+ANSWER_MARGIN_NS = 20 * MILLISECOND  # reserved before the client's time-out for sending the final answer
 
 Action = SendAttempt | AwaitSlot | RejectRequest | FailRequest | CancelAttempt
 
@@ -23,9 +23,10 @@
 
     :ivar concurrent_transfers: this router's transfers from the cache when it was sent, including this one
         and excluding attempts that wait for a fill.
-    :ivar concurrent_fills: this router's fills under way with it, 0 if no fill is expected.
-    :ivar believed: whether the cache was believed to hold the object when it was sent.
-    :ivar fill: the fill asked for, if one is expected.
+    :ivar concurrent_fills: this router's fills in flight when it was sent, including its own; 0 if no fill is
+        expected.
+    :ivar believed: whether the cache was believed to hold the object when the attempt was sent.
+    :ivar fill: the fill that is expected to be made for it, or None.
     """
 
     __slots__ = (
@@ -55,15 +56,15 @@
 class RequestState:
     """A request from its arrival to the end of its last attempt. Times are nanoseconds of the router's clock.
 
-    :ivar objective_at: when it should be answered.
-    :ivar deadline: when it is given up.
+    :ivar objective_at: when its latency objective is reached.
+    :ivar deadline: when the router gives it up.
     :ivar attempts: all attempts in order; an attempt's number is its position.
-    :ivar finished: whether its final answer is decided.
-    :ivar streaming: whether the response has begun; nothing is decided from then on.
-    :ivar missed: whether the last attempt was a plain miss or never left.
-    :ivar no_retry: whether no further attempt may follow the one under way.
-    :ivar failed_servers: indices of servers that did not serve or fill it.
-    :ivar slot_source: source at which it holds a concurrency slot, if another module hands these out.
+    :ivar finished: whether it has its final answer or the client has left.
+    :ivar streaming: whether the client has received part of a response; no more attempts are made then.
+    :ivar missed: whether the last attempt was a plain miss or was never sent.
+    :ivar no_retry: whether no further attempt may follow the current one.
+    :ivar failed_servers: indices of servers that failed to serve or fill it.
+    :ivar slot_source: id of the source at which it holds a concurrency slot granted by another module.
     """
 
     __slots__ = (
@@ -85,29 +86,29 @@
         self.slot_source: int | None = None
 
     def open_attempts(self) -> list[int]:
-        """Numbers of the attempts under way."""
+        """Numbers of the attempts in flight."""
         return [number for number, attempt in enumerate(self.attempts) if attempt.is_open]
 
     def is_settled(self) -> bool:
-        """Whether nothing more can happen to it."""
+        """Whether it is finished and no attempt is in flight."""
         return self.finished and not self.open_attempts()
 
     def possibly_executed(self) -> bool:
-        """Whether an attempt is under way or may have had an effect."""
+        """Whether an attempt is in flight or may have been executed."""
         for attempt in self.attempts:
             if attempt.outcome is None or attempt.is_open or not attempt.outcome.never_executed:
                 return True
         return False
 
     def route(self, now: int) -> list[Action]:
-        """Send it, wait for a slot, or give up."""
+        """Send an attempt, wait for a slot, or give up."""
         if self.finished or self.streaming:
             return []
         action = self.router.plan(self, now)
         return [action] if action else self.give_up(now)
 
     def give_up(self, now: int) -> list[Action]:
-        """The final answer without a response, and the end of attempts under way."""
+        """End the request without a response and cancel its attempts in flight."""
         self.finished = True
         router = self.router
         router.digest.record_of(self.request, now).rejected_at = now
@@ -127,12 +128,12 @@
         finished: bool,
         now: int,
     ) -> list[Action]:
-        """An attempt ended; what is to be done next.
+        """Record the end of an attempt and decide what follows.
 
-        :param elapsed: time since it was sent (ns).
-        :param fill_wait: time that the cache says it waited for a fill (ns).
-        :param load: the cache's load report, empty for none.
-        :param finished: whether the client has its answer or has left.
+        :param elapsed: time since the attempt was sent (ns).
+        :param fill_wait: time that the cache reports to have waited for a fill (ns).
+        :param load: the cache's load report, empty if it sent none.
+        :param finished: whether the client has its response or has left.
         """
         attempt = self.attempts[number]
         attempt.is_open = False
@@ -145,12 +146,12 @@
         return [] if self.open_attempts() else self.route(now)
 
     def response_started(self, number: int, now: int) -> list[Action]:
-        """The client has received the first bytes of a response: nothing more may be sent."""
+        """The first bytes of a response went to the client, so that no further attempt can be made."""
         self.streaming = True
         return []
 
     def client_disconnected(self, now: int) -> list[Action]:
-        """The client has left, or has its answer."""
+        """The client has left or has its response."""
         if self.finished:
             return []
         self.finished = True
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -1,6 +1,6 @@
-"""Router: events in, actions out. It holds no sockets and no clock; its driver passes it the time (ns).
+"""Router: turns events into actions. It does no I/O and reads no clock; the driver passes the time (ns).
 
-The rules are in the modules of their names. This one connects them, and plans one attempt.
+Each policy is in a module of its own. This module wires them together and plans single attempts.
 """
 
 from collections.abc import Sequence
@@ -27,19 +27,19 @@
 from sprucegate.routing.slow_start import SlowStart
 from sprucegate.units import MILLISECOND, SECOND
 
-# Limits of the line transport, which imports them.
-CONNECTIONS = 4  # to one cache: each more is read on its own, which costs CPU where requests are many
-STALLED = 150 * MILLISECOND  # a response begun and then silent so long won't be finished
-ENDPOINT_RETRY_NS = SECOND  # so that a busy discovery can recover
+# Limits that the line transport imports.
+CONNECTIONS = 4  # per cache: each connection is read separately, which costs CPU under a high request rate
+STALLED = 150 * MILLISECOND  # a response without data for so long is taken to be stalled for good
+ENDPOINT_RETRY_NS = SECOND  # gives an overloaded discovery service time to recover
 TIMEOUT_MIN_NS = MILLISECOND
 RANK_OF_WRITES, RANK_OF_FIRST_REQUESTS, RANK_OF_REPEATED_REQUESTS = range(3)
 
 
 class Router:
-    """The decisions of one router process.
+    """The routing decisions of one router process.
 
-    :ivar slot_limited_sources: ids of sources whose concurrency slots another module hands out.
-    :ivar pending_actions: actions for the next call of the timer.
+    :ivar slot_limited_sources: ids of fill sources whose concurrency slots another module grants.
+    :ivar pending_actions: actions that the next `on_timer` returns.
     """
 
     def __init__(self, settings: RoutingSettings, seed: int, now: int) -> None:
@@ -67,7 +67,7 @@
     # Requests.
 
     def start_request(self, request: Request, now: int) -> RequestState:
-        """A request has come; `route` of the state returned decides on it."""
+        """Register a new request; call `route` of the returned state to get its first actions."""
         self.load.now = now
         record = self.digest.record_of(request, now)
         self.digest.count(record, request.repeat, now)
@@ -78,11 +78,11 @@
         return state
 
     def latency_objective(self, request: Request) -> int:
-        """Time within which the request is to be answered (ns)."""
+        """Target latency of the request (ns)."""
         return self.load.latency_objective(request)
 
     def plan(self, state: RequestState, now: int) -> SendAttempt | AwaitSlot | None:
-        """The next attempt of a request, a wait for a slot of its fill source, or None to give up."""
+        """The next attempt of a request, a wait for a slot at its fill source, or None to give up."""
         if not self.retry_policy.may_attempt(state, now):
             return None
         request = state.request
@@ -97,11 +97,11 @@
         elif cache is None:
             cache = self.sources.parent_or_origin(state, now)[0] if self.settings.direct else None
             source = self._first_origin()
-            # An answer straight from the origin occupies the inbound link as long as a fill does.
+            # A response straight from the origin occupies the inbound link for as long as a fill does.
             if self.link.fill_would_be_late(request, state.objective_at, now):
                 return None
         elif not in_time and self.random.next_float(request.id) >= TRIAL_SHARE:
-            return None  # it would only crowd out what can still be in time
+            return None  # it would take capacity from requests that can still be answered in time
         else:
             source, only_if_cached = self._select_source(state, record, cache, now)
         if cache is None:
@@ -109,7 +109,8 @@
         if source is not None and self._needs_slot(
             state, record, cache, source, runs_at_origin or only_if_cached
         ):
-            return AwaitSlot(source.id)  # before anything is counted: it may go another way by then
+            # Nothing is counted yet: once the slot is granted, the request may be routed differently.
+            return AwaitSlot(source.id)
         return self._send(state, record, cache, source or cache, only_if_cached, now)
 
     def _first_origin(self) -> Server | None:
@@ -118,7 +119,7 @@
     def _select_source(
         self, state: RequestState, record: ObjectRecord, cache: Server, now: int
     ) -> tuple[Server, bool]:
-        """The source of a fill, and whether the attempt is only for what is cached."""
+        """The fill source, and whether the attempt may only return a cached copy."""
         sibling, recheck = self.sources.sibling(state, record, cache, now)
         if sibling is not None:
             return sibling, recheck
@@ -129,7 +130,7 @@
         ):
             source = cache
             may_fetch = False
-        # Still sent, though without a fetch: asking cache and parent is cheap, and a hit can be served.
+        # Without permission to fetch it is still sent: a lookup at cache and parent is cheap and may hit.
         state.no_retry = not may_fetch
         return source, not may_fetch
 
@@ -144,7 +145,7 @@
             and state.slot_source != source.id
         )
 
-    def _send(  # noqa: PLR0913 - what was decided
+    def _send(  # noqa: PLR0913 - all parts of one decision
         self,
         state: RequestState,
         record: ObjectRecord,
@@ -153,7 +154,7 @@
         only_if_cached: bool,
         now: int,
     ) -> SendAttempt:
-        """Count the attempt, and say how it is sent."""
+        """Account for the attempt and build the action that sends it."""
         request = state.request
         service = request.delivery_service
         number = len(state.attempts)
@@ -192,15 +193,15 @@
         if not only_if_cached:
             self.sources.fills.append(attempt.fill)
 
-    # Time.
+    # Timers.
 
     def next_deadline(self) -> int | None:
-        """When `on_timer` is to be called (ns), None for never; 0 is at once."""
+        """When to call `on_timer` next (ns): 0 for at once, None if no timer is set."""
         due = self.deadlines.next()
         return 0 if self.pending_actions else due
 
     def on_timer(self, now: int) -> list[tuple[RequestState | None, list[Action | SubscribeToEndpoints]]]:
-        """Actions that are due, each list with its request, or None where it belongs to none."""
+        """Actions that are due, as lists with the request that they belong to, or None for no request."""
         decided: list[tuple[RequestState | None, list[Action | SubscribeToEndpoints]]]
         decided = [(None, [*self.pending_actions])]
         self.pending_actions = []
@@ -212,7 +213,7 @@
 
     @property
     def platform_clock_offset(self) -> int:
-        """How far the platform's clock is ahead of the router's (ns), at the least."""
+        """Lower bound of how far the platform's clock is ahead of the router's (ns)."""
         return self.registry.platform_clock_offset
 
     @platform_clock_offset.setter
@@ -220,36 +221,36 @@
         self.registry.platform_clock_offset = offset
 
     def update_endpoints(self, entries: Sequence[Endpoint], complete: bool, now: int) -> None:
-        """The endpoint list has come, or, if not `complete`, changed entries of it."""
+        """Apply the endpoint list or, if not `complete`, changed entries of it."""
         for server in self.registry.update(entries, complete, now):
             self.outliers.remove(server)
 
     def endpoint_list_failed(self, now: int) -> None:
-        """Service discovery did not answer."""
+        """Handle a failed request for the endpoint list."""
         if self.settings.discovery == "ask":
             self.deadlines.add(now + ENDPOINT_RETRY_NS, None)
 
     def endpoints_to_connect(self, limit: int) -> list[int]:
-        """Ids of servers to connect to at the start, at most `limit`."""
+        """Ids of at most `limit` servers to connect to at startup."""
         return self.registry.endpoints_to_connect(limit)
 
     def group(self, role: str) -> list[Server]:
-        """Servers of a role that requests or fills may go to."""
+        """Servers of a role that may receive requests or fills."""
         return self.registry.group(role)
 
     def age(self, server: Server, now: int) -> int:
-        """Nanoseconds since the server started, at most the true ones."""
+        """Lower bound of the time since the server started (ns)."""
         return self.registry.age(server, now)
 
     def receive_load_report(
         self, cache: int, outcome: AttemptOutcome, elapsed: int, load: dict[str, float], now: int
     ) -> None:
-        """No health checks are sent, so no report is expected."""
+        """Ignored: no health checks are sent, so no report is expected."""
 
-    # Invalidation and own copies.
+    # Invalidation and the response cache.
 
     def invalidate(self, identifier: int, group: int, age: int, now: int) -> None:
-        """A purge of an object, or of a group if `identifier` is negative, was issued `age` ns ago."""
+        """Record a purge of an object, or of a group if `identifier` is negative, issued `age` ns ago."""
         self.invalidations.invalidate(identifier, group, age, now)
 
     def may_answer_from_own_copy(
@@ -270,12 +271,12 @@
     # Other routers.
 
     def gossip_to_send(self, limit: int, now: int) -> list[EjectionGossip | BeliefGossip]:
-        """At most `limit` facts for other routers."""
+        """At most `limit` gossip entries to send to other routers."""
         return self.gossip.to_send(limit, now)
 
     def receive_gossip(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
-        """Facts that another router sent `age` ns ago."""
+        """Apply gossip that another router sent `age` ns ago."""
         self.gossip.receive(facts, age, now)
 
     def receive_peer_message(self, peer: int, payload: bytes, now: int) -> None:
-        """Routers exchange nothing over the simulator's protocol."""
+        """Ignored: routers exchange no messages over the simulator's protocol."""
--- a/sprucegate/routing/server.py
+++ b/sprucegate/routing/server.py
@@ -1,4 +1,4 @@
-"""What the router knows of one server: its entry in the endpoint list, its health, its load reports."""
+"""State of one server: its endpoint list entry, health records, load report and slow-start budget."""
 
 from sprucegate.routing.events import Endpoint
 from sprucegate.routing.health_record import HealthRecord
@@ -9,25 +9,26 @@
 UNREACHABLE_TIME_NS = SECOND
 REPORT_AGE_MAX_NS = SECOND
 CONGESTION_REPORT_AGE_MAX_NS = 2 * SECOND
-SLOWNESS_PER_REPORTED_REQUEST = 0.6  # for each request in flight per transfer that the link bears
+SLOWNESS_PER_REPORTED_REQUEST = 0.6  # per reported request in flight and transfer that the link bears
 
 
 class Server:
     """A cache, parent or origin.
 
-    :ivar index: number in the order of arrival, never given again.
-    :ivar entry: its last entry in the endpoint list.
+    :ivar index: sequence number of its first listing; numbers are never reused.
+    :ivar entry: its latest entry in the endpoint list.
     :ivar role: "cache", "parent" or "origin".
-    :ivar label: its id as bytes, hashed for rendezvous hashing; `lane` is the precomputed form.
-    :ivar unreachable_until: until when it gets nothing because it was out of reach, 0 if it answers.
-    :ivar in_flight: this router's attempts under way there.
+    :ivar label: its id as bytes, the input of rendezvous hashing; `lane` is its precomputed CRC.
+    :ivar unreachable_until: end of the time without requests after it could not be reached, 0 if it is
+        reachable.
+    :ivar in_flight: this router's attempts in flight at it.
     :ivar fills_in_flight: those of them that are expected to wait for a fill.
-    :ivar started: start of its process on the platform's clock (ns), 0 if unknown.
+    :ivar started: start time of its process on the platform's clock (ns), 0 if unknown.
     :ivar restart_observed_at: when this router saw it become reachable again, None if `started` comes from
         the endpoint list.
-    :ivar load_report: its last load report; `load_reported_at` is when it came.
-    :ivar slow_start_budget: sending time that slow start still allows (ns), None before its first use, as of
-        `slow_start_budget_at`.
+    :ivar load_report: its latest load report, received at `load_reported_at`.
+    :ivar slow_start_budget: sending time that slow start allows (ns) as of `slow_start_budget_at`, None
+        before its first use.
     """
 
     __slots__ = (
@@ -49,7 +50,7 @@
         self.on_restart(entry.started)
 
     def on_restart(self, started: int, restart_observed_at: int | None = None) -> None:
-        """Forget what was known of the process before; attempts in flight stay counted."""
+        """Reset what was learned of the previous process; attempts in flight stay counted."""
         self.as_cache = HealthRecord()
         self.as_source = HealthRecord()
         self.load_report: dict[str, float] = {}
@@ -60,9 +61,10 @@
         self.slow_start_budget_at = LONG_AGO
 
     def set_reachable(self, reachable: bool, now: int, platform_now: int) -> None:
-        """Note whether it could be reached.
+        """Record whether the server could be reached.
 
-        Back in reach it counts as restarted, as the endpoint list may tell a restart late.
+        A server that becomes reachable again is treated as restarted: the endpoint list may report a restart
+        late.
         """
         if not reachable:
             self.unreachable_until = now + UNREACHABLE_TIME_NS
@@ -72,7 +74,7 @@
         self.unreachable_until = 0
 
     def expected_slowness(self, now: int) -> float:
-        """Slowness that one more request has to expect of its link, by own samples and by its load report."""
+        """Slowness to expect for one more request, from own samples and the server's load report."""
         reported = (
             self.load_report.get("inflight", 0)
             if now - self.load_reported_at < CONGESTION_REPORT_AGE_MAX_NS
@@ -82,7 +84,7 @@
         return max(SLOWNESS_PER_REPORTED_REQUEST * reported / self.entry.weight, sampled)
 
     def requests_in_flight(self, now: int) -> float:
-        """Requests under way there: this router's, or all routers' by its last report."""
+        """Requests in flight at it: this router's, or all routers' by a recent load report if more."""
         return max(
             self.in_flight,
             self.load_report.get("inflight", 0) if now - self.load_reported_at < REPORT_AGE_MAX_NS else 0,
--- a/sprucegate/routing/server_registry.py
+++ b/sprucegate/routing/server_registry.py
@@ -10,20 +10,20 @@
 from sprucegate.routing.server import Server
 from sprucegate.routing.settings import RoutingSettings
 
-RANKED_FIRST = 8  # most requests need no more
+RANKED_FIRST = 8  # servers ranked at first; most requests need no more
 RANKING_GROWTH = 4
-CONNECTIONS_AT_START_RATIO = 0.75  # the rest is left for what requests need
+CONNECTIONS_AT_START_RATIO = 0.75  # the rest is left for connections that requests open
 
 
 class ServerRegistry:
-    """All servers of the endpoint list and the groups of those that may be used.
+    """All servers of the endpoint list, and by role the group of those that may receive requests or fills.
 
-    :ivar servers: by index, in the order of arrival; `index_of` maps ids to indices.
+    :ivar servers: by index, in the order of their first listing; `index_of` maps ids to indices.
     :ivar groups: by role, the usable servers in the order of their indices.
-    :ivar largest_weight: by role, the most weight that its group has had.
-    :ivar versions: by role, changes of its group so far; a ranking of another version is void.
-    :ivar platform_clock_offset: how far the clock of listed starts is ahead of the router's (ns), at the
-        least.
+    :ivar largest_weight: by role, the largest total weight that the group has had.
+    :ivar versions: by role, the number of changes of the group; a ranking of an older version is stale.
+    :ivar platform_clock_offset: lower bound of how far the platform's clock, which start times are listed
+        in, is ahead of the router's (ns).
     """
 
     def __init__(self, settings: RoutingSettings) -> None:
@@ -37,11 +37,11 @@
         self.platform_clock_offset = 0
 
     def update(self, entries: Sequence[Endpoint], complete: bool, now: int) -> list[Server]:
-        """Take over the endpoint list, or changed entries if not `complete`; returns servers gone."""
+        """Apply the endpoint list, or changed entries if not `complete`; returns the servers removed."""
         listed = dict.fromkeys([entry.id for entry in entries])
         for entry in entries:
             self._update_entry(entry)
-        # Only those named in a change: of thousands few change, and grouping all of them takes long.
+        # An update regroups only the servers it names: regrouping thousands for a few changes is slow.
         if complete:
             changed = list(self.servers.values())
         else:
@@ -84,12 +84,12 @@
         return server.role != "cache" or server.entry.location == self.settings.my_location
 
     def group(self, role: str) -> list[Server]:
-        """Servers of a role that requests or fills may go to, in the order of their indices."""
+        """Servers of a role that may receive requests or fills, in the order of their indices."""
         members: list[Server] = self.groups[role].nodes
         return members
 
     def in_group(self, server: Server) -> bool:
-        """Whether requests or fills may go to it: listed, serving, and at this location if it is a cache."""
+        """Whether it may receive requests or fills: listed, serving and, for a cache, at this location."""
         return (
             self._is_near(server)
             and server.entry.state is EndpointState.SERVING
@@ -97,7 +97,7 @@
         )
 
     def ranking(self, rankings: dict[str, Ranking], role: str, key: bytes) -> Ranking:
-        """The first servers of a role for a key, kept in `rankings` by role."""
+        """The first servers of a role for a key, cached in `rankings` by role."""
         cached = rankings.get(role)
         version = self.versions[role]
         if cached is None or cached.version != version:
@@ -105,7 +105,7 @@
         return cached
 
     def ranked(self, rankings: dict[str, Ranking], role: str, key: bytes) -> Iterator[Server]:
-        """All servers of a role in the order for a key, alike at all routers; computed on demand."""
+        """All servers of a role in rendezvous order for a key, the same at all routers; ranked on demand."""
         group = self.group(role)
         cached = self.ranking(rankings, role, key)
         position = 0
@@ -117,17 +117,17 @@
             cached.nodes = self.groups[role].best(key, RANKING_GROWTH * position)
 
     def age(self, server: Server, now: int) -> int:
-        """Nanoseconds since it started, at most the true ones."""
+        """Lower bound of the time since the server started (ns)."""
         if server.restart_observed_at is not None:
             return now - server.restart_observed_at
         return now + self.platform_clock_offset - server.started
 
     def endpoints_to_connect(self, limit: int) -> list[int]:
-        """Ids of servers to connect to at the start, where there may be `limit` connections.
+        """Ids of servers to connect to at startup, with at most `limit` connections.
 
-        All of them where they are so few. Else the origin and the parents, which all fills go through, and
-        the near caches if all of them fit: a connection to one of thousands would go idle before its first
-        request.
+        All servers if the limit allows. Otherwise the origin and the parents, which all fills go through, and
+        the caches at this location if all of them fit: a connection to one cache of thousands would be closed
+        as idle before its first request.
         """
         if len(self.servers) <= limit:
             return [server.id for server in self.servers.values()]
