--- a/sprucegate/routing/attempt_results.py
+++ b/sprucegate/routing/attempt_results.py
@@ -1,6 +1,7 @@
-"""Attempt results: what the end of an attempt teaches of its servers, of the object and of the link.
+"""Attempt results: updates the state of servers, objects and the inbound link after each attempt.
 
-Each fault is laid to the one who can have caused it: the cache, the fill source, the origin, or nobody.
+A failure counts against the component that can have caused it: the cache, the fill source, the origin, or
+none of them.
 """
 
 from typing import TYPE_CHECKING
@@ -22,7 +23,7 @@
 if TYPE_CHECKING:
     from sprucegate.routing.request import Attempt, RequestState
 
-SENDING_TIME_MIN_NS = 20 * MILLISECOND  # shorter ones give no slowness worth the name
+SENDING_TIME_MIN_NS = 20 * MILLISECOND  # floor: ratios to a shorter expected time are mostly noise
 
 _REACHABILITY_UNKNOWN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)
 _NOT_CACHE_FAILURES = (AttemptOutcome.FULL, AttemptOutcome.NOT_SENT)
@@ -31,10 +32,10 @@
 
 
 class AttemptResult:
-    """How one attempt ended; see RequestState.attempt_ended for the fields that it shares.
+    """How one attempt ended. RequestState.attempt_ended describes the fields that are not listed here.
 
     :ivar succeeded: whether a response was returned.
-    :ivar unspecified_error: an error of which the cache gave no reason.
+    :ivar unspecified_error: whether it ended with an error for which the cache gave no reason.
     """
 
     __slots__ = (
@@ -50,7 +51,7 @@
         "unspecified_error",
     )
 
-    def __init__(  # noqa: PLR0913 - a record
+    def __init__(  # noqa: PLR0913 - a plain record
         self,
         state: "RequestState",
         attempt: "Attempt",
@@ -74,9 +75,9 @@
 
 
 class ResultRecorder:
-    """Updates all estimates by each result."""
+    """Updates all estimates after each attempt."""
 
-    def __init__(  # noqa: PLR0913 - it updates each of them
+    def __init__(  # noqa: PLR0913 - every component that it updates
         self,
         settings: RoutingSettings,
         registry: ServerRegistry,
@@ -95,7 +96,7 @@
         self.link = link
 
     def record(self, result: AttemptResult) -> None:
-        """Take one result into account."""
+        """Update all estimates with one result."""
         state = result.state
         request = state.request
         cache = result.attempt.cache
@@ -146,10 +147,10 @@
             self.link.utilization_reported_at = result.now
 
     def inferred_status(self, attempt: "Attempt", status: CacheStatus, slowness: float) -> CacheStatus:
-        """What an answer without a status shows by its speed, where caches never tell one; UNKNOWN if it is
-        open.
+        """Infer the cache status of a response from its speed, for caches that never report a status.
 
-        Taken for a hit, the wait for a fill would count against the cache, and a full link would go unseen.
+        UNKNOWN if the speed doesn't decide it. Treating each such response as a hit would count the wait for
+        a fill against the cache and hide a full inbound link.
         """
         if (
             status is not CacheStatus.UNKNOWN
@@ -164,7 +165,7 @@
         return CacheStatus.UNKNOWN if attempt.believed else CacheStatus.FILLED
 
     def _record_fill(self, result: AttemptResult, fill: Fill) -> None:
-        """Count the fill for or against its source."""
+        """Record whether the fill was on time for its source."""
         cache = result.attempt.cache
         self.link.fills_in_flight -= 1
         cache.fills_in_flight = max(0, cache.fills_in_flight - 1)
@@ -182,7 +183,7 @@
         elif result.status in (CacheStatus.FILLED_BY_ORIGIN, CacheStatus.ORIGIN_FAILED) and (
             origins := self.registry.group("origin")
         ):
-            # What was late for the origin's wait speaks against the origin, not against the parent.
+            # A fill that is late because of the origin counts against the origin, not against the parent.
             fill.source = origins[-1]
             expected = self.load.sending_time(result.state.request)
             fill.on_time = (
@@ -218,7 +219,7 @@
                 self.digest.add_belief(record, source, result.now)
 
     def _record_failed_fill(self, result: AttemptResult, record: ObjectRecord) -> None:
-        """The cache had no copy, and its source did not fill it."""
+        """Record that the cache had no copy and its source did not fill it."""
         state = result.state
         source = result.attempt.source
         record.beliefs.pop(result.attempt.cache.index, None)
@@ -226,16 +227,17 @@
         if result.outcome is AttemptOutcome.MISS:
             record.beliefs.pop(source.index, None)
         elif result.status is CacheStatus.ORIGIN_FAILED:
-            # Another way to the same origin asks more of it: only a stale copy is worth a look.
+            # A retry on another path would load the same origin again; it can only help to find a stale copy.
             grace_time = self.settings.of_service("grace_time", state.request.delivery_service, 0)
             state.no_retry = not grace_time
         else:
             source.as_source.record(result.now, False, 0)
 
     def _record_cache_failure(self, result: AttemptResult, record: ObjectRecord) -> None:
-        """The cache failed.
+        """Record a failure of the cache.
 
-        An unexplained error on an object that was never returned says nothing: clients make up objects.
+        An unspecified error on an object that was never returned doesn't count: clients may ask for objects
+        that don't exist.
         """
         cache = result.attempt.cache
         result.state.failed_servers.add(cache.index)
@@ -248,9 +250,10 @@
         self.outliers.health_changed(cache)
         if source is not cache:
             self.outliers.health_changed(source)
-        # A time-out may be the source's fault: it tells of the cache where all end so and its peers' don't.
+        # The fill source may have caused a time-out. It counts against the cache only if all its recent
+        # results are failures and those of its peers aren't.
         self.outliers.evaluate_cache(cache, result.outcome is not AttemptOutcome.TIMED_OUT, result.now)
         if source is not cache and source.role != "origin":
-            # Parents fail alike where the origin or the load is at fault; one out of reach is down alone.
+            # If all parents fail, the origin or overload is the cause; an unreachable parent is down itself.
             unreachable = result.outcome.never_executed and result.status is CacheStatus.FILL_SOURCE_BROKEN
             self.outliers.evaluate_source(source, unreachable, result.now)
--- a/sprucegate/routing/cache_selection.py
+++ b/sprucegate/routing/cache_selection.py
@@ -1,7 +1,7 @@
 """Cache selection: which cache a request is sent to.
 
-Requests for one object go to one cache by weighted rendezvous hashing, those for a hot object to up to
-three. A cache that could not answer in time is passed by.
+Weighted rendezvous hashing sends all requests for an object to one cache, and those for a hot object to up to
+three. A cache that is not expected to answer in time is skipped.
 """
 
 from collections.abc import Iterator
@@ -21,13 +21,13 @@
     from sprucegate.routing.request import RequestState
 
 WIDTH_MAX = 3
-HOT_SHARE = 0.25  # of one cache's part of the work
-TIME_LEFT_RATIO = 0.75  # of the time left that an answer may be expected to take: others will come to share
+HOT_SHARE = 0.25  # of the average work per cache
+TIME_LEFT_RATIO = 0.75  # of the time left; the rest is for requests that will share the link later
 FALLBACK_CACHES_MAX = 128
 
 
 def object_key(request: Request) -> bytes:
-    """The key of an object's part, by which caches are ordered."""
+    """The rendezvous hashing key of an object's part."""
     return request.object.to_bytes(8, "big") + request.part.to_bytes(4, "big")
 
 
@@ -43,11 +43,13 @@
         self.outliers = outliers
 
     def width(self, request: Request, record: ObjectRecord, caches: int, now: int) -> int:
-        """Over how many of so many `caches` the requests for an object are spread, from 1 to WIDTH_MAX.
+        """How many caches the requests for an object are spread over, from 1 to WIDTH_MAX.
 
-        Two if its share of one cache's part of the work is above HOT_SHARE, three if it is above twice that.
-        Two standard deviations of the count (Poisson) are subtracted, as a router among many sees few
-        requests.
+        Two if the object's work exceeds HOT_SHARE of the average work per cache, three if it exceeds twice
+        that. Two standard deviations (Poisson) are subtracted from the request count, as one router of many
+        sees few requests.
+
+        :param caches: number of usable caches.
         """
         requests = sum(record.counts[:2])
         requests_min = requests - 2 * sqrt(requests)
@@ -56,7 +58,7 @@
         return 1 + (share > hot > 0) + (share > 2 * hot > 0)
 
     def pick(self, state: "RequestState", record: ObjectRecord, now: int) -> tuple[Server | None, bool]:
-        """The cache for a request, or None, and whether an answer from it can be expected in time."""
+        """The cache for a request, or None; and whether it is expected to answer in time."""
         request = state.request
         excluded = self.outliers.excluded(now)
         first, others = self._candidates(state, record, excluded, now)
@@ -77,9 +79,9 @@
     def _candidates(
         self, state: "RequestState", record: ObjectRecord, excluded: set[int], now: int
     ) -> tuple[list[Server], Iterator[Server]]:
-        """The first WIDTH_MAX caches for the object, and those after them.
+        """The first WIDTH_MAX caches for the object, and an iterator over further ones.
 
-        Those that failed the request already come into question only if there is no other.
+        Caches that already failed the request are candidates only if there is no other.
         """
         request = state.request
         key = object_key(request)
@@ -95,7 +97,7 @@
     def _available(
         self, record: ObjectRecord, key: bytes, excluded: set[int], delivery_service: int, now: int
     ) -> Iterator[Server]:
-        """Caches in the key's order that may take a request now."""
+        """Caches that may receive a request now, in rendezvous order for the key."""
         for cache in self.registry.ranked(record.rankings, "cache", key):
             if cache.index not in excluded and (
                 not cache.started or self.slow_start.has_budget(cache, delivery_service, now)
--- a/sprucegate/routing/digest.py
+++ b/sprucegate/routing/digest.py
@@ -1,8 +1,8 @@
-"""Digest: which sibling caches are believed to hold an object, learnt from the router's own attempts.
+"""Digest: which sibling caches are believed to hold an object, learned from the router's own attempts.
 
-The mechanism of Tumuluri's thesis on implicit cache digests: nobody sends digests. A cache that served or
-filled an object is believed to hold it until the belief expires. The expiry follows the trend of the
-object's request rate, as a cache evicts what is asked for ever less.
+An implicit cache digest as in Tumuluri's thesis: caches send no digests. A cache that served or filled an
+object is believed to hold it until the belief expires. The expiry follows the trend of the object's request
+rate, as caches evict objects with a falling rate.
 """
 
 from collections import OrderedDict, deque
@@ -19,17 +19,17 @@
 
 COUNTING_INTERVAL_NS = 2 * SECOND
 INTERVALS_COUNTED = 3
-RETRY_AFTER_REJECTION_NS = 2 * SECOND  # a request so soon after a rejection is its retry
-EVICTION_THRESHOLD = 0.5  # requests in a span below which a cache is taken to evict an object
+RETRY_AFTER_REJECTION_NS = 2 * SECOND  # a request so soon after a rejection is taken to be its retry
+EVICTION_THRESHOLD = 0.5  # requests per interval below which a cache is assumed to evict an object
 BELIEF_LIFETIME_MAX_NS = 8 * SECOND
 RECHECK_MARGIN_NS = SECOND
-ROUND_TRIP_NS = 2 * MILLISECOND  # inside a location, at most
+ROUND_TRIP_NS = 2 * MILLISECOND  # upper bound inside a location
 OBJECTS_MAX = 4096
 SENDING_TIMES_PER_OBJECT = 8
 
 
 class Belief(NamedTuple):
-    """That one cache holds an object: until when, since when, and the start of the cache's process (ns)."""
+    """Belief that a cache holds an object: expiry, time of its evidence, start of the cache process (ns)."""
 
     expires_at: int
     since: int
@@ -39,13 +39,14 @@
 class ObjectRecord:
     """What the router remembers of one part of an object.
 
-    :ivar interval: number of the current counting span.
-    :ivar counts: requests in the current span and in those before, the current one first.
-    :ivar rejected_at: when the last request for it was given up, if none came since.
-    :ivar returned: whether it was ever returned, so that it exists.
+    :ivar interval: number of the current counting interval.
+    :ivar counts: requests in the current interval and those before it, the latest first.
+    :ivar rejected_at: when the last request for it was given up, LONG_AGO if another one came since.
+    :ivar returned: whether it was ever returned, which proves that it exists.
     :ivar beliefs: by server index.
     :ivar rankings: first servers for its key, by role.
-    :ivar sending_times: last ones (ns) of all parts of the object; the least tells a part's size.
+    :ivar sending_times: recent sending times (ns) of all parts of the object; the shortest indicates the size
+        of a part.
     """
 
     __slots__ = ("interval", "counts", "rejected_at", "returned", "beliefs", "rankings", "sending_times")
@@ -60,16 +61,17 @@
         self.sending_times: deque[int] = deque() if sending_times is None else sending_times
 
     def advance(self, interval: int) -> None:
-        """Start the counts of a new span."""
+        """Shift the counts to a new interval."""
         elapsed = interval - self.interval
         if elapsed > 0:
             self.counts = ([0] * min(INTERVALS_COUNTED, elapsed) + self.counts)[:INTERVALS_COUNTED]
             self.interval = interval
 
     def belief_lifetime(self) -> int:
-        """How long a new belief is valid (ns): until the line through the last two spans meets the threshold.
+        """How long a new belief is valid (ns), at most BELIEF_LIFETIME_MAX_NS.
 
-        Bounded by BELIEF_TIME_MAX_NS. A fall within the noise of counting (Poisson) is no trend.
+        It expires when the counts of the last two full intervals, extrapolated linearly, reach the eviction
+        threshold. A decrease within one standard deviation of the counts (Poisson) is not a trend.
         """
         _, newer, older = self.counts
         if older - newer <= sqrt(older + newer):
@@ -79,7 +81,7 @@
 
 
 class Digest:
-    """Records of the objects asked for last, the least recently used one giving way to a new one.
+    """LRU table of the records of recently requested objects.
 
     :ivar records: the table; `position_of` maps (object, part) to a position in it, the latest last.
     :ivar sending_times: by object, shared by the records of its parts.
@@ -93,7 +95,7 @@
         self.sending_times: OrderedDict[int, deque[int]] = OrderedDict()
 
     def record_of(self, request: Request | BeliefGossip, now: int) -> ObjectRecord:
-        """The record of what is asked for, a new one if there is none; it becomes the latest."""
+        """The record of an object's part, created if there is none; it becomes the most recently used."""
         key = (request.object, request.part)
         position = self.position_of.pop(key, None)
         interval = now // COUNTING_INTERVAL_NS
@@ -107,8 +109,8 @@
     def _add(self, identifier: int, interval: int) -> int:
         is_full = len(self.records) >= OBJECTS_MAX
         position = self.position_of.popitem(last=False)[1] if is_full else len(self.records)
-        # Parts of one object are alike in size, and each alone is asked for too seldom to tell it.
-        # An empty one is shared as well: the next part is asked for before the first has come back.
+        # Parts of one object have similar sizes, and one part alone is requested too rarely to estimate its
+        # size. An empty list is shared too: the next part is requested before the first one has returned.
         sending_times = self.sending_times.pop(identifier, None)
         if sending_times is None:
             sending_times = deque(maxlen=SENDING_TIMES_PER_OBJECT)
@@ -119,22 +121,22 @@
         return position
 
     def may_add(self, request: Request | BeliefGossip) -> bool:
-        """Whether a record exists, or can be added without taking another one's place."""
+        """Whether a record exists or can be added without evicting another one."""
         return (request.object, request.part) in self.position_of or len(self.records) < OBJECTS_MAX
 
     def count(self, record: ObjectRecord, repeat: bool, now: int) -> None:
-        """Count a request. Retries by the client are not demand; unmarked ones follow a rejection soon."""
+        """Count a request, except for client retries: marked ones, and any soon after a rejection."""
         record.counts[0] += not repeat and now - record.rejected_at > RETRY_AFTER_REJECTION_NS
         record.rejected_at = LONG_AGO
 
     def add_belief(self, record: ObjectRecord, server: Server, now: int) -> None:
-        """From now on the server is believed to hold the object."""
+        """Record the belief that the server holds the object from now on."""
         record.beliefs[server.index] = Belief(now + record.belief_lifetime(), now, server.started)
 
     def valid_beliefs(self, request: Request, record: ObjectRecord, now: int) -> dict[Server, int]:
-        """Servers believed to hold the object with the belief's expiry (ns), the longest first.
+        """Servers believed to hold the object, with the expiry of each belief (ns), the latest expiry first.
 
-        A restart of the server or an invalidation since then voids a belief.
+        A belief is void if the server restarted or the object was invalidated since.
         """
         invalidated_at = self.invalidations.invalidated_at(request)
         servers = self.registry.servers
--- a/sprucegate/routing/fill_source.py
+++ b/sprucegate/routing/fill_source.py
@@ -1,6 +1,6 @@
-"""Fill source: from where a cache that lacks the object gets it: a sibling cache, a parent or the origin.
+"""Fill source selection: where a cache fetches a missing object from: a sibling, a parent or the origin.
 
-Fills are throttled by their own success: if the origin answers late, fewer requests may go there.
+Fills are throttled by the share that is on time: if the origin responds late, fewer requests may go to it.
 """
 
 from collections import Counter, deque
@@ -23,20 +23,20 @@
 FILLS_KEPT = 256
 FILL_AGE_MAX_NS = 3 * SECOND
 ON_TIME_RATIOS_AGE_MAX_NS = 20 * MILLISECOND
-PRIOR_FILLS = 4  # fills that the ratio of all sources counts for against a source's own
+PRIOR_FILLS = 4  # weight of the overall ratio, in fills, when it is combined with a source's own
 MIN_ON_TIME_RATIO = 0.7
 PARENTS_COMPARED = 32
-THROTTLE_RATIO = 1.3  # of the origin's ratio on time: the share of fills let through
-FILL_SHARE_MIN = 0.15  # late ones still leave copies for others
+THROTTLE_RATIO = 1.3  # the share of fills allowed is this multiple of the origin's on-time ratio
+FILL_SHARE_MIN = 0.15  # even a late fill leaves a copy for later requests
 
 
 class Fill:
-    """One fill asked of a source.
+    """One fill requested from a source.
 
-    :ivar source: who is to be held responsible for it.
+    :ivar source: the server that its result is attributed to.
     :ivar started_at: when the attempt was sent.
-    :ivar due_at: from when on it is late.
-    :ivar on_time: whether it came in time, None while that is open and where nothing can be said.
+    :ivar due_at: when it becomes late.
+    :ivar on_time: whether it was on time, None while it is in flight or if that can't be told.
     """
 
     __slots__ = ("source", "started_at", "due_at", "on_time")
@@ -48,15 +48,15 @@
         self.on_time = on_time
 
     def disregard(self) -> None:
-        """It says nothing of how sources do."""
+        """Exclude the fill from the statistics of its source."""
         self.due_at = -LONG_AGO
         self.on_time = None
 
 
 class FillSourceSelector:
-    """Chooses the source of a fill, and whether one may be made.
+    """Chooses the source of a fill, and decides whether the fill may be made.
 
-    :ivar fills: the last ones of all sources.
+    :ivar fills: the most recent fills of all sources.
     """
 
     def __init__(
@@ -78,10 +78,10 @@
         self._on_time: Counter[int] = Counter()
 
     def on_time_ratios(self, sources: Sequence[Server], now: int) -> list[float]:
-        """Share of each source's last fills that came in time.
+        """Share of each source's recent fills that were on time.
 
-        With few of its own a source's ratio leans on that of all: (on time + PRIOR_FILLS * ratio of all) /
-        (fills + PRIOR_FILLS).
+        The ratio of a source with few fills is drawn towards the overall ratio: (on time + PRIOR_FILLS *
+        overall ratio) / (fills + PRIOR_FILLS).
         """
         if now - self._counted_at >= ON_TIME_RATIOS_AGE_MAX_NS:
             self._count_on_time(now)
@@ -105,10 +105,9 @@
     def sibling(
         self, state: "RequestState", record: ObjectRecord, cache: Server, now: int
     ) -> tuple[Server | None, bool]:
-        """A sibling of `cache` that is believed to hold the object, or None, and whether the belief ends
-        soon.
+        """A sibling of `cache` that is believed to hold the object, or None; and whether to recheck.
 
-        One that ends soon is rechecked: the sibling is asked only for what it has.
+        A belief that expires soon is rechecked: the sibling may only return a cached copy.
         """
         allowed = self.settings.siblings
         for server, expires_at in self.digest.valid_beliefs(state.request, record, now).items():
@@ -124,12 +123,13 @@
         return None, False
 
     def parent_or_origin(self, state: "RequestState", now: int) -> tuple[Server | None, bool]:
-        """The first parent by hash, or the origin, that fills in time; and whether the origin may be asked.
+        """The first parent in rendezvous order, or else the origin, whose fills are on time; and whether the
+        fill may fetch from the origin.
 
-        Without a source that reaches MIN_ON_TIME_RATIO it is the best one. If the origin itself does worst
-        the parents are not at fault, and the first one stays. Throttled, a parent may be asked for what it
-        has, though not the origin: it holds everything, so that asking would be the fetch that is to be
-        spared.
+        If no source reaches MIN_ON_TIME_RATIO, the one with the best ratio is chosen. If the origin's ratio
+        is the worst, however, the parents are not the cause, and the first parent is kept. A throttled
+        request may still ask a parent for a cached copy, but not the origin: it holds every object, and
+        asking it would be the very fetch that throttling avoids.
         """
         order = self._parents_then_origins(state, now)
         ratios = self.on_time_ratios(order, now) or [0]
--- a/sprucegate/routing/health_record.py
+++ b/sprucegate/routing/health_record.py
@@ -1,8 +1,8 @@
-"""Health record: the last results of a server, and the rules by which they make it an outlier.
+"""Health record: the recent results of a server, and the rules that classify it as an outlier.
 
-A server is ejected for its ejection time if it fails or is far slower than its peers. The time doubles with
-each ejection, up to a maximum, and falls with each success. Afterwards a cache is on probation: it gets one
-request at a time until one succeeds. A source of fills is used again at once. The terms are those of Envoy's
+A server is ejected if it fails or is far slower than its peers. The ejection time doubles with each ejection,
+up to a maximum, and shrinks with each success. After an ejection a cache is on probation: it receives one
+request at a time until one succeeds. A fill source is used again at once. The terms are those of Envoy's
 outlier detection.
 """
 
@@ -15,30 +15,28 @@
 
 SAMPLES_MAX = 16
 SAMPLE_AGE_MAX_NS = 10 * SECOND
-SAMPLES_MIN = 3  # fewer say nothing
-RESULTS_MAX = 6  # few, as a hanging server answers late and each router asks it little
-RESULT_SPACING_NS = 2 * MILLISECOND  # at most a round trip inside a location
+SAMPLES_MIN = 3  # fewer samples give no estimate
+RESULTS_MAX = 6  # few: each router sends a server few requests, and a hanging one fails only at time-outs
+RESULT_SPACING_NS = 2 * MILLISECOND  # upper bound of a round trip inside a location
 SLOWNESS_RATIO_MAX = 3.0
 FAILURE_RATIO_MAX = 0.5
 EJECTION_TIME_MIN_NS = 2 * SECOND
 EJECTION_TIME_MAX_NS = 8 * EJECTION_TIME_MIN_NS
-CONGESTED_SLOWNESS = 1.3  # below it a sample shows only its own noise
-CONGESTION_TRANSFERS_MIN = (
-    3  # transfers; with fewer, only a slowness above SLOWNESS_RATIO_MAX is laid to the link
-)
-LINK_CAPACITY_QUANTILE = 0.25  # a low one keeps the link's queue short
+CONGESTED_SLOWNESS = 1.3  # lower samples are within the noise of measurement
+CONGESTION_TRANSFERS_MIN = 3  # with fewer, only a slowness above SLOWNESS_RATIO_MAX indicates congestion
+LINK_CAPACITY_QUANTILE = 0.25  # a low quantile keeps the queue at the link short
 ESTIMATE_AGE_MAX_NS = 20 * MILLISECOND
 
 
 class HealthRecord:
-    """The last results of one server in one of its two roles.
+    """The recent results of one server, either as a cache or as a fill source.
 
     :ivar results: (time, success) of the last attempts.
-    :ivar slowness_samples: (time, slowness, transfers that shared the link) of the last attempts.
-    :ivar ejection_time: how long the last ejection lasted (ns).
+    :ivar slowness_samples: (time, slowness, concurrent transfers on the link) of the last attempts.
+    :ivar ejection_time: length of the last ejection (ns), reduced by each success since.
     :ivar ejected_until: end of the ejection, 0 for none.
-    :ivar on_probation: whether nothing has succeeded since the last ejection.
-    :ivar link_capacity: (time of the estimate, transfers that the link bears without being slower).
+    :ivar on_probation: whether no attempt has succeeded since the last ejection.
+    :ivar link_capacity: (time of the estimate, transfers that the link carries without slowing down).
     """
 
     __slots__ = (
@@ -59,13 +57,12 @@
         self.link_capacity: tuple[int, float] = (LONG_AGO, -LONG_AGO)
 
     def record(self, now: int, success: bool, slowness: float, concurrent_transfers: int = 0) -> None:
-        """Note the result of one attempt; a slowness of 0 says nothing of the speed."""
+        """Record the result of one attempt; a slowness of 0 stands for no speed sample."""
         if success and self.ejected_until <= now:
             self.on_probation = False
-            self.ejection_time = (
-                self.ejection_time * 3 // 4
-            )  # one success does not clear a server that half fails
-        # A connection that ends takes many attempts with it, which count as one failure.
+            # Reduced slowly: one success does not clear a server that fails half of its requests.
+            self.ejection_time = self.ejection_time * 3 // 4
+        # When a connection breaks, all attempts on it fail together; they count as one failure.
         results = self.results
         if success or not results or results[-1][1] or now - results[-1][0] >= RESULT_SPACING_NS:
             results.append((now, success))
@@ -73,15 +70,15 @@
             self.slowness_samples.append((now, slowness, concurrent_transfers))
 
     def slowness(self, now: int) -> float:
-        """Median ratio of actual to expected sending time, 0 if too few samples are known."""
+        """Median ratio of actual to expected sending time, 0 if there are too few recent samples."""
         fresh = [slowness for at, slowness, _ in self.slowness_samples if now - at < SAMPLE_AGE_MAX_NS]
         return median(fresh) if len(fresh) >= SAMPLES_MIN else 0
 
     def expected_slowness(self, concurrent_transfers: int, now: int) -> float:
         """Slowness to expect if `concurrent_transfers` transfers share the link, at least 1.
 
-        A full link is divided evenly, so `sharing / slowness` of a sample is the number of transfers that it
-        bears.
+        A full link is shared evenly, so that transfers / slowness of a sample is the number of transfers that
+        it carries without slowing down.
         """
         if now - self.link_capacity[0] >= ESTIMATE_AGE_MAX_NS:
             capacities = sorted(
@@ -100,12 +97,12 @@
         return max(1.0, concurrent_transfers / self.link_capacity[1])
 
     def failure_ratio(self, now: int) -> float:
-        """Share of the last attempts that failed, 0 if too few are known."""
+        """Share of recent attempts that failed, 0 if there are too few."""
         fresh = [success for at, success in self.results if now - at < SAMPLE_AGE_MAX_NS]
         return fresh.count(False) / len(fresh) if len(fresh) >= SAMPLES_MIN else 0
 
     def needs_evaluation(self, now: int) -> bool:
-        """Whether the last result can lead to an ejection: a success at a normal speed can't."""
+        """Whether the last result can cause an ejection; a success at normal speed can't."""
         if self.ejected_until > now:
             return False
         last_was_good = bool(self.results) and self.results[-1][1]
@@ -118,10 +115,12 @@
     ) -> None:
         """Eject the server if it is an outlier.
 
-        It is one if it is SLOWNESS_RATIO_MAX times slower than the median of its peers, or if it fails: in
-        more than half of its last results if the last failure can only be its own fault (`attributable`),
-        otherwise in all of them while the median failure ratio of its peers is below one half.
-        `idle_peers` have no recent result and count as healthy.
+        It is one if it is more than SLOWNESS_RATIO_MAX times slower than the median of its peers, or if too
+        many of its recent results are failures. If only the server itself can have caused the last failure
+        (`attributable`), more than half of them are too many; otherwise all of them, while the median failure
+        ratio of its peers is below one half.
+
+        :param idle_peers: number of peers without a recent result; they count as healthy.
         """
         if not self.needs_evaluation(now):
             return
