--- a/sprucegate/routing/actions.py
+++ b/sprucegate/routing/actions.py
@@ -1,4 +1,4 @@
-"""What the router asks its driver to do. Times are whole nanoseconds."""
+"""Actions that the router returns for its driver to perform. Times are whole nanoseconds."""
 
 from typing import NamedTuple
 
@@ -6,9 +6,9 @@
 class SendAttempt(NamedTuple):
     """Send the request to a cache.
 
-    `fill_source` is the server that a miss is filled from; the cache's own id there means that it must not
-    fill. `rank` tells the cache how readily to keep the object; `max_age` is the oldest copy that will do, 0
-    for the freshness lifetime; `timeout` bounds the attempt; `collapse` lets it join a fill under way;
+    `fill_source` is the server that a miss is filled from; the cache's own id there forbids a fill. `rank` is
+    the object's retention priority in the cache; `max_age` is the age of the oldest acceptable copy, 0 for
+    the freshness lifetime; `timeout` bounds the attempt; `collapse` lets the request join a fill in flight;
     `only_if_cached` forbids a fetch from the origin; `bypass_parent` and `revalidate` are passed on to the
     cache.
     """
@@ -26,13 +26,13 @@
 
 
 class AwaitSlot(NamedTuple):
-    """Nothing was sent: route the request again once it holds a concurrency slot of this fill source."""
+    """Nothing is sent: route the request again once it holds a concurrency slot at this fill source."""
 
     fill_source: int
 
 
 class RejectRequest(NamedTuple):
-    """Final answer: load is shed, a retry is harmless, best after `retry_after` ns (0: no advice)."""
+    """Final answer: the request is shed. A retry is safe, best after `retry_after` ns (0: no advice)."""
 
     retry_after: int
 
@@ -42,7 +42,7 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     number: int
 
--- a/sprucegate/routing/cache_status.py
+++ b/sprucegate/routing/cache_status.py
@@ -1,4 +1,4 @@
-"""Groups of cache statuses that decisions treat alike."""
+"""Groups of cache statuses that routing decisions treat the same way."""
 
 from sprucegate.routing.events import CacheStatus
 
--- a/sprucegate/routing/events.py
+++ b/sprucegate/routing/events.py
@@ -1,7 +1,7 @@
-"""What happens, as the router is told of it: requests, endpoint lists, ends of attempts, gossip.
+"""Types of the router's input: requests, endpoint lists, ends of attempts, gossip.
 
-Nothing is decided here. Times are whole nanoseconds on one clock that the caller supplies, sizes are
-kilobytes, identifiers are whole numbers except where a type says otherwise.
+Times are whole nanoseconds on one clock that the caller supplies, sizes are kilobytes, and identifiers are
+whole numbers unless a type says otherwise.
 """
 
 from enum import Enum, auto
@@ -32,7 +32,7 @@
 
     @property
     def never_executed(self) -> bool:
-        """Whether the attempt provably had no effect: any request may be sent again (RFC 9110, 9.2.2)."""
+        """Whether the attempt provably had no effect: any request may be retried then (RFC 9110, 9.2.2)."""
         return self in NEVER_EXECUTED
 
 
@@ -44,9 +44,9 @@
 class CacheStatus(Enum):
     """How a cache handled a request, in the sense of the Cache-Status header field (RFC 9211).
 
-    UNKNOWN: the cache said nothing. FILLED and FILLED_BY_ORIGIN: the cache lacked the object and fetched it.
-    COLLAPSED: the request joined a fill under way. The members from FILL_SOURCE_REFUSED on say why a fill
-    failed.
+    UNKNOWN: the cache reported no status. FILLED and FILLED_BY_ORIGIN: the cache fetched the object on a
+    miss. COLLAPSED: the request joined a fill in flight. The members from FILL_SOURCE_REFUSED on are the
+    reasons of failed fills.
     """
 
     UNKNOWN = auto()
@@ -63,10 +63,10 @@
 
 
 class Endpoint(NamedTuple):
-    """A cache, parent or origin as the endpoint list has it.
+    """An endpoint list entry for a cache, parent or origin.
 
-    `location`, `kind` and `cell` are positions in the platform's own lists; `weight` is a share of capacity;
-    `started` is when its process started, in nanoseconds of the platform's clock, 0 where it is not told.
+    `location`, `kind` and `cell` are positions in the platform's own lists; `weight` is its share of the
+    capacity; `started` is the start of its process in nanoseconds of the platform's clock, 0 if not reported.
     """
 
     id: int
@@ -79,12 +79,12 @@
 
 
 class Request(NamedTuple):
-    """A client's request as the proxy read it.
+    """A client's request, as parsed by the front.
 
-    `object` and `part` identify what is asked for; `group` is an invalidation group, -1 for none;
-    `delivery_service` is a position in the settings' service classes; `size` is in kilobytes, 0 if unknown;
-    `write` is set for what is not a GET; `repeat` where the client marked a retry; `ttl` is how long the
-    client still waits, in nanoseconds.
+    `object` and `part` identify the content; `group` is its invalidation group, -1 for none;
+    `delivery_service` is a position in the settings' lists of delivery services; `size` is in kilobytes, 0 if
+    unknown; `write` is set for methods other than GET; `repeat` if the client marked it as a retry; `ttl` is
+    the time until the client gives up, in nanoseconds.
     """
 
     id: str
@@ -101,8 +101,8 @@
 class BeliefGossip(NamedTuple):
     """Another router's belief that a cache holds an object.
 
-    `remaining` is how long the belief is still valid and `age` how old its evidence is, in nanoseconds, both
-    as of when it was sent.
+    `remaining` is the time until the belief expires and `age` the age of its evidence, in nanoseconds as of
+    when it was sent.
     """
 
     object: int
@@ -114,10 +114,10 @@
 
 
 class EjectionGossip(NamedTuple):
-    """A server that another router finds slow or has ejected.
+    """A server that another router has ejected or found to be slow.
 
-    `slowness` is the median ratio of actual to expected sending time, in thousandths, 0 if unknown;
-    `remaining` is how long the ejection still lasts and `age` the time since the last sample of its pace, in
+    `slowness` is the median ratio of actual to expected sending time in thousandths, 0 if unknown;
+    `remaining` is the time until the ejection ends and `age` the age of the latest slowness sample, in
     nanoseconds.
     """
 
--- a/sprucegate/routing/gossip.py
+++ b/sprucegate/routing/gossip.py
@@ -1,7 +1,8 @@
-"""Gossip: ejections, slow servers and beliefs that routers tell each other.
+"""Gossip: routers exchange ejections, slow servers and beliefs.
 
-What another router says counts only where nothing was seen here, and for half of the time that is left: it
-saw other requests. Its age goes with it, or it would go round among routers for ever.
+An entry from another router is used only where this router has no observation of its own, and only for half
+of its remaining time, as the other router saw other requests. Entries carry the age of their evidence;
+otherwise they would circulate among the routers for ever.
 """
 
 import heapq
@@ -20,13 +21,13 @@
 from sprucegate.routing.server import Server
 from sprucegate.routing.server_registry import ServerRegistry
 
-TRUST_RATIO = 0.5  # of the time left
+TRUST_RATIO = 0.5  # share of the remaining time for which an entry is used
 SLOWNESS_SENT_MIN = 1.5
-SLOWNESS_UNIT = 1000  # slowness is told in thousandths
+SLOWNESS_UNIT = 1000  # slowness is sent in thousandths
 
 
 class Gossip:
-    """What is told to other routers, and what they tell."""
+    """Selects the entries to send to other routers and applies those received."""
 
     def __init__(self, registry: ServerRegistry, digest: Digest, outliers: OutlierDetector) -> None:
         self.registry = registry
@@ -35,9 +36,9 @@
         self.beliefs_sent_at = LONG_AGO
 
     def to_send(self, limit: int, now: int) -> list[EjectionGossip | BeliefGossip]:
-        """At most `limit` facts: ejected and slow servers, then new beliefs.
+        """At most `limit` entries: ejected and slow servers, then beliefs that are new since the last call.
 
-        Beliefs are those since the last call, of the objects most requested first.
+        Beliefs about the most requested objects come first.
         """
         facts: list[EjectionGossip | BeliefGossip] = []
         for _, server in sorted(self.outliers.possible_outliers()):
@@ -72,7 +73,7 @@
         ]
 
     def receive(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
-        """Another router's facts, sent `age` ns ago. Those of another start of a server are passed over."""
+        """Apply another router's entries, sent `age` ns ago, unless their server has restarted since."""
         for fact in facts:
             server = self.registry.servers.get(self.registry.index_of.get(fact.cache, -1))
             if server is None or server.started != fact.started:
--- a/sprucegate/routing/hashing.py
+++ b/sprucegate/routing/hashing.py
@@ -1,4 +1,4 @@
-"""A 32-bit hash that is the same in any process: in place of random numbers, and for rendezvous hashing."""
+"""A 32-bit hash that is the same in every process, for rendezvous hashing and reproducible random numbers."""
 
 from zlib import crc32
 
@@ -8,10 +8,10 @@
 
 
 def hash32(data: bytes, seed: int = 0) -> int:
-    """A hash of bytes between 0 and 2**32 - 1; `seed` seeds it.
+    """A seeded hash of bytes between 0 and 2**32 - 1.
 
-    CRC-32 is affine, so the hashes of two inputs would differ by a constant for every seed. The finalizer of
-    MurmurHash3 (Appleby 2011) removes that.
+    CRC-32 is affine, so that the hashes of two inputs would differ by the same constant for every seed. The
+    finalizer of MurmurHash3 (Appleby 2011) removes that.
     """
     value = crc32(data, seed)
     value = (value ^ (value >> 16)) * MURMUR_FACTOR_1 & LOW_32_BITS
@@ -20,9 +20,9 @@
 
 
 class HashRandom:
-    """Pseudo-random draws that are the same for the same seed, router and sequence of texts.
+    """Pseudo-random numbers that are reproducible for the same seed, router and sequence of labels.
 
-    :ivar draw_count: how many were made.
+    :ivar draw_count: how many numbers were drawn.
     """
 
     def __init__(self, router_number: int, seed: int) -> None:
@@ -31,6 +31,6 @@
         self.draw_count = 0
 
     def next_float(self, label: str) -> float:
-        """The next draw, at least 0 and less than 1."""
+        """The next pseudo-random number in [0, 1)."""
         self.draw_count += 1
         return hash32(f"{self.router_number}/{label}/{self.draw_count}".encode(), self.seed % 2**32) / 2**32
--- a/sprucegate/routing/inbound_link.py
+++ b/sprucegate/routing/inbound_link.py
@@ -1,4 +1,4 @@
-"""Inbound link: how full the location's link from the parents is."""
+"""Inbound link: estimated congestion of the location's link from the parents."""
 
 from collections import deque
 from statistics import median_low
@@ -15,19 +15,19 @@
 
 USE_REPORT_AGE_MAX_NS = SECOND
 RECENT_MISSES_MAX = 64
-LINK_SHARE = 0.3  # of an even part of the link: other routers' parts are uneven, and waits add
-TRIAL_SHARE = 0.08  # of what looks late is sent all the same, or nothing would show that it no longer is
+LINK_SHARE = 0.3  # usable share of an even split: other routers' loads are uneven, and waits add up
+TRIAL_SHARE = 0.08  # share of requests sent although expected late, to detect when congestion ends
 SIMILAR_SLOWNESS_RATIO = 1.5
 PEER_SLOWNESS_DEFAULT = 9
 
 
 class InboundLink:
-    """What this router's fills and the caches' reports say of the link.
+    """Estimates the state of the link from this router's fills and the caches' reports.
 
-    :ivar health: speeds of fills.
-    :ivar fills_in_flight: this router's fills under way.
-    :ivar utilization: last reported load, 1 for full; `utilization_reported_at` is when it was reported.
-    :ivar recent_misses: whether the last answers to requests without a believed copy were misses.
+    :ivar health: slowness samples of fills.
+    :ivar fills_in_flight: this router's fills in flight.
+    :ivar utilization: last reported load, 1 for a full link, received at `utilization_reported_at`.
+    :ivar recent_misses: for each of the last responses where a fill was expected, whether it was a miss.
     """
 
     def __init__(
@@ -48,10 +48,11 @@
         self.recent_misses: deque[bool] = deque(maxlen=RECENT_MISSES_MAX)
 
     def expected_slowness(self, now: int) -> float:
-        """Slowness that one more fill of this router has to expect, at least 1.
+        """Slowness to expect for one more fill of this router, at least 1.
 
-        Own fills are few of the link's, so that half of a reported load counts where that is higher. Where
-        caches don't say how they answered, the routers' even parts of the stated rate stand in for samples.
+        This router makes few of the fills on the link. Half of the reported load is used where that is higher
+        than the estimate from own samples. If caches never report a cache status, there are no samples; an
+        even split of the configured link rate among the routers is used instead.
         """
         here = self.settings.my_location
         rate = self.settings.client_kb_per_s
@@ -64,12 +65,12 @@
         return max(reported, self.health.expected_slowness(self.fills_in_flight + 1, now))
 
     def fill_would_be_late(self, request: Request, objective_at: int, now: int) -> bool:
-        """Whether a fill would miss the objective; a random share of these is let through as a trial."""
+        """Whether a fill would miss the objective, except for a random share that is sent as a trial."""
         expected = self.load.sending_time(request) * self.expected_slowness(now)
         return expected > objective_at - now and self.random.next_float(request.id) >= TRIAL_SHARE
 
     def record_fill(self, source: Server, slowness: float, concurrent_transfers: int, now: int) -> None:
-        """Note the speed of a fill, unless its source is slow beside its peers, by its own fault."""
+        """Record the slowness of a fill, unless its source is slower than its peers and thus the cause."""
         peers, _ = self.outliers.comparison_group("parent")
         peer_slowness = [speed for peer in peers if (speed := peer.as_source.slowness(now))] or [
             PEER_SLOWNESS_DEFAULT
--- a/sprucegate/routing/invalidation.py
+++ b/sprucegate/routing/invalidation.py
@@ -1,6 +1,6 @@
-"""Invalidation: purges of objects and groups, and the oldest copy that may still be used.
+"""Invalidation: purges of objects and groups, and the maximum age of usable copies.
 
-A purge is remembered until every cache obeys it and no belief or copy from before it can be left.
+A purge is kept until every cache has applied it and no belief or stored response from before it can remain.
 """
 
 import heapq
@@ -11,7 +11,7 @@
 from sprucegate.units import MICROSECOND, SECOND
 
 CACHED_RESPONSE_AGE_MAX_NS = 30 * SECOND
-EXPIRED_PER_CALL_MAX = 4  # bounds the time of one call where many purges get old together
+EXPIRED_PER_CALL_MAX = 4  # bounds the duration of a call when many purges expire at once
 MAX_AGE_MIN_NS = MICROSECOND  # 0 would mean the freshness lifetime
 UNLIMITED_AGE_NS = 1 << 62
 
@@ -19,7 +19,7 @@
 
 
 class InvalidationLog:
-    """Purges that still matter.
+    """Purges that have not expired.
 
     :ivar purges: time of the last purge by ("object" or "group", identifier).
     :ivar by_age: heap of (time, key).
@@ -31,14 +31,14 @@
         self.by_age: list[tuple[int, PurgeKey]] = []
 
     def invalidate(self, identifier: int, group: int, age: int, now: int) -> None:
-        """Note a purge, issued `age` ns ago, of one object or, if `identifier` is negative, of a group."""
+        """Record a purge, issued `age` ns ago, of an object or, if `identifier` is negative, of a group."""
         self._expire_old(now)
         key = ("object", identifier) if identifier >= 0 else ("group", group)
         self.purges[key] = max(now - age, self.purges.get(key, LONG_AGO))
         heapq.heappush(self.by_age, (self.purges[key], key))
 
     def _expire_old(self, now: int) -> None:
-        # Beliefs and own copies may outlive the old copies at the caches.
+        # Beliefs and stored responses may outlive the purged copies at the caches.
         lifetime = self.settings.purge_done + CACHED_RESPONSE_AGE_MAX_NS
         for _ in range(EXPIRED_PER_CALL_MAX):
             if not self.by_age or now - self.by_age[0][0] <= lifetime:
@@ -55,10 +55,10 @@
         )
 
     def max_age(self, request: Request, allow_stale: bool, now: int) -> int:
-        """Age of the oldest copy that will do (ns); 0 stands for the freshness lifetime.
+        """Maximum age of an acceptable copy (ns); 0 stands for the freshness lifetime.
 
-        `allow_stale` adds the grace time (RFC 5861, section 4). After a purge only younger copies will do; a
-        tick is subtracted as the platform rounds times.
+        `allow_stale` adds the grace time (RFC 5861, section 4). After a purge only copies younger than the
+        purge are acceptable, less one tick, as the platform rounds times.
         """
         service = request.delivery_service
         fresh: int = self.settings.of_service("fresh_time", service, 0)
--- a/sprucegate/routing/load_estimation.py
+++ b/sprucegate/routing/load_estimation.py
@@ -1,4 +1,4 @@
-"""Load estimation: sending times of requests, the rate of work returned, and the latency objective."""
+"""Load estimation: sending times of requests, completed work per time, and latency objectives."""
 
 from collections import defaultdict, deque
 from statistics import median
@@ -16,11 +16,11 @@
 
 
 class LoadEstimator:
-    """Estimates from the last attempts.
+    """Estimates from recent attempts. Work is measured as expected sending time.
 
     :ivar now: time of the last request or result (ns).
-    :ivar sending_times: last ones by delivery service (ns).
-    :ivar completions: (time, sending time) of the last requests returned.
+    :ivar sending_times: recent sending times by delivery service (ns).
+    :ivar completions: (time, sending time) of the last requests that were answered.
     """
 
     def __init__(self, settings: RoutingSettings, digest: Digest, now: int) -> None:
@@ -35,7 +35,7 @@
         self._rate = 0.0
 
     def mean_sending_time(self, delivery_service: int) -> int:
-        """Mean of the service's last sending times (ns); without any, its latency objective."""
+        """Mean of the service's recent sending times (ns), or its latency objective if there are none."""
         known = self.sending_times.get(delivery_service)
         if known:
             return sum(known) // len(known)
@@ -45,9 +45,9 @@
         return objective
 
     def sending_time(self, request: Request) -> int:
-        """Expected time to send the answer on an idle link (ns).
+        """Expected time to send the response over an idle link (ns).
 
-        By the request's size if it is known, else the object's shortest so far, else the service's median.
+        From the size if it is known, else the object's shortest recent time, else the service's median.
         """
         rate = self.settings.client_kb_per_s
         if request.size and rate:
@@ -59,7 +59,7 @@
         return int(median(self.sending_times.get(service) or [self.mean_sending_time(service)]))
 
     def latency_objective(self, request: Request) -> int:
-        """Time within which to answer (ns): the service's, and more for a large answer."""
+        """Target latency (ns): that of the service, extended for large responses."""
         service = request.delivery_service
         stretch = self.settings.of_service("objective_stretch", service, 0)
         extra = int(stretch * self.sending_time(request))
@@ -67,7 +67,7 @@
         return objective + extra
 
     def rate(self, now: int) -> float:
-        """Sending time returned per nanosecond, over the last returns: the mean number of transfers."""
+        """Sending time completed per nanosecond recently: the mean number of concurrent transfers."""
         if now - self._rate_updated_at >= RATE_AGE_MAX_NS and self.completions:
             self._rate_updated_at = now
             self._rate = sum([work for _, work in self.completions]) / max(
