--- a/sprucegate/routing/outlier_detection.py
+++ b/sprucegate/routing/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: comparison groups of servers, and which caches are avoided.
+"""Outlier detection: comparison groups of servers, and which caches are excluded from selection.
 
-Each server has two health records, as a cache that answers and as a source of fills; what ejects it stands
-in `health_record`.
+Each server has two health records, one as a cache and one as a fill source. The rules of ejection are in
+`health_record`.
 """
 
 from collections import OrderedDict, defaultdict
@@ -14,9 +14,9 @@
 
 
 class OutlierDetector:
-    """Keeps the comparison groups of recently used servers, and says which caches to avoid.
+    """Maintains the comparison groups of recently used servers, and excludes unhealthy caches.
 
-    :ivar suspects: caches out of reach, ejected or on probation, by index.
+    :ivar suspects: unreachable or ejected caches and those on probation, by index.
     :ivar recent: by role, servers with a recent result by index, the latest last.
     """
 
@@ -26,12 +26,12 @@
         self.recent: defaultdict[str, OrderedDict[int, Server]] = defaultdict(OrderedDict)
 
     def remove(self, server: Server) -> None:
-        """Drop a server that is gone."""
+        """Remove a server that left the endpoint list."""
         self.suspects.pop(server.index, None)
         self.recent[server.role].pop(server.index, None)
 
     def health_changed(self, server: Server) -> None:
-        """Note that a record of the server has changed."""
+        """Update the groups after a health record of the server has changed."""
         recent = self.recent[server.role]
         recent[server.index] = server
         recent.move_to_end(server.index)
@@ -44,7 +44,7 @@
             self.suspects[server.index] = server
 
     def comparison_group(self, role: str) -> tuple[list[Server], int]:
-        """Usable servers of a role with a recent result, and the number of those without one."""
+        """Usable servers of a role that have a recent result, and the number of those that have none."""
         active = [server for server in self.recent[role].values() if self.registry.in_group(server)]
         return active, len(self.registry.group(role)) - len(active)
 
@@ -56,23 +56,23 @@
             self.health_changed(cache)
 
     def evaluate_source(self, source: Server, attributable: bool, now: int) -> None:
-        """Eject the server as a source of fills if its last result shows it to be an outlier."""
+        """Eject the server as a fill source if its last result shows it to be an outlier."""
         if source.as_source.needs_evaluation(now):
             peers, idle = self.comparison_group(source.role)
             source.as_source.evaluate([peer.as_source for peer in peers], attributable, now, idle)
 
     def possible_outliers(self) -> ItemsView[int, Server]:
-        """Index and server of all that may be slow or ejected."""
+        """Index and server of all servers that may be slow or ejected."""
         servers = dict(self.suspects)
         for recent in self.recent.values():
             servers.update(recent)
         return servers.items()
 
     def excluded(self, now: int) -> set[int]:
-        """Indices of caches that get nothing now: out of reach, or ejected.
+        """Indices of caches that receive no requests now: unreachable, ejected, or busy on probation.
 
-        Of the caches in reach at most half are ejected at a time; a cache on probation has one request at a
-        time.
+        At most half of the reachable caches are excluded by ejection or probation. A cache on probation
+        receives one request at a time.
         """
         if not self.suspects:
             return set()
--- a/sprucegate/routing/rendezvous.py
+++ b/sprucegate/routing/rendezvous.py
@@ -1,12 +1,12 @@
-"""Weighted rendezvous hashing: the order in which a group's servers are asked for an object.
+"""Weighted rendezvous hashing: the order of a group's servers for a key.
 
-Each server gets for a key the score weight / log(u), where u is a hash of server and key in (0, 1); the least
+For a key each server has the score weight / log(u), where u is a hash of server and key in (0, 1); the lowest
 score comes first (Thaler and Ravishankar 1998, with the weights of Schindelhauer and Schomaker 2005). All
-routers compute the same order. A server that comes or goes moves only the keys that it has or had.
+routers compute the same order. Adding or removing a server moves only the keys that it receives or had.
 
-Of thousands of servers the first few are wanted. So the hashes of all servers are computed together, as
-lanes of one large whole number, 64 bits a server, and only those that may be among the first are scored. The
-result is that of scoring and sorting all of them.
+Callers need only the first few of thousands of servers. The hashes of all servers are therefore computed
+together, as 64-bit lanes of one large integer, and only servers that may be among the first are scored. The
+result is the same as that of scoring and sorting all of them.
 """
 
 from array import array
@@ -20,14 +20,14 @@
 from sprucegate.routing.hashing import LOW_32_BITS, MURMUR_FACTOR_1, MURMUR_FACTOR_2, hash32
 
 LABEL_BYTES = 8
-LANE_BYTES = 8  # a hash of 32 bits, and room above it for a product
+LANE_BYTES = 8  # a 32-bit hash, and room above it for a product
 HASH_RANGE = 2**32
-SMALL_GROUP = 32  # servers that are scored and sorted one by one, which is quicker then
+SMALL_GROUP = 32  # up to this size it is faster to score and sort all servers
 ZEROS = bytes(LABEL_BYTES)
 
 
 class Member(Protocol):
-    """A server as a group needs it; `label` and `lane` are `label_of` its id and `lane_of` its label."""
+    """Interface of a server in a group; `label` is `label_of(id)` and `lane` is `lane_of(label)`."""
 
     id: int
     label: bytes
@@ -35,21 +35,21 @@
 
 
 def label_of(node_id: int) -> bytes:
-    """A server's id as it is hashed."""
+    """The bytes that are hashed for a server's id."""
     return node_id.to_bytes(LABEL_BYTES, "big")
 
 
 def score(weight: float, hashed: int) -> float:
-    """Score of a server of this weight for its 32-bit hash with the key; never positive."""
+    """Score of a server by its weight and its 32-bit hash with the key; never positive."""
     return weight / log((hashed + 0.5) / HASH_RANGE)
 
 
 class _Lanes(NamedTuple):
-    """Whole numbers with one value in each of so many lanes."""
+    """Integers that hold one value in each lane."""
 
     ones: int
     low_words: int  # the low 32 bits of each lane set
-    indices: int  # the lane's own number
+    indices: int  # the position of each lane
 
 
 @lru_cache(8)
@@ -59,17 +59,17 @@
 
 
 def lane_of(label: bytes) -> bytes:
-    """A server's part of the lanes; kept with the server, as groups change more often."""
+    """The lane of a server; stored with the server, as groups change more often than servers."""
     return crc32(label).to_bytes(LANE_BYTES, "little")
 
 
 class Rendezvous:
-    """One group of servers in an order that the caller keeps.
+    """One group of servers, in an order that the caller maintains.
 
     :ivar nodes: its servers.
     :ivar weights: their weights.
-    :ivar lanes: their lanes, joined.
-    :ivar weight_counts: servers of each weight.
+    :ivar lanes: their lanes, concatenated.
+    :ivar weight_counts: number of servers by weight.
     """
 
     def __init__(self) -> None:
@@ -79,14 +79,14 @@
         self.weight_counts: Counter[float] = Counter()
 
     def insert(self, position: int, node: Member, weight: float) -> None:
-        """Put a server at a position."""
+        """Insert a server at a position."""
         self.nodes.insert(position, node)
         self.weights.insert(position, weight)
         self.lanes[LANE_BYTES * position : LANE_BYTES * position] = node.lane
         self.weight_counts[weight] += 1
 
     def remove(self, position: int) -> None:
-        """Take out the server at a position."""
+        """Remove the server at a position."""
         weight = self.weights.pop(position)
         del self.nodes[position], self.lanes[LANE_BYTES * position : LANE_BYTES * (position + 1)]
         self.weight_counts[weight] -= 1
@@ -94,7 +94,7 @@
             del self.weight_counts[weight]
 
     def weight(self) -> float:
-        """Of all servers together; by counts, as sums of thousands drift and take long."""
+        """Total weight; from counts, as a sum over thousands of servers is slow and a running sum drifts."""
         return sum([weight * count for weight, count in self.weight_counts.items()])
 
     def best(self, key: bytes, limit: int) -> list[Any]:
@@ -110,11 +110,11 @@
         return [node for _, _, node in sorted(scored)[:limit]]
 
     def _scored(self, seed: int, limit: int) -> list[tuple[float, int, Any]]:
-        """(score, id, node) of all that may be among the first `limit`."""
+        """(score, id, node) of all servers that may be among the first `limit`."""
         hashed = self._hashes(seed)
         first = nlargest(limit, hashed)
         if len(self.weight_counts) > 1:
-            # A heavier one may come before these by a lower hash, though not by one under this.
+            # A heavier server may precede these with a lower hash, but not with one below this bound.
             worst = max(score(self.weights[h & LOW_32_BITS], h >> 32) for h in first)
             least = max(0, int(exp(max(self.weight_counts) / worst) * HASH_RANGE) - 2) << 32
             first = [h for h in hashed if h >= least]
@@ -125,10 +125,10 @@
         ]
 
     def _hashes(self, seed: int) -> "array[int]":
-        """Of each server, its hash above its place in the group: `hash32(label, start)` of all at once."""
+        """For each server `hash32(label, seed)` in the high 32 bits and its position in the low ones."""
         count = len(self.nodes)
         ones, low_words, indices = _lanes(count)
-        # crc32(label, start) is crc32(label) xor a term of `start` alone, as CRC is affine.
+        # As CRC is affine, crc32(label, seed) is crc32(label) xor a term that depends on `seed` alone.
         hashes = int.from_bytes(self.lanes, "little") ^ ones * (crc32(ZEROS, seed) ^ crc32(ZEROS))
         hashes = (hashes ^ (hashes >> 16) & low_words) * MURMUR_FACTOR_1 & low_words
         hashes = (hashes ^ (hashes >> 13) & low_words) * MURMUR_FACTOR_2 & low_words
@@ -139,7 +139,7 @@
 
 
 class Ranking:
-    """The first servers for one key, valid as long as the group is of that version."""
+    """The first servers for one key, valid while the group has this version."""
 
     __slots__ = ("version", "nodes")
 
--- a/sprucegate/routing/response_cache.py
+++ b/sprucegate/routing/response_cache.py
@@ -1,4 +1,4 @@
-"""Response cache: which copies the router process keeps itself, and when one of them may answer."""
+"""Response cache policy: which responses the router process stores, and when it may serve them."""
 
 from sprucegate.routing.digest import Digest
 from sprucegate.routing.events import Request
@@ -10,11 +10,11 @@
 OWN_COPIES_BYTES = 64 << 20
 QUEUE_TIMES_SENDING_TIME_MAX = (
     5 * MILLISECOND * 100 * MILLISECOND
-)  # queue on the own link (ns) times sending time (ns)
+)  # outgoing link queue (ns) times sending time (ns)
 
 
 class ResponseCachePolicy:
-    """Admission to and use of own copies."""
+    """Admission to and use of the response cache."""
 
     def __init__(
         self,
@@ -31,12 +31,13 @@
     def may_serve(
         self, request: Request, generated_at: int, stored_at: int, link_queue: int, now: int
     ) -> bool:
-        """Whether an own copy may answer: young enough, and the own link's queue short, more so for a large
-        one.
+        """Whether a stored response may be served.
+
+        It must be young enough, and the queue at the outgoing link short: shorter for larger responses.
 
         :param generated_at: when the response was generated (ns).
         :param stored_at: when it was stored here (ns).
-        :param link_queue: queue on the own link (ns).
+        :param link_queue: queueing delay at the outgoing link (ns).
         """
         limit = (
             self.invalidations.max_age(request, False, now)
@@ -50,7 +51,7 @@
         )
 
     def should_store(self, request: Request, generated_at: int, now: int) -> bool:
-        """Whether to keep a copy: of what is asked for again, never of what runs at the origin."""
+        """Whether to store a response: if it is requested repeatedly and doesn't run at the origin."""
         requested_again = sum(self.digest.record_of(request, now).counts) > 1
         if not requested_again or self.settings.of_service("runs_at_origin", request.delivery_service, False):
             return False
--- a/sprucegate/routing/retry.py
+++ b/sprucegate/routing/retry.py
@@ -1,4 +1,4 @@
-"""Retry: whether one more attempt of a request is safe, and within the limits and the retry budget."""
+"""Retry policy: whether another attempt of a request is safe and within its limits and the retry budget."""
 
 from collections import deque
 from typing import TYPE_CHECKING
@@ -10,13 +10,13 @@
     from sprucegate.routing.request import RequestState
 
 ATTEMPTS_KEPT = 100
-RETRY_BUDGET_RATIO = 0.2  # of the last attempts that may be retries
-ATTEMPTS_MIN = 10  # so many are taken for the last ones where there were fewer
+RETRY_BUDGET_RATIO = 0.2  # share of the last attempts that may be retries
+ATTEMPTS_MIN = 10  # the budget is that of at least so many attempts
 
 
 class RetryPolicy:
-    """Limits of one request, and the retry budget of all (SRE book, chapter 22: Addressing Cascading
-    Failures).
+    """Attempt limits of each request and the retry budget of the router (SRE book, chapter 22: Addressing
+    Cascading Failures).
 
     :ivar retries: whether each of the last attempts was a retry.
     """
@@ -27,20 +27,20 @@
         self.revenue_max = max([revenue for revenue in settings.revenue if revenue], default=1)
 
     def is_idempotent(self, delivery_service: int) -> bool:
-        """Whether a request of this service may run twice (RFC 9110, 9.2.2); a word unknown here says no."""
+        """Whether the service's requests may run twice (RFC 9110, 9.2.2); an unknown `effect` means no."""
         return bool(self.settings.of_service("effect", delivery_service, "idempotent") == "idempotent")
 
     def attempts_max(self, delivery_service: int) -> int:
-        """Most attempts of one request: two, and up to two more by its revenue."""
+        """Maximum attempts of one request: two, plus up to two more in proportion to its revenue."""
         revenue = self.settings.of_service("revenue", delivery_service, 0)
         return 2 + int(2 * revenue / self.revenue_max)
 
     def may_attempt(self, state: "RequestState", now: int) -> bool:
-        """Whether a request may be sent, or sent once more.
+        """Whether a request may be sent or retried.
 
-        Not after its deadline, not beyond its attempts, and never again if it may have run and isn't
-        idempotent. A retry needs budget too, except after a plain miss or an attempt that never left, which
-        cost nobody anything.
+        Not after its deadline, not beyond its maximum attempts, and not if it may have been executed and
+        isn't idempotent. A retry also needs retry budget, except after a plain miss or an attempt that was
+        never sent, as these add no load.
         """
         sent = len(state.attempts)
         service = state.request.delivery_service
@@ -55,6 +55,6 @@
         return sum(self.retries) <= RETRY_BUDGET_RATIO * max(ATTEMPTS_MIN, len(self.retries))
 
     def record_attempt(self, state: "RequestState") -> None:
-        """Count an attempt that is about to be sent; what follows one that never left is no retry."""
+        """Count an attempt that is about to be sent; it is no retry if the one before was never sent."""
         attempts = state.attempts
         self.retries.append(bool(attempts) and attempts[-1].outcome is not AttemptOutcome.NOT_SENT)
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -260,7 +260,7 @@
 
         :param generated_at: when the response was generated (ns).
         :param stored_at: when it was stored (ns).
-        :param link_queue: queueing delay on this process's outbound link (ns).
+        :param link_queue: queueing delay on this process's outgoing link (ns).
         """
         return self.response_cache.may_serve(request, generated_at, stored_at, link_queue, now)
 
--- a/sprucegate/routing/sentinels.py
+++ b/sprucegate/routing/sentinels.py
@@ -1,4 +1,4 @@
-"""Values that stand for times outside any run."""
+"""Sentinel values for times."""
 
 LONG_AGO = -1 << 62
-"""A time (ns) before every other one."""
+"""A time (ns) before all others."""
--- a/sprucegate/routing/settings.py
+++ b/sprucegate/routing/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a deployment that decisions rest on, read once from the configuration into a typed record.
+"""Deployment settings that routing decisions use, as a typed record that is built once from configuration.
 
 `sprucegate/simulator/settings.py` maps the platform's names to the names used here. Times are nanoseconds,
-sizes are kilobytes, shares lie between 0 and 1. A setting that the deployment does not state has its default.
+sizes are kilobytes, shares lie between 0 and 1. A setting that the deployment leaves out has its default.
 """
 
 from collections.abc import Mapping, Sequence
@@ -20,31 +20,31 @@
 
     :ivar my_number: ordinal of this router among all routers.
     :ivar my_location: position of this router's location in the deployment's list.
-    :ivar parent_kind: endpoint kind of parents (origin shields), -1 where there are none.
-    :ivar origin_kind: endpoint kind of the origin, -1 where there is none.
-    :ivar siblings: which peer caches may fill a miss: "location", "any" or "none".
-    :ivar direct: whether a request may go to the origin past the caches.
+    :ivar parent_kind: endpoint kind of parents (origin shields), -1 if there are none.
+    :ivar origin_kind: endpoint kind of the origin, -1 if there is none.
+    :ivar siblings: which siblings may fill a miss: "location", "any" or "none".
+    :ivar direct: whether a request may bypass the caches.
     :ivar joins: whether caches collapse concurrent fills of one object.
     :ivar cancel: whether an attempt may be cancelled.
-    :ivar max_forwards: most attempts for one request.
-    :ivar retry_after: whether a rejection may say when to come back.
-    :ivar max_retry_after: longest such time (ns).
-    :ivar discovery: "push", or "ask" where the router has to subscribe to the endpoint list.
-    :ivar tells: what caches say of their answers: "all", "hit" or "none".
-    :ivar tick: rounding of times on the wire (ns).
-    :ivar purge_done: time within which all caches obey an invalidation (ns).
-    :ivar client_kb_per_s: rate at which clients are sent to, 0 if unknown.
+    :ivar max_forwards: maximum attempts for one request.
+    :ivar retry_after: whether a rejection may carry a retry delay.
+    :ivar max_retry_after: longest retry delay (ns).
+    :ivar discovery: "push", or "ask" if the router has to subscribe to the endpoint list.
+    :ivar tells: which cache statuses caches report: "all", "hit" or "none".
+    :ivar tick: granularity of times on the wire (ns).
+    :ivar purge_done: time within which all caches apply an invalidation (ns).
+    :ivar client_kb_per_s: rate at which responses are sent to clients, 0 if unknown.
     :ivar link_in_kb_per_s: rate of each location's link from the parents.
-    :ivar fronts_by_location: routers at each location.
-    :ivar cold_share: part of its full rate that a cache bears right after its start.
-    :ivar warm_time: time after which a cache bears its full rate (ns).
-    :ivar fall_time: window over which an overload of a cold cache is counted (ns).
-    :ivar fall_multiple: multiple of the bearable rate at which a cold cache fails.
+    :ivar fronts_by_location: number of routers at each location.
+    :ivar cold_share: share of its full rate that a cache sustains right after its start.
+    :ivar warm_time: time after its start from which a cache sustains its full rate (ns).
+    :ivar fall_time: window over which the load of a cold cache is measured for an overload (ns).
+    :ivar fall_multiple: multiple of the sustainable rate at which a cold cache fails.
     :ivar parent_cold_share: `cold_share` of parents.
     :ivar parent_warm_time: `warm_time` of parents (ns).
     :ivar parent_fall_multiple: `fall_multiple` of parents.
     :ivar latency_objective: time within which a request is to be answered (ns).
-    :ivar objective_stretch: further time allowed, as a multiple of the sending time.
+    :ivar objective_stretch: extension of the latency objective, as a multiple of the sending time.
     :ivar revenue: value of a request.
     :ivar effect: "idempotent", "tokened" or "non-idempotent".
     :ivar runs_at_origin: whether requests are executed at the origin.
@@ -87,12 +87,12 @@
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, Any]) -> "RoutingSettings":
-        """The record of a mapping under the names above; what decisions don't use is passed over."""
+        """Build the record from a mapping with the names above; other keys are ignored."""
         known = {field.name for field in fields(cls)}
         return cls(**{name: value for name, value in settings.items() if name in known})
 
     def of_service(self, name: str, delivery_service: int, default: Any) -> Any:
-        """The setting `name` of one delivery service, or `default` where it is not stated."""
+        """The setting `name` of a delivery service, or `default` if it is not configured."""
         values = getattr(self, name)
         if not 0 <= delivery_service < len(values):
             return default
--- a/sprucegate/routing/slow_start.py
+++ b/sprucegate/routing/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: how much work a server gets right after its start, when it is slow and its cache is empty.
+"""Slow start: limits the work of a server after its start, while it is slow and its cache is empty.
 
-Each router has a token bucket for each server that is warming up. It fills by a share, growing linearly with
-the server's age, of what warm servers return, and every request takes its expected sending time. Capacity
-itself is never told, so that the work returned is the guide. The quotas have a ramp of their own
-(`fleet/quotas/slots.py`), and maintenance permits wait for the same warm times
+Each router has a token bucket for each server that is warming up. The bucket fills at a share of the work
+that warm servers complete, which grows linearly with the server's age; each request takes its expected
+sending time. Completed work is the measure because capacity is never reported. Quotas have a ramp of their
+own (`fleet/quotas/slots.py`), and maintenance permits wait for the same warm-up times
 (`fleet/maintenance_agent.py`).
 """
 
@@ -19,15 +19,15 @@
 from sprucegate.routing.server_registry import ServerRegistry
 from sprucegate.routing.settings import RoutingSettings
 
-BUDGET_RATIO_MAX = 1.4  # of its share of what warm servers return
-OVERLOAD_MARGIN_RATIO = 0.7  # of the work at which it fails: the rest is what this router does not see
-BURST_RATIO = 0.9  # of that work in any one window, with what was saved up
+BUDGET_RATIO_MAX = 1.4  # of its share of the work that warm servers complete
+OVERLOAD_MARGIN_RATIO = 0.7  # of the work at which it fails; the rest is for what this router can't see
+BURST_RATIO = 0.9  # of the work at which it fails, in any one window, including saved-up tokens
 STATUSES_KEPT = 64
-PRIOR_FILLS = 8  # fills that the estimate of their share begins with
+PRIOR_FILLS = 8  # fills assumed at first when the share of fills is estimated
 
 
 class _Ramp(NamedTuple):
-    """A role's settings of slow start (RoutingSettings)."""
+    """The slow-start settings of one role; see RoutingSettings."""
 
     cold_share: float
     warm_time: int
@@ -35,9 +35,9 @@
 
 
 class SlowStart:
-    """The budgets of all servers that are warming up; they are kept with the servers.
+    """Slow-start budgets of all servers that are warming up. The budgets are stored with the servers.
 
-    :ivar statuses: how caches handled the last requests, without those of which nothing was said.
+    :ivar statuses: cache statuses of the last responses that reported one.
     """
 
     def __init__(
@@ -54,12 +54,12 @@
         )
 
     def spend(self, server: Server, delivery_service: int) -> None:
-        """Take one request of this service out of the server's budget."""
+        """Charge one request of this service to the server's budget."""
         if server.slow_start_budget is not None:
             server.slow_start_budget -= self.load.mean_sending_time(delivery_service)
 
     def has_budget(self, server: Server, delivery_service: int, now: int) -> bool:
-        """Whether the server's budget allows one more request of this service; a warm one's always does."""
+        """Whether the server's budget allows one more request of this service; a warm server has no limit."""
         ramp = self._parent_ramp if server.role == "parent" else self._cache_ramp
         age = self.registry.age(server, now)
         if server.role == "origin" or not server.started or age >= ramp.warm_time:
@@ -71,15 +71,15 @@
         window_budget = min(BUDGET_RATIO_MAX * share * rate * window, OVERLOAD_MARGIN_RATIO * overload)
         cost = max(1, self.load.mean_sending_time(delivery_service))
         burst = max(0, BURST_RATIO * overload - window_budget)
-        if not self.load.completions:  # among cold servers alone nothing would ever be earned
+        if not self.load.completions:  # if all servers are cold, no tokens would ever be earned
             window_budget = burst = cost * window / ramp.warm_time
         self._refill(server, window_budget, cost, burst, now)
         return server.slow_start_budget is not None and server.slow_start_budget >= cost
 
     def _full_rate(self, server: Server, now: int) -> float:
-        """Work that a warm server of this weight returns, as the mean number of transfers.
+        """Work that a warm server of this weight completes, as the mean number of concurrent transfers.
 
-        It is divided by the largest weight that the group has ever had: `rate` still counts returns of
+        The divisor is the largest weight that the group has ever had, as `rate` still counts completions of
         servers that have left since.
         """
         rate = self.load.rate(now) * server.entry.weight / (self.registry.largest_weight[server.role] or 1)
@@ -89,20 +89,20 @@
         return rate * (fills / (PRIOR_FILLS + len(self.statuses)))
 
     def _refill(self, server: Server, window_budget: float, cost: int, burst: float, now: int) -> None:
-        """Add to the server's slow-start budget (ns of sending time) what it earned since the last call.
+        """Add the tokens earned since the last call to the server's slow-start budget (ns of sending time).
 
-        :param window_budget: what it earns in one window of `fall_time`.
-        :param cost: expected sending time of the request at hand.
-        :param burst: most that it keeps beyond that request.
+        :param window_budget: tokens earned in one window of `fall_time`.
+        :param cost: expected sending time of the current request.
+        :param burst: maximum of tokens kept beyond the cost of that request.
         """
         if server.slow_start_budget is None:
-            # A part of a request by chance: the first requests of many routers together would overload it.
+            # A random part of one request, as the first requests of many routers at once would overload it.
             server.slow_start_budget = self.random.next_float(server.label.hex()) * cost
             server.slow_start_budget_at = now
         elapsed = now - server.slow_start_budget_at
         tokens = server.slow_start_budget + window_budget * elapsed / self.settings.fall_time
-        # Capped, or what routers saved up in a quiet time would come from all of them at once. By whole
-        # requests: capped alike, all routers would hold one ready at any time.
+        # Capped, or the tokens that all routers saved up in a quiet period would be spent at once. The cap
+        # removes whole requests: with an equal cap all routers would always have a full request available.
         tokens -= cost * max(0, ceil((tokens - cost - burst) / cost))
         server.slow_start_budget = tokens
         server.slow_start_budget_at = now
