--- a/sprucegate/routing/__init__.py
+++ b/sprucegate/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about requests, without I/O, clock or random numbers: events in, actions out."""
+"""Routing decisions, from events to actions, without I/O, a clock or random numbers."""
--- a/sprucegate/routing/gossip.py
+++ b/sprucegate/routing/gossip.py
@@ -40,14 +40,14 @@
 
         Beliefs about the most requested objects come first.
         """
-        facts: list[EjectionGossip | BeliefGossip] = []
+        entries: list[EjectionGossip | BeliefGossip] = []
         for _, server in sorted(self.outliers.possible_outliers()):
             for health in (server.as_cache, server.as_source):
                 slowness = health.slowness(now)
                 if health.ejected_until > now or slowness > SLOWNESS_SENT_MIN:
-                    facts.append(_ejection(server, health, slowness, now))
-        facts += self._new_beliefs(max(0, limit - len(facts)), now)
-        return facts[:limit]
+                    entries.append(_ejection(server, health, slowness, now))
+        entries += self._new_beliefs(max(0, limit - len(entries)), now)
+        return entries[:limit]
 
     def _new_beliefs(self, limit: int, now: int) -> list[BeliefGossip]:
         since = self.beliefs_sent_at
@@ -72,26 +72,26 @@
             for _, key, index, belief in heapq.nsmallest(limit, new)
         ]
 
-    def receive(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
+    def receive(self, entries: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
         """Apply another router's entries, sent `age` ns ago, unless their server has restarted since."""
-        for fact in facts:
-            server = self.registry.servers.get(self.registry.index_of.get(fact.cache, -1))
-            if server is None or server.started != fact.started:
+        for entry in entries:
+            server = self.registry.servers.get(self.registry.index_of.get(entry.cache, -1))
+            if server is None or server.started != entry.started:
                 continue
-            time_left = int(TRUST_RATIO * (fact.remaining - age))
-            if isinstance(fact, EjectionGossip):
-                self._receive_ejection(fact, server, time_left, now - age - fact.age, now)
-            elif time_left > 0 and self.digest.may_add(fact):
-                beliefs = self.digest.record_of(fact, now).beliefs
+            time_left = int(TRUST_RATIO * (entry.remaining - age))
+            if isinstance(entry, EjectionGossip):
+                self._receive_ejection(entry, server, time_left, now - age - entry.age, now)
+            elif time_left > 0 and self.digest.may_add(entry):
+                beliefs = self.digest.record_of(entry, now).beliefs
                 expires_at = now + min(time_left, BELIEF_LIFETIME_MAX_NS)
-                beliefs.setdefault(server.index, Belief(expires_at, now - fact.age - age, server.started))
+                beliefs.setdefault(server.index, Belief(expires_at, now - entry.age - age, server.started))
 
     def _receive_ejection(
-        self, fact: EjectionGossip, server: Server, time_left: int, sampled_at: int, now: int
+        self, entry: EjectionGossip, server: Server, time_left: int, sampled_at: int, now: int
     ) -> None:
-        health = server.as_source if fact.as_source else server.as_cache
-        if fact.slowness and not any(now - at < SAMPLE_AGE_MAX_NS for at, _, _ in health.slowness_samples):
-            health.slowness_samples.extend([(sampled_at, fact.slowness / SLOWNESS_UNIT, 1)] * SAMPLES_MIN)
+        health = server.as_source if entry.as_source else server.as_cache
+        if entry.slowness and not any(now - at < SAMPLE_AGE_MAX_NS for at, _, _ in health.slowness_samples):
+            health.slowness_samples.extend([(sampled_at, entry.slowness / SLOWNESS_UNIT, 1)] * SAMPLES_MIN)
         if time_left > 0 and not any(now - at < SAMPLE_AGE_MAX_NS for at, _ in health.results):
             health.ejected_until = max(health.ejected_until, now + min(time_left, EJECTION_TIME_MAX_NS))
             health.on_probation = True
--- a/sprucegate/routing/inbound_link.py
+++ b/sprucegate/routing/inbound_link.py
@@ -13,7 +13,7 @@
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.units import SECOND
 
-USE_REPORT_AGE_MAX_NS = SECOND
+UTILIZATION_REPORT_AGE_MAX_NS = SECOND
 RECENT_MISSES_MAX = 64
 LINK_SHARE = 0.3  # usable share of an even split: other routers' loads are uneven, and waits add up
 TRIAL_SHARE = 0.08  # share of requests sent although expected late, to detect when congestion ends
@@ -61,7 +61,9 @@
             fills = 1 + self.fills_in_flight * (1 + sum(self.recent_misses)) / (2 + len(self.recent_misses))
             routers = sum(self.settings.fronts_by_location[here : here + 1]) or 1
             return max(1.0, fills * routers * rate / link_rates[here] / LINK_SHARE)
-        reported = self.utilization / 2 if now - self.utilization_reported_at < USE_REPORT_AGE_MAX_NS else 0
+        reported = (
+            self.utilization / 2 if now - self.utilization_reported_at < UTILIZATION_REPORT_AGE_MAX_NS else 0
+        )
         return max(reported, self.health.expected_slowness(self.fills_in_flight + 1, now))
 
     def fill_would_be_late(self, request: Request, objective_at: int, now: int) -> bool:
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -274,9 +274,9 @@
         """At most `limit` gossip entries to send to other routers."""
         return self.gossip.to_send(limit, now)
 
-    def receive_gossip(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
+    def receive_gossip(self, entries: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
         """Apply gossip that another router sent `age` ns ago."""
-        self.gossip.receive(facts, age, now)
+        self.gossip.receive(entries, age, now)
 
     def receive_peer_message(self, peer: int, payload: bytes, now: int) -> None:
         """Ignored: routers exchange no messages over the simulator's protocol."""
--- a/sprucegate/simulator/__init__.py
+++ b/sprucegate/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter for the simulator: its line protocol on standard input and output."""
+"""Adapter for the simulator, which speaks a line protocol on standard input and output."""
--- a/sprucegate/simulator/codec.py
+++ b/sprucegate/simulator/codec.py
@@ -1,6 +1,6 @@
-"""Codec of the simulator's protocol: lines to plain values and back.
+"""Codec of the simulator's line protocol.
 
-Malformed input raises MalformedLineError with the number of its line. Times on the wire are whole microseconds.
+Malformed input raises MalformedLineError with its line number. Times on the wire are whole microseconds.
 """
 
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 
 class MalformedLineError(ProtocolError, ValueError):
-    """A line that lacks a field it needs, or holds a value that cannot be read."""
+    """A line without a required field or with a value that can't be parsed."""
 
 
 OUTCOMES = {
@@ -29,7 +29,7 @@
     "Ignored": AttemptOutcome.NOT_SENT,
     "Miss": AttemptOutcome.MISS,
 }
-CACHE_STATUSES = (  # by the number of the field 'note'
+CACHE_STATUSES = (  # indexed by the value of the field 'note'
     CacheStatus.UNKNOWN,
     CacheStatus.HIT,
     CacheStatus.FILLED,
@@ -53,103 +53,104 @@
     "x0": "hit_share",
     "x1": "link_use",
 }
-# Fields whose text may hold anything up to the end of the line.
-TEXT = ("what",)
+# Fields whose value is the rest of the line and may contain tabs.
+FREE_TEXT_FIELDS = ("what",)
 
 
 class Line:
-    """One line, split once; fields are read by the type that the caller needs.
+    """One line of input, split into fields that are parsed on access.
 
-    The methods that read a field raise MalformedLineError if it is lacking without a default, or cannot be read.
+    The methods that read a field raise MalformedLineError if its value is malformed, or if it is missing and has
+    no default.
 
-    :ivar number: its number in the input.
-    :ivar name: its first word.
-    :ivar fields: its fields as texts.
+    :ivar number: line number in the input.
+    :ivar name: message type, which is the first word.
+    :ivar fields: field values as text, by name.
     """
 
     __slots__ = ("number", "name", "fields")
 
     def __init__(self, text: str, number: int) -> None:
         self.number = number
-        name_of_line, *parts = text.split("\t")
-        self.name = name_of_line
+        line_name, *parts = text.split("\t")
+        self.name = line_name
         fields = {}
         for position, part in enumerate(parts):
-            name, mark, value = part.partition("=")
-            if not mark:
+            name, separator, value = part.partition("=")
+            if not separator:
                 raise MalformedLineError(
-                    f"line {number}: '{name_of_line}' has a part without '=': {part[:60]!r}"
+                    f"line {number}: '{line_name}' has a field without '=': {part[:60]!r}"
                 )
-            if name in TEXT:
+            if name in FREE_TEXT_FIELDS:
                 fields[name] = "\t".join([value, *parts[position + 1 :]])
                 break
             fields[name] = value
         self.fields = fields
 
-    def fault(self, text: str) -> MalformedLineError:
+    def error(self, text: str) -> MalformedLineError:
         """The error to raise for this line."""
         return MalformedLineError(f"line {self.number}: '{self.name}' {text}")
 
-    def need(self, name: str) -> str:
-        """The text of a field that must be there."""
+    def required(self, name: str) -> str:
+        """The text of a required field."""
         try:
             return self.fields[name]
         except KeyError:
-            raise self.fault(f"lacks '{name}'") from None
+            raise self.error(f"has no field '{name}'") from None
 
-    def _read(self, name, default, reader, what):
+    def _read(self, name, default, parse, expected):
         text = self.fields.get(name)
         if text is None:
             if default is None:
-                raise self.fault(f"lacks '{name}'")
+                raise self.error(f"has no field '{name}'")
             return default
         try:
-            return reader(text)
+            return parse(text)
         except ValueError:
-            raise self.fault(f"has no {what} in '{name}': {text[:60]!r}") from None
+            raise self.error(f"needs {expected} in '{name}', not {text[:60]!r}") from None
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """A whole number."""
-        return self._read(name, default, int, "whole number")
+        """An integer."""
+        return self._read(name, default, int, "an integer")
 
-    def number_of(self, name: str, default: float | None = None) -> float:
+    def decimal(self, name: str, default: float | None = None) -> float:
         """A number."""
-        return self._read(name, default, float, "number")
+        return self._read(name, default, float, "a number")
 
     def hexadecimal(self, name: str, default: int | None = None) -> int:
-        """A whole number written in hexadecimal."""
-        return self._read(name, default, lambda text: int(text, 16), "hex number")
+        """An integer in hexadecimal notation."""
+        return self._read(name, default, lambda text: int(text, 16), "a hexadecimal integer")
 
     def time(self, name: str, default: int | None = None) -> int:
-        """A time, in nanoseconds."""
-        return self._read(name, default, lambda text: int(text) * MICROSECOND, "time")
+        """A time, converted to nanoseconds."""
+        return self._read(name, default, lambda text: int(text) * MICROSECOND, "a time in microseconds")
 
     def flag(self, name: str) -> bool:
-        """A truth value, false if it is lacking."""
-        return self._read(name, False, truth, "1 or 0")
+        """A boolean, False if the field is missing."""
+        return self._read(name, False, parse_bool, "a flag (0, 1, true or false)")
 
     def payload(self, name: str) -> bytes:
-        """Bytes written in hexadecimal, "-" for none."""
-        text = self.need(name)
+        """Bytes in hexadecimal notation, "-" for none."""
+        text = self.required(name)
         try:
             return b"" if text == "-" else bytes.fromhex(text)
         except ValueError:
-            raise self.fault(f"has no bytes in '{name}': {text[:60]!r}") from None
+            raise self.error(f"needs hexadecimal bytes in '{name}', not {text[:60]!r}") from None
 
     def choice(self, name: str, table: Mapping[str, Choice]) -> Choice:
-        """The value that the table has for the field's text."""
-        text = self.need(name)
+        """The value of the table for the field's text."""
+        text = self.required(name)
         if text not in table:
-            raise self.fault(f"has an unknown '{name}': {text[:60]!r}")
+            raise self.error(f"has an unknown value in '{name}': {text[:60]!r}")
         return table[text]
 
     def cache_status(self) -> CacheStatus:
-        """How the cache handled the request; a number not known here says nothing."""
-        note = self.integer("note", 0)
-        return CACHE_STATUSES[note] if 0 <= note < len(CACHE_STATUSES) else CacheStatus.UNKNOWN
+        """How the cache handled the request; UNKNOWN for an undefined code."""
+        code = self.integer("note", 0)
+        return CACHE_STATUSES[code] if 0 <= code < len(CACHE_STATUSES) else CacheStatus.UNKNOWN
 
     def load(self) -> dict[str, float]:
-        """The load report under the names used here; unknown ones are skipped."""
+        """The load report with its fields renamed as in LOAD_FIELDS; unknown fields are skipped."""
         report = {}
         for pair in filter(None, self.fields.get("report", "").split(",")):
             name, _, value = pair.partition(":")
@@ -157,38 +158,36 @@
                 try:
                     report[LOAD_FIELDS[name]] = float(value)
                 except ValueError:
-                    raise self.fault(f"has no number in its report: {pair[:60]!r}") from None
+                    raise self.error(f"needs a number in its load report, not {pair[:60]!r}") from None
         return report
 
     def endpoint(self) -> Endpoint:
-        """An entry of the endpoint list."""
+        """The endpoint list entry."""
         return Endpoint(
             id=self.integer("cache"),
             location=self.integer("campus", 0),
             kind=self.integer("machine", 0),
             cell=self.integer("group", 0),
             state=self.choice("readiness", STATES),
-            weight=self.number_of("nominal", 1.0),
+            weight=self.decimal("nominal", 1.0),
             started=self.time("upSince", 0),
         )
 
 
-def truth(text: str) -> bool:
-    """A truth value by its text; ValueError for any other text."""
+def parse_bool(text: str) -> bool:
+    """Parse a boolean; raises ValueError for other text."""
     if text not in ("1", "0", "true", "false"):
         raise ValueError(text)
     return text in ("1", "true")
 
 
 def attempt_line(instance: int, request_id: str | None, attempt: SendAttempt) -> str:
-    """The line that sends an attempt; a source equal to the cache stands for no fill."""
-    switches = (
-        attempt.collapse + 2 * attempt.only_if_cached + 4 * attempt.bypass_parent + 8 * attempt.revalidate
-    )
+    """Encode a SendAttempt; a fill source equal to the cache forbids a fill."""
+    flags = attempt.collapse + 2 * attempt.only_if_cached + 4 * attempt.bypass_parent + 8 * attempt.revalidate
     line = (
         f"deliver_via\ti={instance}\ttxn={request_id}\tcache={attempt.cache}\tcap={attempt.timeout // MICROSECOND}"
         f"\tsupplier={attempt.fill_source}\tkeep={attempt.rank}"
     )
     if attempt.max_age:
         line += f"\tcopyAge={max(1, attempt.max_age // MICROSECOND)}"
-    return f"{line}\tswitches={switches}" if switches else line
+    return f"{line}\tswitches={flags}" if flags else line
--- a/sprucegate/simulator/process.py
+++ b/sprucegate/simulator/process.py
@@ -1,4 +1,4 @@
-"""The adapter's process: batches on standard input, one flushed reply each on standard output."""
+"""Process of the adapter: reads batches from standard input and writes one reply each to standard output."""
 
 import sys
 import traceback
@@ -10,34 +10,34 @@
 
 
 def run(source: Iterable[bytes], sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Answer batches until the input ends; each reply is flushed.
 
-    :raises MalformedLineError: for input that cannot be read.
+    :raises MalformedLineError: for malformed input.
     """
     host = Host()
     now: int | None = None
     lines: list[Line] = []
-    for number, raw in enumerate(source, 1):
+    for number, data in enumerate(source, 1):
         try:
-            text = raw.decode("utf-8").rstrip("\r\n")
+            text = data.decode("utf-8").rstrip("\r\n")
         except UnicodeDecodeError:
-            raise MalformedLineError(f"line {number}: is not UTF-8") from None
+            raise MalformedLineError(f"line {number}: is not valid UTF-8") from None
         if not text:
             continue
         if now is None:
             line = Line(text, number)
             if line.name != "sync":
-                raise line.fault("comes before the batch's 'sync'")
+                raise line.error("is outside a batch: 'sync' was expected")
             now = line.time("moment")
         elif text == "eob":
             try:
                 actions = host.reply(now, lines)
             except MalformedLineError:
                 raise
-            except Exception as fault:
-                # A fault in the decisions is for the operators to see: where it arose goes out with it.
-                at = traceback.extract_tb(fault.__traceback__)[-1]
-                text = f"{type(fault).__name__}: {fault} ({at.name}, line {at.lineno})"
+            except Exception as error:
+                # Report the error and its location in the reply, so that operators see it.
+                frame = traceback.extract_tb(error.__traceback__)[-1]
+                text = f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})"
                 text = " ".join(text.split())
                 instance = lines[0].fields.get("i", "0") if lines else "0"
                 actions = [f"internal_error\ti={instance}\twhat={text}"]
@@ -53,11 +53,11 @@
 
 
 def main() -> int:
-    """Run until the input ends; the exit status: 2 for malformed input, 1 if the output was closed, else 0."""
+    """Run until the input ends; returns exit status 2 for malformed input, 1 for closed output, else 0."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
-    except MalformedLineError as fault:
-        print(f"sprucegate: {fault}", file=sys.stderr)
+    except MalformedLineError as error:
+        print(f"sprucegate: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/sprucegate/simulator/settings.py
+++ b/sprucegate/simulator/settings.py
@@ -1,52 +1,55 @@
-"""The simulator's settings as a plain map under the names used here, times in nanoseconds. Unknown ones are skipped."""
+"""Translates the simulator's settings to a mapping with this project's names, and times in nanoseconds.
+
+Unknown settings are skipped.
+"""
 
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from sprucegate.simulator.codec import truth
+from sprucegate.simulator.codec import parse_bool
 
 
-def _ns(text):
+def _microseconds(text):
     return int(float(text) * 1000)
 
 
-def _words(table):
+def _translated(table):
     return lambda text: table.get(text, text)
 
 
-def _listed(read):
-    return lambda text: [read(item) for item in text.split(",")] if text else []
+def _list_of(parse):
+    return lambda text: [parse(item) for item in text.split(",")] if text else []
 
 
 DELIVERY_SERVICES_MAX = 10_000
 EFFECTS = {"pure": "idempotent", "token": "tokened", "side_effect": "non-idempotent"}
-SOURCES = {"silent": "none"}
+SILENT_MEANS_NONE = {"silent": "none"}
 LOAD_BY = {"piggyback": "answers", "pull": "probe", "silent": "none"}
 DISCOVERY = {"automatic": "push", "subscribe": "ask"}
 
 NAMES = {
     "allowed.attemptsCap": ("max_forwards", int),
-    "allowed.cancel": ("cancel", truth),
-    "allowed.connectTimeout": ("connect_timeout", _ns),
-    "allowed.keepalive": ("keepalive", _ns),
-    "allowed.maxRetryAfter": ("max_retry_after", _ns),
+    "allowed.cancel": ("cancel", parse_bool),
+    "allowed.connectTimeout": ("connect_timeout", _microseconds),
+    "allowed.keepalive": ("keepalive", _microseconds),
+    "allowed.maxRetryAfter": ("max_retry_after", _microseconds),
     "allowed.maxStreams": ("max_streams", int),
     "allowed.openCap": ("max_open", int),
-    "allowed.peerMessages": ("peer_messages", truth),
-    "allowed.probing": ("probing", truth),
-    "allowed.retryAfter": ("retry_after", truth),
-    "allowed.secondCopies": ("second_copies", truth),
-    "callers.marksRetry": ("repeats_marked", truth),
-    "discovery": ("discovery", _words(DISCOVERY)),
-    "guarantees.answerSlack": ("answer_slack", _ns),
-    "guarantees.askEvery": ("ask_every", _ns),
+    "allowed.peerMessages": ("peer_messages", parse_bool),
+    "allowed.probing": ("probing", parse_bool),
+    "allowed.retryAfter": ("retry_after", parse_bool),
+    "allowed.secondCopies": ("second_copies", parse_bool),
+    "callers.marksRetry": ("repeats_marked", parse_bool),
+    "discovery": ("discovery", _translated(DISCOVERY)),
+    "guarantees.answerSlack": ("answer_slack", _microseconds),
+    "guarantees.askEvery": ("ask_every", _microseconds),
     "guarantees.coldFrom": ("cold_share", float),
-    "guarantees.drainGrace": ("drain_grace", _ns),
+    "guarantees.drainGrace": ("drain_grace", _microseconds),
     "guarantees.fallMultiple": ("fall_multiple", float),
-    "guarantees.overloadFor": ("fall_time", _ns),
-    "guarantees.warmUp": ("warm_time", _ns),
-    "loadInfo.fields": ("load_fields", _listed(str)),
-    "loadInfo.how": ("load_by", _words(LOAD_BY)),
+    "guarantees.overloadFor": ("fall_time", _microseconds),
+    "guarantees.warmUp": ("warm_time", _microseconds),
+    "loadInfo.fields": ("load_fields", _list_of(str)),
+    "loadInfo.how": ("load_by", _translated(LOAD_BY)),
     "myZone": ("my_location", int),
     "ordinal": ("my_number", int),
     "penalties.origin": ("origin_price", float),
@@ -54,57 +57,61 @@
     "penalties.probe": ("probe_price", float),
     "penalties.peer": ("peer_price", float),
     "siblings": ("fronts", int),
-    "specifics.agedWorth": ("stale_share", _listed(float)),
-    "specifics.classFresh": ("fresh_time", _listed(_ns)),
+    "specifics.agedWorth": ("stale_share", _list_of(float)),
+    "specifics.classFresh": ("fresh_time", _list_of(_microseconds)),
     "specifics.clientKbPerS": ("client_kb_per_s", float),
-    "specifics.feedKbPerS": ("link_in_kb_per_s", _listed(float)),
-    "specifics.goesThrough": ("runs_at_origin", _listed(truth)),
-    "specifics.hubByZone": ("hub_of_location", _listed(int)),
+    "specifics.feedKbPerS": ("link_in_kb_per_s", _list_of(float)),
+    "specifics.goesThrough": ("runs_at_origin", _list_of(parse_bool)),
+    "specifics.hubByZone": ("hub_of_location", _list_of(int)),
     "specifics.linkPrice": ("link_price", float),
-    "specifics.mergesFills": ("joins", truth),
-    "specifics.neighbours": ("siblings", _words(SOURCES)),
-    "specifics.obeyAfter": ("purge_grace", _ns),
+    "specifics.mergesFills": ("joins", parse_bool),
+    "specifics.neighbours": ("siblings", _translated(SILENT_MEANS_NONE)),
+    "specifics.obeyAfter": ("purge_grace", _microseconds),
     "specifics.originFallMultiple": ("origin_fall_multiple", float),
     "specifics.parentFallMultiple": ("parent_fall_multiple", float),
     "specifics.parentFloor": ("parent_cold_share", float),
-    "specifics.parentRamp": ("parent_warm_time", _ns),
-    "specifics.purgeDone": ("purge_done", _ns),
-    "specifics.rootFall": ("origin_fall_time", _ns),
-    "specifics.says": ("tells", _words(SOURCES)),
+    "specifics.parentRamp": ("parent_warm_time", _microseconds),
+    "specifics.purgeDone": ("purge_done", _microseconds),
+    "specifics.rootFall": ("origin_fall_time", _microseconds),
+    "specifics.says": ("tells", _translated(SILENT_MEANS_NONE)),
     "specifics.shieldKind": ("parent_kind", int),
     "specifics.storeKind": ("origin_kind", int),
-    "specifics.straight": ("direct", truth),
-    "specifics.usableAfter": ("grace_time", _listed(_ns)),
-    "specifics.zoneBalancers": ("fronts_by_location", _listed(int)),
-    "tick": ("tick", _ns),
-    "weightKind": ("weights", _words(SOURCES)),
+    "specifics.straight": ("direct", parse_bool),
+    "specifics.usableAfter": ("grace_time", _list_of(_microseconds)),
+    "specifics.zoneBalancers": ("fronts_by_location", _list_of(int)),
+    "tick": ("tick", _microseconds),
+    "weightKind": ("weights", _translated(SILENT_MEANS_NONE)),
 }
-# One list a name, an item for each delivery service, in the wire's order; what an item leaves out is None.
+# Each becomes a list with one item per delivery service, in wire order; None where a service leaves it out.
 BY_DELIVERY_SERVICE = {
-    "aim": ("latency_objective", _ns),
+    "aim": ("latency_objective", _microseconds),
     "aimStretch": ("objective_stretch", float),
-    "deadline": ("viewer_timeout", _ns),
-    "effect": ("effect", _words(EFFECTS)),
+    "deadline": ("viewer_timeout", _microseconds),
+    "effect": ("effect", _translated(EFFECTS)),
     "lateShare": ("late_share", float),
-    "streamed": ("streamed", truth),
+    "streamed": ("streamed", parse_bool),
     "worth": ("revenue", float),
 }
 
 
-def settings_from(fields: Mapping[str, str], fault: Callable[[str], Exception]) -> dict[str, Any]:
-    """The map for one router: `fields` has the protocol's paths and texts, `fault(text)` makes what is raised."""
+def settings_from(fields: Mapping[str, str], make_error: Callable[[str], Exception]) -> dict[str, Any]:
+    """Build the settings of one router.
+
+    :param fields: values as text, by their paths in the protocol.
+    :param make_error: makes the exception that is raised for an invalid setting from its text.
+    """
 
-    def value(path, read):
+    def value(path, parse):
         try:
-            return read(fields[path])
+            return parse(fields[path])
         except ValueError:
-            raise fault(f"has a setting that cannot be read: {path}={fields[path][:60]!r}") from None
+            raise make_error(f"has an invalid setting: {path}={fields[path][:60]!r}") from None
 
-    settings = {name: value(path, read) for path, (name, read) in NAMES.items() if path in fields}
+    settings = {name: value(path, parse) for path, (name, parse) in NAMES.items() if path in fields}
     count = value("categories.count", int) if "categories.count" in fields else 0
     if not 0 <= count <= DELIVERY_SERVICES_MAX:
-        raise fault(f"counts {count} delivery services")
-    for key, (name, read) in BY_DELIVERY_SERVICE.items():
-        paths = [f"categories.{at}.{key}" for at in range(count)]
-        settings[name] = [value(path, read) if path in fields else None for path in paths]
+        raise make_error(f"has an invalid count of {count} delivery services")
+    for key, (name, parse) in BY_DELIVERY_SERVICE.items():
+        paths = [f"categories.{index}.{key}" for index in range(count)]
+        settings[name] = [value(path, parse) if path in fields else None for path in paths]
     return settings
