--- a/tests/routing/test_policy_files.py
+++ b/tests/routing/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The deploy file names every file that decisions rest on, and each of them is within the bench's rules."""
+"""The deployment file lists every policy file, and each of them meets the rules for policy files."""
 
 import ast
 import sys
@@ -13,7 +13,7 @@
 
 
 def imported(path):
-    """Modules that a file imports, absolute."""
+    """Absolute names of the modules that a file imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -22,7 +22,7 @@
             yield node.module
 
 
-def test_the_policy_names_every_routing_module_and_the_units():
+def test_the_policy_lists_every_routing_module_and_the_units():
     modules = {
         path.relative_to(ROOT).as_posix()
         for path in (ROOT / "sprucegate/routing").rglob("*.py")
@@ -34,14 +34,14 @@
 @pytest.mark.parametrize("name", POLICY)
 def test_a_policy_file_imports_only_the_standard_library_and_other_policy_files(name):
     allowed = {other.removesuffix(".py").replace("/", ".") for other in POLICY} | {"sprucegate.errors"}
-    foreign = [
+    disallowed = [
         module
         for module in imported(ROOT / name)
         if module not in allowed and module.split(".")[0] not in sys.stdlib_module_names
     ]
-    assert foreign == []
+    assert disallowed == []
 
 
 @pytest.mark.parametrize("name", POLICY)
-def test_lines_of_a_policy_file_are_short(name):
+def test_policy_file_lines_are_within_the_length_limit(name):
     assert max(len(line) for line in (ROOT / name).read_text().splitlines()) <= LINE_LENGTH
--- a/tests/routing/test_slow_start_of_many_routers.py
+++ b/tests/routing/test_slow_start_of_many_routers.py
@@ -1,4 +1,4 @@
-"""What many fronts together send to one cold cache, each with a Router of its own that sees a part of the GETs."""
+"""Total load of many fronts on one cold cache; each front has its own Router and sees a share of the GETs."""
 
 from bisect import bisect_left
 from math import sqrt
@@ -18,12 +18,15 @@
 SERVICE = 40 * MS
 
 
-def drawn(*of):
-    return crc32("/".join(map(str, of)).encode()) / 2**32
+def hash_fraction(*keys):
+    return crc32("/".join(map(str, keys)).encode()) / 2**32
 
 
-class Fleet:
-    """`rate` GETs a second over all fronts, the parts as `parts` has them; a GET is returned after SERVICE."""
+class SimulatedFronts:
+    """Fronts that receive `rate` GETs per second in total; each GET completes after SERVICE.
+
+    :ivar shares: cumulative shares of the GETs, by front.
+    """
 
     def __init__(self, count, rate, uneven, seed, **settings):
         self.settings = {
@@ -45,92 +48,103 @@
         ]
         for front in self.fronts:
             front.update_endpoints([entry(at) for at in (*CACHES, ORIGIN)], True, NOW)
-        parts = [1 / (1 + at) if uneven else 1 for at in range(count)]
-        self.parts = [sum(parts[: at + 1]) / sum(parts) for at in range(count)]
+        shares = [1 / (1 + at) if uneven else 1 for at in range(count)]
+        self.shares = [sum(shares[: at + 1]) / sum(shares) for at in range(count)]
         self.rate, self.seed, self.at, self.count, self.sent, self.completions = rate, seed, NOW, 0, [], []
 
-    def told(self, at, started):
+    def announce_start(self, at, started):
         self.fronts[at].update_endpoints([entry(COLD, started=started)], False, self.at)
 
-    def run(self, until, loud=lambda at: 1.0):
-        """GETs that come as in a Poisson stream, `loud` times as many; what has been returned is told in its order."""
+    def run(self, until, rate_factor=lambda at: 1.0):
+        """GETs of a Poisson process, its rate scaled by `rate_factor`; completed GETs are reported in order."""
         while self.at < until:
-            draw = drawn(self.seed, "gap", self.count)
-            level = loud(self.at)
-            self.at += int(S / self.rate / max(level, 1e-9) * -_log(draw)) if level else 10 * MS
+            fraction = hash_fraction(self.seed, "gap", self.count)
+            factor = rate_factor(self.at)
+            self.at += int(S / self.rate / max(factor, 1e-9) * -_log(fraction)) if factor else 10 * MS
             while self.completions and self.completions[0][0] <= self.at:
-                when, handle, number, found = self.completions.pop(0)
-                handle.attempt_ended(number, AttemptOutcome.RETURNED, found, SERVICE, 0, {}, True, when)
-            if level:
+                when, state, number, status = self.completions.pop(0)
+                state.attempt_ended(number, AttemptOutcome.RETURNED, status, SERVICE, 0, {}, True, when)
+            if factor:
                 self.count += 1
-                self.one()
+                self.send_request()
 
-    def one(self):
-        front = self.fronts[bisect_left(self.parts, drawn(self.seed, "front", self.count))]
-        handle = front.start_request(
-            asked(f"g{self.count}", obj=int(drawn(self.seed, "of", self.count) ** 2 * 3000)), self.at
+    def send_request(self):
+        front = self.fronts[bisect_left(self.shares, hash_fraction(self.seed, "front", self.count))]
+        state = front.start_request(
+            asked(f"g{self.count}", obj=int(hash_fraction(self.seed, "of", self.count) ** 2 * 3000)), self.at
         )
-        for said in handle.route(self.at):
-            if isinstance(said, SendAttempt):
-                if COLD in (said.cache, said.fill_source):
+        for action in state.route(self.at):
+            if isinstance(action, SendAttempt):
+                if COLD in (action.cache, action.fill_source):
                     self.sent.append(self.at)
-                self.completions.append((self.at + SERVICE, handle, said.number, CacheStatus.HIT))
+                self.completions.append((self.at + SERVICE, state, action.number, CacheStatus.HIT))
 
-    def budget(self, at, started):
-        """What the settings allow in the window that ends at `at`: of what a warm cache of its weight returns."""
+    def allowed_requests(self, at, started):
+        """GETs that the settings allow in the window that ends at `at`: a share of what a warm cache completes."""
         share = min(1.0, 0.25 + 0.75 * max(0, at - started) / self.settings["warm_time"])
         return (
             self.settings["fall_multiple"] * share * self.rate / len(CACHES) * self.settings["fall_time"] / S
         )
 
-    def over(self, started):
-        """(the largest sum of a window, by how much the most over its bound, the budget at the start)."""
-        window, sent, worst, most = self.settings["fall_time"], self.sent, -99.0, 0
+    def worst_window(self, started):
+        """(largest count in a window, largest excess over a window's bound, budget at the start)."""
+        window, sent, worst_excess, largest_count = self.settings["fall_time"], self.sent, -99.0, 0
         for at, when in enumerate(sent):
             if when < started + self.settings["warm_time"]:
-                inside = at + 1 - bisect_left(sent, when - window + 1)
-                allowed = self.budget(when, started)
-                worst, most = max(worst, inside - allowed - 2 * sqrt(allowed) - 2), max(most, inside)
-        return most, worst, self.budget(started, started)
+                in_window = at + 1 - bisect_left(sent, when - window + 1)
+                allowed = self.allowed_requests(when, started)
+                worst_excess, largest_count = (
+                    max(worst_excess, in_window - allowed - 2 * sqrt(allowed) - 2),
+                    max(largest_count, in_window),
+                )
+        return largest_count, worst_excess, self.allowed_requests(started, started)
 
 
-def _log(draw):
+def _log(fraction):
     from math import log
 
-    return log(1 - draw)
+    return log(1 - fraction)
 
 
-def steady(at):
+def steady_rate(at):
     return 1.0
 
 
-def quiet_then_loud(at):
-    """Three seconds of next to nothing, then one of four times as much: what was saved up would come at once."""
+def quiet_then_burst(at):
+    """Three quiet seconds, then one at four times the rate: all saved-up tokens could be spent at once."""
     return 4.0 if (at - NOW) // S % 4 == 3 else 0.05
 
 
-def played(count, rate, uneven, spread, loud, multiple, seed):
-    fleet = Fleet(count, rate, uneven, seed, fall_multiple=multiple)
-    fleet.run(NOW + 6 * S)
-    fleet.sent.clear()
-    started = fleet.at
-    # Told at different times, to some twice, and to half of them with a start that is told anew later.
+def simulate(count, rate, uneven, announcement_spread, rate_factor, multiple, seed):
+    simulation = SimulatedFronts(count, rate, uneven, seed, fall_multiple=multiple)
+    simulation.run(NOW + 6 * S)
+    simulation.sent.clear()
+    started = simulation.at
+    # Fronts learn of the start at different times, and every third one is told again in the last round.
     for round_ in range(8):
         for at in range(count):
-            if int(drawn(seed, "told", at) * 8 * spread) == round_ or round_ == 7 and at % 3 == 0:
-                fleet.told(at, started)
-        fleet.run(started + (round_ + 1) * S // 4, loud)
-    fleet.run(started + 10 * S, loud)
-    return fleet.over(started)
+            if (
+                int(hash_fraction(seed, "told", at) * 8 * announcement_spread) == round_
+                or round_ == 7
+                and at % 3 == 0
+            ):
+                simulation.announce_start(at, started)
+        simulation.run(started + (round_ + 1) * S // 4, rate_factor)
+    simulation.run(started + 10 * S, rate_factor)
+    return simulation.worst_window(started)
 
 
 @pytest.mark.parametrize("count", [3, 20, 30])
 @pytest.mark.parametrize("rate, multiple", [(30, 4.0), (30, 2.0), (200, 4.0), (200, 2.0)])
 @pytest.mark.parametrize("uneven", [False, True])
-@pytest.mark.parametrize("loud", [steady, quiet_then_loud])
-def test_the_sum_of_all_fronts_stays_within_what_a_cold_cache_bears(count, rate, multiple, uneven, loud):
+@pytest.mark.parametrize("rate_factor", [steady_rate, quiet_then_burst])
+def test_the_total_load_of_all_fronts_stays_within_the_limits_of_a_cold_cache(
+    count, rate, multiple, uneven, rate_factor
+):
     for seed in (1, 2):
-        most, over, budget = played(count, rate, uneven, 0, loud, multiple, seed)
+        largest_count, excess, initially_allowed = simulate(
+            count, rate, uneven, 0, rate_factor, multiple, seed
+        )
         assert (
-            over <= 0
-        ), f"seed {seed}: {most} in one window, {over:.1f} over; the budget begins at {budget:.1f}"
+            excess <= 0
+        ), f"seed {seed}: {largest_count} in one window, {excess:.1f} over; {initially_allowed:.1f} allowed at first"
