--- a/sprucegate/routing/attempt_results.py
+++ b/sprucegate/routing/attempt_results.py
@@ -85,7 +85,7 @@
         load: LoadEstimator,
         slow_start: SlowStart,
         outliers: OutlierDetector,
-        link: InboundLink,
+        inbound_link: InboundLink,
     ) -> None:
         self.settings = settings
         self.registry = registry
@@ -93,7 +93,7 @@
         self.load = load
         self.slow_start = slow_start
         self.outliers = outliers
-        self.link = link
+        self.inbound_link = inbound_link
 
     def record(self, result: AttemptResult) -> None:
         """Update all estimates with one result."""
@@ -143,8 +143,8 @@
             cache.load_report = result.load_report
             cache.load_reported_at = result.now
         if cache.role == "cache" and "link_use" in result.load_report:
-            self.link.utilization = result.load_report["link_use"]
-            self.link.utilization_reported_at = result.now
+            self.inbound_link.utilization = result.load_report["link_use"]
+            self.inbound_link.utilization_reported_at = result.now
 
     def inferred_status(self, attempt: "Attempt", status: CacheStatus, slowness: float) -> CacheStatus:
         """Infer the cache status of a response from its speed, for caches that never report a status.
@@ -167,10 +167,10 @@
     def _record_fill(self, result: AttemptResult, fill: Fill) -> None:
         """Record whether the fill was on time for its source."""
         cache = result.attempt.cache
-        self.link.fills_in_flight -= 1
+        self.inbound_link.fills_in_flight -= 1
         cache.fills_in_flight = max(0, cache.fills_in_flight - 1)
         if result.succeeded:
-            self.link.recent_misses.append(result.status not in HITS)
+            self.inbound_link.recent_misses.append(result.status not in HITS)
         fill.on_time = result.succeeded and result.now <= fill.due_at
         cancelled_in_time = result.outcome is AttemptOutcome.CANCELLED and result.now < fill.due_at
         if (
@@ -198,7 +198,7 @@
             result.now, True, slowness if is_cache_speed else 0, attempt.concurrent_transfers
         )
         if attempt.fill and result.status in (CacheStatus.FILLED, CacheStatus.COLLAPSED):
-            self.link.record_fill(attempt.source, slowness, attempt.concurrent_fills, result.now)
+            self.inbound_link.record_fill(attempt.source, slowness, attempt.concurrent_fills, result.now)
 
     def _record_success(self, result: AttemptResult, record: ObjectRecord, runs_at_origin: bool) -> None:
         request = result.state.request
--- a/sprucegate/routing/cache_selection.py
+++ b/sprucegate/routing/cache_selection.py
@@ -57,7 +57,7 @@
         hot = HOT_SHARE * self.load.rate(now)
         return 1 + (share > hot > 0) + (share > 2 * hot > 0)
 
-    def pick(self, state: "RequestState", record: ObjectRecord, now: int) -> tuple[Server | None, bool]:
+    def select(self, state: "RequestState", record: ObjectRecord, now: int) -> tuple[Server | None, bool]:
         """The cache for a request, or None; and whether it is expected to answer in time."""
         request = state.request
         excluded = self.outliers.excluded(now)
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -51,13 +51,13 @@
         self.load = LoadEstimator(settings, self.digest, now)
         self.outliers = OutlierDetector(self.registry)
         self.slow_start = SlowStart(settings, self.registry, self.load, self.random)
-        self.caches = CacheSelector(self.registry, self.load, self.slow_start, self.outliers)
+        self.cache_selector = CacheSelector(self.registry, self.load, self.slow_start, self.outliers)
         self.sources = FillSourceSelector(settings, self.registry, self.digest, self.slow_start, self.random)
-        self.link = InboundLink(settings, self.load, self.outliers, self.random)
+        self.inbound_link = InboundLink(settings, self.load, self.outliers, self.random)
         self.retry_policy = RetryPolicy(settings)
         self.response_cache = ResponseCachePolicy(settings, self.digest, self.invalidations, self.load)
         self.results = ResultRecorder(
-            settings, self.registry, self.digest, self.load, self.slow_start, self.outliers, self.link
+            settings, self.registry, self.digest, self.load, self.slow_start, self.outliers, self.inbound_link
         )
         self.gossip = Gossip(self.registry, self.digest, self.outliers)
         self.deadlines = DeadlineQueue()
@@ -88,7 +88,7 @@
         request = state.request
         record = self.digest.record_of(request, now)
         runs_at_origin = self.settings.of_service("runs_at_origin", request.delivery_service, False)
-        cache, in_time = self.caches.pick(state, record, now)
+        cache, in_time = self.cache_selector.select(state, record, now)
         only_if_cached = False
         source: Server | None
         if runs_at_origin:
@@ -98,7 +98,7 @@
             cache = self.sources.parent_or_origin(state, now)[0] if self.settings.direct else None
             source = self._first_origin()
             # A response straight from the origin occupies the inbound link for as long as a fill does.
-            if self.link.fill_would_be_late(request, state.objective_at, now):
+            if self.inbound_link.fill_would_be_late(request, state.objective_at, now):
                 return None
         elif not in_time and self.random.next_float(request.id) >= TRIAL_SHARE:
             return None  # it would take capacity from requests that can still be answered in time
@@ -126,7 +126,7 @@
         source, may_fetch = self.sources.parent_or_origin(state, now)
         if source is None or (
             cache.index not in record.beliefs
-            and self.link.fill_would_be_late(state.request, state.objective_at, now)
+            and self.inbound_link.fill_would_be_late(state.request, state.objective_at, now)
         ):
             source = cache
             may_fetch = False
@@ -186,8 +186,8 @@
         )
 
     def _count_fill(self, attempt: Attempt, request: Request, only_if_cached: bool, now: int) -> None:
-        self.link.fills_in_flight += 1
-        attempt.concurrent_fills = self.link.fills_in_flight
+        self.inbound_link.fills_in_flight += 1
+        attempt.concurrent_fills = self.inbound_link.fills_in_flight
         attempt.cache.fills_in_flight += 1
         attempt.fill = Fill(attempt.source, now, now + self.latency_objective(request))
         if not only_if_cached:
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -138,24 +138,24 @@
     one, other = router(), router()
     other.group("cache").reverse()
     for obj in range(50):
-        picked = [
-            made.caches.pick(
+        selected = [
+            made.cache_selector.select(
                 state_with(made, asked(obj=obj)), made.digest.record_of(asked(obj=obj), NOW), NOW
             )[0].id
             for made in (one, other)
         ]
-        assert picked[0] == picked[1]
+        assert selected[0] == selected[1]
 
 
 def test_selection_distributes_objects_over_the_caches():
     made = router()
-    picked = [
-        made.caches.pick(state_with(made, asked(obj=obj)), made.digest.record_of(asked(obj=obj), NOW), NOW)[
-            0
-        ].id
+    selected = [
+        made.cache_selector.select(
+            state_with(made, asked(obj=obj)), made.digest.record_of(asked(obj=obj), NOW), NOW
+        )[0].id
         for obj in range(400)
     ]
-    assert all(60 < picked.count(cache) < 140 for cache in CACHES)
+    assert all(60 < selected.count(cache) < 140 for cache in CACHES)
 
 
 @pytest.mark.parametrize("count, width", [(1, 1), (6, 1), (12, 2), (30, 3)])  # small counts are noise
@@ -165,16 +165,18 @@
     made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
     record = made.digest.record_of(asked(), NOW)
     record.counts = [count, 0, 0]
-    assert made.caches.width(asked(), record, len(made.group("cache")), NOW) == width
+    assert made.cache_selector.width(asked(), record, len(made.group("cache")), NOW) == width
 
 
 def test_a_slow_cache_is_skipped():
     made = router()
-    first = made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[0]
+    first = made.cache_selector.select(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[0]
     first.as_cache.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
     first.in_flight = 40
     later = NOW + ESTIMATE_AGE_MAX_NS
-    second, in_time = made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), later)
+    second, in_time = made.cache_selector.select(
+        state_with(made, asked()), made.digest.record_of(asked(), NOW), later
+    )
     assert second is not first and in_time
 
 
@@ -417,7 +419,7 @@
 
 def test_a_first_request_of_unknown_size_is_expected_in_time():
     made = router(objective_stretch=[0.0] * 3)
-    assert made.caches.pick(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[1]
+    assert made.cache_selector.select(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[1]
 
 
 @pytest.mark.parametrize(
@@ -450,7 +452,7 @@
     state = state_with(made, asked(size=100), None)
     state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
     record_result(made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW)
-    assert len(made.link.health.slowness_samples) == samples
+    assert len(made.inbound_link.health.slowness_samples) == samples
 
 
 def test_an_unreachable_cache_is_excluded_then_retried_and_treated_as_restarted():
@@ -525,7 +527,7 @@
 )
 def test_no_fills_are_started_on_a_link_that_is_reported_full(utilization, age, cached_only):
     made = router(client_kb_per_s=1000)
-    made.link.utilization, made.link.utilization_reported_at = utilization, NOW - age
+    made.inbound_link.utilization, made.inbound_link.utilization_reported_at = utilization, NOW - age
     attempt = made.plan(state_with(made, asked(size=500)), NOW)
     assert attempt.only_if_cached is cached_only and (attempt.cache == attempt.fill_source) is cached_only
 
@@ -614,7 +616,7 @@
 
 def test_some_fills_are_sent_as_trials_over_a_full_link():
     made = router(client_kb_per_s=1000)
-    made.link.health.slowness_samples.extend((NOW, 20.0, 3) for _ in range(16))
+    made.inbound_link.health.slowness_samples.extend((NOW, 20.0, 3) for _ in range(16))
     trials = 0
     for n in range(300):
         state = RequestState(made, asked(f"r-{n}", obj=n, size=200), NOW)
@@ -677,16 +679,16 @@
 def test_an_even_share_of_the_configured_link_rate_replaces_fill_samples(fills, hits, slowness):
     # The link carries 12 transfers for four fronts; LINK_SHARE of an even share is usable.
     made = router(**NO_STATUS_REPORTED)
-    made.link.fills_in_flight = fills
-    made.link.recent_misses.extend([False] * hits or [True] * 64)
-    assert made.link.expected_slowness(NOW) == pytest.approx(slowness, abs=0.06)
+    made.inbound_link.fills_in_flight = fills
+    made.inbound_link.recent_misses.extend([False] * hits or [True] * 64)
+    assert made.inbound_link.expected_slowness(NOW) == pytest.approx(slowness, abs=0.06)
 
 
 def test_requests_that_bypass_the_caches_respect_the_inbound_link():
     """Without a usable cache 766 GETs in five seconds went straight to a parent, and 656 of them were late."""
     made = router([entry(c, EndpointState.DRAINING) for c in CACHES], **NO_STATUS_REPORTED, direct=True)
     assert made.start_request(asked(size=400), NOW).route(NOW)[0].cache in PARENTS
-    made.link.fills_in_flight = 40
+    made.inbound_link.fills_in_flight = 40
     actions = [made.start_request(asked(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
     assert sum(isinstance(action, RejectRequest) for action in actions) > 15
 
