--- a/sprucegate/routing/gossip.py
+++ b/sprucegate/routing/gossip.py
@@ -73,7 +73,7 @@
         ]
 
     def receive(self, entries: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
-        """Apply another router's entries, sent `age` ns ago, unless their server has restarted since."""
+        """Apply another router's entries, sent `age` ns ago, except those about another start of a server."""
         for entry in entries:
             server = self.registry.servers.get(self.registry.index_of.get(entry.cache, -1))
             if server is None or server.started != entry.started:
