--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -47,7 +47,7 @@
     limits = Limits(
         connections=connections, streams=2000, waiting=2000, open_above=0.0, wait=5 * S, stalled=10 * S
     )
-    lines_transport.CONNECTIONS = connections
+    lines_transport.CONNECTIONS_PER_CACHE = connections
     recorder = Recorder({1: address}, speaks, limits, max_streams=2000, connect_timeout=2 * S)
     loop, latencies, worst = asyncio.get_running_loop(), HdrHistogram(1, 60_000_000, 3), 0
     for n in range(200):  # connections come up, tables fill
@@ -96,7 +96,7 @@
 
 async def _most(address, speaks, seconds):
     """GETs a second with 100 always open on one connection: where the transport's own cost sets the limit."""
-    lines_transport.CONNECTIONS = 1
+    lines_transport.CONNECTIONS_PER_CACHE = 1
     recorder = Recorder(
         {1: address}, speaks, Limits(connections=1, streams=200, stalled=10 * S), max_streams=200
     )
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -15,7 +15,7 @@
 from sprucegate.front.response_writer import ResponseWriter
 from sprucegate.routing.actions import AwaitSlot, CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
-from sprucegate.routing.response_cache import OWN_COPIES_BYTES
+from sprucegate.routing.response_cache import RESPONSE_CACHE_BYTES
 from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.upstream.hosts import EndpointList
@@ -43,7 +43,9 @@
         self.compacts_at = COMPACTED
         self.timer, self.armed, self.membership, self.fleet = None, None, None, None
         self.places = None  # who shares out places for slow fills; None: each starts at once
-        self.copies = ResponseCache(min(OWN_COPIES_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link)
+        self.copies = ResponseCache(
+            min(RESPONSE_CACHE_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link
+        )
 
     # What happens.
 
--- a/sprucegate/routing/response_cache.py
+++ b/sprucegate/routing/response_cache.py
@@ -7,7 +7,7 @@
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.units import MILLISECOND
 
-OWN_COPIES_BYTES = 64 << 20
+RESPONSE_CACHE_BYTES = 64 << 20
 QUEUE_TIMES_SENDING_TIME_MAX = (
     5 * MILLISECOND * 100 * MILLISECOND
 )  # outgoing link queue (ns) times sending time (ns)
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict, deque
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
-from sprucegate.routing.router import CONNECTIONS, STALLED
+from sprucegate.routing.router import CONNECTIONS_PER_CACHE, STALL_TIMEOUT_NS
 from sprucegate.upstream.lines import codec
 from sprucegate.upstream.lines.connection import LineConnection
 from sprucegate.upstream.progress import Progress
@@ -134,7 +134,7 @@
         ours = self.servers
         # One for each place is kept free, as far as there are so many.
         kept_free = min(len(ours.places), ours.most // 2)
-        full = len(place.held) >= CONNECTIONS or ours.connections >= ours.most - kept_free
+        full = len(place.held) >= CONNECTIONS_PER_CACHE or ours.connections >= ours.most - kept_free
         # Half of an answer that nobody waits for may never go on, and would take its connection with it.
         if best is not None and (not best.open and not best.reader.partial() or full):
             return best
@@ -344,7 +344,7 @@
             connection.watched = False
             if connection.closed or not connection.reader.partial():
                 continue
-            if connection.heard + STALLED > now:
+            if connection.heard + STALL_TIMEOUT_NS > now:
                 self._watch(connection)
                 continue
             self.driver.log("cache_stalled", cache=connection.place.name, forwards=len(connection.open))
@@ -352,7 +352,7 @@
 
     def _watch(self, connection):
         # Looked at once in so long, not at each read: large answers come in many.
-        connection.watched, due = True, self.driver.clock() + STALLED
+        connection.watched, due = True, self.driver.clock() + STALL_TIMEOUT_NS
         self.stalls.append((due, connection))
         self.driver.armed_by(due)
 
