--- a/benchmarks/walks.py
+++ b/benchmarks/walks.py
@@ -218,7 +218,7 @@
         if copy is None or asked.write:
             return False
         made, since = copy
-        owns = router.may_answer_from_own_copy(asked, made, since, self.chance.randrange(20 * MS), self.now)
+        owns = router.may_serve_stored_response(asked, made, since, self.chance.randrange(20 * MS), self.now)
         self.digest.add(owns)
         return owns
 
@@ -312,7 +312,7 @@
 
     def _keep_copy(self, router, asked):
         made = self.now - self.chance.randrange(4 * S)
-        keeps = router.should_store_own_copy(asked, made, self.now)
+        keeps = router.should_store_response(asked, made, self.now)
         self.digest.add(keeps)
         if keeps:
             self.copies[self.routers.index(router), asked.object, asked.part] = made, self.now
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -91,7 +91,7 @@
         if (
             copy is None
             or get.asked.write
-            or not self.router.may_answer_from_own_copy(
+            or not self.router.may_serve_stored_response(
                 get.asked, copy.made, copy.since, self.copies.wait(now), now
             )
         ):
@@ -170,7 +170,7 @@
             self.relay.answer(out.get, 200, said.body, tagged(said.tag))
             get, now = out.get, self.clock()
             made = self._made(out, said, now)
-            if made is not None and self.router.should_store_own_copy(get.asked, made, now):
+            if made is not None and self.router.should_store_response(get.asked, made, now):
                 self.copies.put((get.ds, get.thing, get.part), CachedResponse(said.body, said.tag, made, now))
         self.book.count("gets_returned")
 
--- a/sprucegate/front/response_cache.py
+++ b/sprucegate/front/response_cache.py
@@ -1,6 +1,6 @@
 """The front's own response cache: stored responses and the queue on its outgoing link.
 
-Whether a stored response may be used is decided by the router (`may_answer_from_own_copy`, `should_store_own_copy`).
+Whether a stored response may be used is decided by the router (`may_serve_stored_response`, `should_store_response`).
 """
 
 from collections import OrderedDict
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -253,7 +253,7 @@
         """Record a purge of an object, or of a group if `identifier` is negative, issued `age` ns ago."""
         self.invalidations.invalidate(identifier, group, age, now)
 
-    def may_answer_from_own_copy(
+    def may_serve_stored_response(
         self, request: Request, generated_at: int, stored_at: int, link_queue: int, now: int
     ) -> bool:
         """Whether the request may be answered from a response that this process stored.
@@ -264,7 +264,7 @@
         """
         return self.response_cache.may_serve(request, generated_at, stored_at, link_queue, now)
 
-    def should_store_own_copy(self, request: Request, generated_at: int, now: int) -> bool:
+    def should_store_response(self, request: Request, generated_at: int, now: int) -> bool:
         """Whether to store a response that was generated at `generated_at` (ns)."""
         return self.response_cache.should_store(request, generated_at, now)
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -558,14 +558,14 @@
     made, request = router(), asked(ds=ds)
     if purged_ago is not None:
         made.invalidate(request.object, -1, purged_ago, NOW)
-    assert made.may_answer_from_own_copy(request, NOW - age, NOW - stored_ago, queue, NOW) is allowed
+    assert made.may_serve_stored_response(request, NOW - age, NOW - stored_ago, queue, NOW) is allowed
 
 
 @pytest.mark.parametrize("ds, requests, stored", [(0, 1, False), (0, 2, True), (2, 2, False)])
 def test_only_responses_to_repeated_reads_are_stored(ds, requests, stored):
     made, request = router(), asked(ds=ds)
     made.digest.record_of(request, NOW).counts[0] = requests
-    assert made.should_store_own_copy(request, NOW - MS, NOW) is stored
+    assert made.should_store_response(request, NOW - MS, NOW) is stored
 
 
 @pytest.mark.parametrize(
