--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -184,7 +184,9 @@
         nodes = self.driver.router.group("origin")
         now = self.driver.clock()
         return (
-            {"origin": "rests"} if nodes and all(now < node.as_cache.ejected_until for node in nodes) else {}
+            {"origin": "rests"}
+            if nodes and all(now < node.cache_health.ejected_until for node in nodes)
+            else {}
         )
 
     def warm(self, box, start):
--- a/sprucegate/routing/attempt_results.py
+++ b/sprucegate/routing/attempt_results.py
@@ -160,7 +160,7 @@
             return status
         if attempt.source is attempt.cache:
             return CacheStatus.HIT
-        if slowness <= CONGESTED_SLOWNESS * max(1.0, attempt.cache.as_cache.slowness(self.load.now)):
+        if slowness <= CONGESTED_SLOWNESS * max(1.0, attempt.cache.cache_health.slowness(self.load.now)):
             return CacheStatus.HIT
         return CacheStatus.UNKNOWN if attempt.believed else CacheStatus.FILLED
 
@@ -194,7 +194,7 @@
         attempt = result.attempt
         slowness = self._slowness(result)
         is_cache_speed = result.status in HITS or result.status is CacheStatus.UNKNOWN
-        attempt.cache.as_cache.record(
+        attempt.cache.cache_health.record(
             result.now, True, slowness if is_cache_speed else 0, attempt.concurrent_transfers
         )
         if attempt.fill and result.status in (CacheStatus.FILLED, CacheStatus.COLLAPSED):
@@ -214,7 +214,7 @@
         if not runs_at_origin and cache.role == "cache":
             self.digest.add_belief(record, cache, result.now)
         if result.status in FILLS:
-            source.as_source.record(result.now, True, self._slowness(result))
+            source.source_health.record(result.now, True, self._slowness(result))
             if source.role == "cache":
                 self.digest.add_belief(record, source, result.now)
 
@@ -231,7 +231,7 @@
             grace_time = self.settings.of_service("grace_time", state.request.delivery_service, 0)
             state.no_retry = not grace_time
         else:
-            source.as_source.record(result.now, False, 0)
+            source.source_health.record(result.now, False, 0)
 
     def _record_cache_failure(self, result: AttemptResult, record: ObjectRecord) -> None:
         """Record a failure of the cache.
@@ -242,7 +242,7 @@
         cache = result.attempt.cache
         result.state.failed_servers.add(cache.index)
         if result.outcome not in _NOT_CACHE_FAILURES and (record.returned or not result.unspecified_error):
-            cache.as_cache.record(result.now, False, 0)
+            cache.cache_health.record(result.now, False, 0)
 
     def _evaluate(self, result: AttemptResult) -> None:
         cache: Server = result.attempt.cache
--- a/sprucegate/routing/fill_source.py
+++ b/sprucegate/routing/fill_source.py
@@ -116,7 +116,7 @@
                 server is not cache
                 and server.index not in state.failed_servers
                 and (near or allowed == "any")
-                and max(server.as_source.ejected_until, server.as_cache.ejected_until) <= now
+                and max(server.source_health.ejected_until, server.cache_health.ejected_until) <= now
                 and self.slow_start.has_budget(server, state.request.delivery_service, now)
             ):
                 return server, expires_at - now <= RECHECK_MARGIN_NS
@@ -155,7 +155,7 @@
         usable = (
             parent
             for parent in ranked
-            if max(parent.as_source.ejected_until, parent.unreachable_until) <= now
+            if max(parent.source_health.ejected_until, parent.unreachable_until) <= now
             and parent.index not in state.failed_servers
             and self.slow_start.has_budget(parent, request.delivery_service, now)
         )
--- a/sprucegate/routing/gossip.py
+++ b/sprucegate/routing/gossip.py
@@ -42,7 +42,7 @@
         """
         entries: list[EjectionGossip | BeliefGossip] = []
         for _, server in sorted(self.outliers.possible_outliers()):
-            for health in (server.as_cache, server.as_source):
+            for health in (server.cache_health, server.source_health):
                 slowness = health.slowness(now)
                 if health.ejected_until > now or slowness > SLOWNESS_SENT_MIN:
                     entries.append(_ejection(server, health, slowness, now))
@@ -89,7 +89,7 @@
     def _receive_ejection(
         self, entry: EjectionGossip, server: Server, time_left: int, sampled_at: int, now: int
     ) -> None:
-        health = server.as_source if entry.as_source else server.as_cache
+        health = server.source_health if entry.as_source else server.cache_health
         if entry.slowness and not any(now - at < SAMPLE_AGE_MAX_NS for at, _, _ in health.slowness_samples):
             health.slowness_samples.extend([(sampled_at, entry.slowness / SLOWNESS_UNIT, 1)] * SAMPLES_MIN)
         if time_left > 0 and not any(now - at < SAMPLE_AGE_MAX_NS for at, _ in health.results):
@@ -102,7 +102,7 @@
     return EjectionGossip(
         server.id,
         server.started,
-        health is server.as_source,
+        health is server.source_health,
         max(0, health.ejected_until - now),
         int(SLOWNESS_UNIT * slowness),
         now - health.slowness_samples[-1][0] if slowness else 0,
--- a/sprucegate/routing/inbound_link.py
+++ b/sprucegate/routing/inbound_link.py
@@ -74,8 +74,8 @@
     def record_fill(self, source: Server, slowness: float, concurrent_transfers: int, now: int) -> None:
         """Record the slowness of a fill, unless its source is slower than its peers and thus the cause."""
         peers, _ = self.outliers.comparison_group("parent")
-        peer_slowness = [speed for peer in peers if (speed := peer.as_source.slowness(now))] or [
+        peer_slowness = [speed for peer in peers if (speed := peer.source_health.slowness(now))] or [
             PEER_SLOWNESS_DEFAULT
         ]
-        if source.as_source.slowness(now) <= SIMILAR_SLOWNESS_RATIO * median_low(peer_slowness):
+        if source.source_health.slowness(now) <= SIMILAR_SLOWNESS_RATIO * median_low(peer_slowness):
             self.health.record(now, True, slowness, concurrent_transfers)
--- a/sprucegate/routing/outlier_detection.py
+++ b/sprucegate/routing/outlier_detection.py
@@ -37,7 +37,7 @@
         recent.move_to_end(server.index)
         if len(recent) > RECENT_SERVERS_MAX:
             recent.popitem(last=False)
-        health = server.as_cache
+        health = server.cache_health
         if server.role == "cache" and (
             server.unreachable_until or health.on_probation or health.ejected_until
         ):
@@ -50,16 +50,16 @@
 
     def evaluate_cache(self, cache: Server, attributable: bool, now: int) -> None:
         """Eject the server as a cache if its last result shows it to be an outlier."""
-        if cache.as_cache.needs_evaluation(now):
+        if cache.cache_health.needs_evaluation(now):
             peers, idle = self.comparison_group("cache")
-            cache.as_cache.evaluate([peer.as_cache for peer in peers], attributable, now, idle)
+            cache.cache_health.evaluate([peer.cache_health for peer in peers], attributable, now, idle)
             self.health_changed(cache)
 
     def evaluate_source(self, source: Server, attributable: bool, now: int) -> None:
         """Eject the server as a fill source if its last result shows it to be an outlier."""
-        if source.as_source.needs_evaluation(now):
+        if source.source_health.needs_evaluation(now):
             peers, idle = self.comparison_group(source.role)
-            source.as_source.evaluate([peer.as_source for peer in peers], attributable, now, idle)
+            source.source_health.evaluate([peer.source_health for peer in peers], attributable, now, idle)
 
     def possible_outliers(self) -> ItemsView[int, Server]:
         """Index and server of all servers that may be slow or ejected."""
@@ -79,7 +79,7 @@
         unreachable: set[int] = set()
         ejected: list[Server] = []
         for index, server in list(self.suspects.items()):
-            health = server.as_cache
+            health = server.cache_health
             if not (server.unreachable_until or health.on_probation or health.ejected_until > now):
                 del self.suspects[index]
             elif not self.registry.in_group(server):
@@ -88,6 +88,6 @@
                 unreachable.add(index)
             elif health.ejected_until > now or health.on_probation and server.in_flight:
                 ejected.append(server)
-        ejected.sort(key=lambda server: (-server.as_cache.ejected_until, server.id))
+        ejected.sort(key=lambda server: (-server.cache_health.ejected_until, server.id))
         ejected_max = (len(self.registry.group("cache")) - len(unreachable)) // 2
         return unreachable.union([server.index for server in ejected[:ejected_max]])
--- a/sprucegate/routing/server.py
+++ b/sprucegate/routing/server.py
@@ -23,6 +23,7 @@
         reachable.
     :ivar in_flight: this router's attempts in flight at it.
     :ivar fills_in_flight: those of them that are expected to wait for a fill.
+    :ivar cache_health: its results as a cache; `source_health` has those as a fill source.
     :ivar started: start time of its process on the platform's clock (ns), 0 if unknown.
     :ivar restart_observed_at: when this router saw it become reachable again, None if `started` comes from
         the endpoint list.
@@ -33,7 +34,7 @@
 
     __slots__ = (
         "index", "id", "entry", "role", "label", "lane", "unreachable_until", "in_flight", "fills_in_flight",
-        "as_cache", "as_source", "load_report", "load_reported_at", "started", "restart_observed_at",
+        "cache_health", "source_health", "load_report", "load_reported_at", "started", "restart_observed_at",
         "slow_start_budget", "slow_start_budget_at",
     )  # fmt: skip
 
@@ -51,8 +52,8 @@
 
     def on_restart(self, started: int, restart_observed_at: int | None = None) -> None:
         """Reset what was learned of the previous process; attempts in flight stay counted."""
-        self.as_cache = HealthRecord()
-        self.as_source = HealthRecord()
+        self.cache_health = HealthRecord()
+        self.source_health = HealthRecord()
         self.load_report: dict[str, float] = {}
         self.load_reported_at = LONG_AGO
         self.started = started
@@ -80,7 +81,7 @@
             if now - self.load_reported_at < CONGESTION_REPORT_AGE_MAX_NS
             else 0
         )
-        sampled = self.as_cache.expected_slowness(self.in_flight - self.fills_in_flight + 1, now)
+        sampled = self.cache_health.expected_slowness(self.in_flight - self.fills_in_flight + 1, now)
         return max(SLOWNESS_PER_REPORTED_REQUEST * reported / self.entry.weight, sampled)
 
     def requests_in_flight(self, now: int) -> float:
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -171,7 +171,7 @@
 def test_a_slow_cache_is_skipped():
     made = router()
     first = made.cache_selector.select(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[0]
-    first.as_cache.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
+    first.cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
     first.in_flight = 40
     later = NOW + ESTIMATE_AGE_MAX_NS
     second, in_time = made.cache_selector.select(
@@ -184,7 +184,7 @@
     made = router()
     made.random.next_float = lambda text: 0.99
     for cache in CACHES:
-        node(made, cache).as_cache.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
+        node(made, cache).cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
         node(made, cache).in_flight = 40
     assert state_with(made, asked()).route(NOW) == [RejectRequest(S)]
 
@@ -407,7 +407,7 @@
 def test_at_most_half_of_the_caches_are_ejected():
     made = router()
     for cache in CACHES:
-        node(made, cache).as_cache.ejected_until = NOW + S
+        node(made, cache).cache_health.ejected_until = NOW + S
         made.outliers.health_changed(node(made, cache))
     assert len(made.outliers.excluded(NOW)) == 2
 
@@ -436,7 +436,7 @@
     state = state_with(made, asked(size=100), None)
     state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
     record_result(made, state, state.attempts[0], outcome, status, S, 0, {}, NOW)
-    health = node(made, 11).as_cache
+    health = node(made, 11).cache_health
     assert ([success for _, success in health.results], len(health.slowness_samples)) == (
         successes,
         slowness_samples,
@@ -447,7 +447,7 @@
 def test_fills_of_a_slow_parent_are_no_samples_of_the_link(slowness, samples):
     made = router(client_kb_per_s=1000)
     for parent, slow in zip(PARENTS, (slowness, 1.0), strict=True):
-        node(made, parent).as_source.slowness_samples.extend((NOW, slow, 0) for _ in range(4))
+        node(made, parent).source_health.slowness_samples.extend((NOW, slow, 0) for _ in range(4))
         made.outliers.health_changed(node(made, parent))
     state = state_with(made, asked(size=100), None)
     state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
@@ -583,7 +583,10 @@
     state, fill = state_with(made, request, None), Fill(node(made, PARENTS[0]), NOW, NOW + S, None)
     state.attempts[0].fill, made.digest.record_of(request, NOW).returned = fill, returned
     record_result(made, state, state.attempts[0], AttemptOutcome.ERROR, status, MS, 0, {}, NOW)
-    assert len(node(made, 11).as_cache.results) == against_cache and (fill.on_time is False) == against_source
+    assert (
+        len(node(made, 11).cache_health.results) == against_cache
+        and (fill.on_time is False) == against_source
+    )
 
 
 @pytest.mark.parametrize(
@@ -611,7 +614,7 @@
         record_result(
             made, state, attempt, AttemptOutcome.RESET, CacheStatus.UNKNOWN, MS, 0, {}, NOW + at * 1000
         )
-    assert len(node(made, 11).as_cache.results) == 1 and node(made, 11).as_cache.ejected_until == 0
+    assert len(node(made, 11).cache_health.results) == 1 and node(made, 11).cache_health.ejected_until == 0
 
 
 def test_some_fills_are_sent_as_trials_over_a_full_link():
@@ -760,16 +763,16 @@
 def test_an_ejection_from_gossip_needs_no_own_results_and_never_shortens_an_ejection():
     made, _ = with_gossip(EjectionGossip(21, 0, True, 4 * S, 0, 0), EjectionGossip(22, 0, True, -S, 0, 0))
     assert (
-        node(made, 21).as_source.ejected_until == NOW + 1950 * MS
-        and not node(made, 22).as_source.ejected_until
+        node(made, 21).source_health.ejected_until == NOW + 1950 * MS
+        and not node(made, 22).source_health.ejected_until
     )
-    node(made, 22).as_source.results.append((NOW, True))
+    node(made, 22).source_health.results.append((NOW, True))
     made.receive_gossip(
         [EjectionGossip(22, 0, True, 4 * S, 0, 0), EjectionGossip(21, 0, True, MS, 0, 0)], 0, NOW
     )
     assert (
-        not node(made, 22).as_source.ejected_until
-        and node(made, 21).as_source.ejected_until == NOW + 1950 * MS
+        not node(made, 22).source_health.ejected_until
+        and node(made, 21).source_health.ejected_until == NOW + 1950 * MS
     )
 
 
@@ -780,7 +783,7 @@
         for _ in range(requests):
             made.start_request(request, NOW)
         believed(made, request, 12, expiry=NOW + expiry)
-    node(made, 13).as_cache.ejected_until = NOW + S
+    node(made, 13).cache_health.ejected_until = NOW + S
     made.outliers.health_changed(node(made, 13))
     assert made.gossip_to_send(9, NOW) == [
         EjectionGossip(13, 0, False, S, 0, 0),
@@ -795,7 +798,7 @@
 
 def test_slowness_from_gossip_is_used_without_own_samples_and_keeps_its_age():
     made, _ = with_gossip(EjectionGossip(12, 0, False, 0, 2500, 0))
-    health = node(made, 12).as_cache
+    health = node(made, 12).cache_health
     assert (
         health.slowness(NOW) == 2.5
         and not health.ejected_until
@@ -815,7 +818,7 @@
             for receiver in routers:
                 if receiver is not sender:
                     receiver.receive_gossip(entries, MS, now)
-    assert not any(node(sender, 12).as_cache.slowness(now) for sender in routers)
+    assert not any(node(sender, 12).cache_health.slowness(now) for sender in routers)
 
 
 def test_purges_are_kept_until_applied_and_expire_a_few_per_call():
