--- a/sprucegate/front/configuration_checks.py
+++ b/sprucegate/front/configuration_checks.py
@@ -6,7 +6,7 @@
 
 from math import isfinite
 
-from sprucegate.simulator.settings import NAMES
+from sprucegate.simulator.settings import SETTINGS_BY_PATH
 
 WORDS = {
     "tells": ("all", "hit", "none"),
@@ -32,7 +32,7 @@
 )
 SHARES = ("cold_share", "parent_cold_share")
 BY_LOCATION = ("link_in_kb_per_s", "fronts_by_location", "hub_of_location")
-PATHS = {name: path for path, (name, _) in NAMES.items()}
+PATHS = {name: path for path, (name, _) in SETTINGS_BY_PATH.items()}
 
 
 def fault(settings, locations):
--- a/sprucegate/simulator/settings.py
+++ b/sprucegate/simulator/settings.py
@@ -27,7 +27,7 @@
 LOAD_BY = {"piggyback": "answers", "pull": "probe", "silent": "none"}
 DISCOVERY = {"automatic": "push", "subscribe": "ask"}
 
-NAMES = {
+SETTINGS_BY_PATH = {
     "allowed.attemptsCap": ("max_forwards", int),
     "allowed.cancel": ("cancel", parse_bool),
     "allowed.connectTimeout": ("connect_timeout", _microseconds),
@@ -107,7 +107,9 @@
         except ValueError:
             raise make_error(f"has an invalid setting: {path}={fields[path][:60]!r}") from None
 
-    settings = {name: value(path, parse) for path, (name, parse) in NAMES.items() if path in fields}
+    settings = {
+        name: value(path, parse) for path, (name, parse) in SETTINGS_BY_PATH.items() if path in fields
+    }
     count = value("categories.count", int) if "categories.count" in fields else 0
     if not 0 <= count <= DELIVERY_SERVICES_MAX:
         raise make_error(f"has an invalid count of {count} delivery services")
