--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -36,7 +36,7 @@
 from sprucegate.routing.actions import AwaitSlot
 from standins.fleet import explore_shares, filling, sharing
 from standins.fleet.rig import Rig
-from tests.helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, router
+from tests.helpers import CACHES, NOW, ORIGIN, PARENTS, add_beliefs, make_request, make_router
 
 MS, S = 1_000_000, 1_000_000_000
 TERMS = QuotaSettings((Tenant(1, 0), Tenant(1, 0), Tenant(2, 0)), ("a", "b", "c"), {21: 6, 31: 2}, S, 20)
@@ -46,8 +46,8 @@
 
 
 def test_a_slow_get_waits_before_anything_is_counted_and_a_hit_or_a_write_never_does():
-    made = router()
-    ask = asked()
+    made = make_router()
+    ask = make_request()
     made.slot_limited_sources = {PARENTS[0], PARENTS[1], ORIGIN}
     get = made.start_request(ask, NOW)
     out = sum(n.in_flight for n in made.registry.servers.values())
@@ -62,13 +62,13 @@
     [sent] = get.route(NOW)
     assert sent.fill_source == said.fill_source
     for cache in CACHES:
-        believed(made, ask, cache)
+        add_beliefs(made, ask, cache)
     assert not isinstance(
         made.start_request(ask, NOW).route(NOW)[0], AwaitSlot
     )  # a sibling, or the cache itself, has it
-    assert not isinstance(made.start_request(asked(ds=2), NOW).route(NOW)[0], AwaitSlot)
+    assert not isinstance(made.start_request(make_request(ds=2), NOW).route(NOW)[0], AwaitSlot)
     made.slot_limited_sources = ()
-    assert not isinstance(made.start_request(asked(obj=5), NOW).route(NOW)[0], AwaitSlot)
+    assert not isinstance(made.start_request(make_request(obj=5), NOW).route(NOW)[0], AwaitSlot)
 
 
 # In one front.
--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -5,7 +5,7 @@
 import sys
 
 import pytest
-from helpers import NOW, REAL, Front, asked, cache, get_text, host, router, served
+from helpers import NOW, REAL, Front, cache, get_text, host, make_request, make_router, served
 
 from sprucegate.front import configuration
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
@@ -147,13 +147,13 @@
 
 def decisions(**settings):
     """What a front forwards while some answers are slow and none says what it was; told links are small."""
-    made = router(
+    made = make_router(
         client_kb_per_s=1000.0, link_in_kb_per_s=[0.0, 2000.0], fronts_by_location=[0, 4], **settings
     )
     said = []
     for at in range(80):
         now = NOW + at * 50 * MS
-        get = made.start_request(asked(f"r-{at}", obj=at % 9, size=300), now)
+        get = made.start_request(make_request(f"r-{at}", obj=at % 9, size=300), now)
         said += get.route(now)
         if get.open_attempts() and at % 3:
             get.attempt_ended(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -50,31 +50,31 @@
 CACHES, PARENTS, ORIGIN = (11, 12, 13, 14), (21, 22), 31
 
 
-def entry(cache, state=EndpointState.SERVING, started=0):
+def make_endpoint(cache, state=EndpointState.SERVING, started=0):
     kind = 3 if cache == ORIGIN else 2 if cache in PARENTS else 0
     return Endpoint(cache, 0 if kind else 1, kind, 0, state, 1.0, started)
 
 
-def router(states=(), **settings):
+def make_router(states=(), **settings):
     """A front that has a list: four caches, two parents at its hub and the origin."""
     made = Router(RoutingSettings.from_mapping({**SETTINGS, **settings}), 7, NOW)
     special = {e.id: e for e in states}
-    made.update_endpoints([special.get(c, entry(c)) for c in (*CACHES, *PARENTS, ORIGIN)], True, NOW)
+    made.update_endpoints([special.get(c, make_endpoint(c)) for c in (*CACHES, *PARENTS, ORIGIN)], True, NOW)
     return made
 
 
-def asked(key="r-1", obj=99, ds=0, ttl=3 * S, group=5, size=0):
+def make_request(key="r-1", obj=99, ds=0, ttl=3 * S, group=5, size=0):
     return Request(key, obj, 0, group, ds, size, False, False, ttl)
 
 
-def node(made, cache):
+def server_with_id(made, cache):
     return made.registry.servers[made.registry.index_of[cache]]
 
 
-def believed(made, ask, *caches, expiry=NOW + 5 * S, since=NOW - MS):
+def add_beliefs(made, ask, *caches, expiry=NOW + 5 * S, since=NOW - MS):
     record = made.digest.record_of(ask, NOW)
     for cache in caches:
-        started = node(made, cache).entry.started
+        started = server_with_id(made, cache).entry.started
         record.beliefs[made.registry.index_of[cache]] = Belief(expiry, since, started)
     return record
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,7 +1,17 @@
 """Unit tests of the routing decisions, each on directly built state."""
 
 import pytest
-from helpers import CACHES, NOW, ORIGIN, PARENTS, asked, believed, entry, node, router
+from helpers import (
+    CACHES,
+    NOW,
+    ORIGIN,
+    PARENTS,
+    add_beliefs,
+    make_endpoint,
+    make_request,
+    make_router,
+    server_with_id,
+)
 
 from sprucegate.routing.actions import FailRequest, RejectRequest, SendAttempt
 from sprucegate.routing.attempt_results import AttemptResult
@@ -32,7 +42,7 @@
     """State of a GET whose attempts had these outcomes; None for an attempt in flight."""
     state = RequestState(made, request, at)
     for outcome in outcomes:
-        attempt = Attempt(node(made, cache), node(made, PARENTS[0]), 1)
+        attempt = Attempt(server_with_id(made, cache), server_with_id(made, PARENTS[0]), 1)
         attempt.is_open, attempt.outcome = outcome is None, outcome
         state.attempts.append(attempt)
     return state
@@ -66,18 +76,18 @@
 
 @pytest.mark.parametrize("rejected_ago, counted", [(None, 1), (S, 0), (3 * S, 1)])
 def test_a_retry_after_a_rejection_is_not_counted(rejected_ago, counted):
-    made = router()
+    made = make_router()
     if rejected_ago is not None:
-        made.digest.record_of(asked(), NOW).rejected_at = NOW - rejected_ago
-    made.start_request(asked(), NOW)
-    assert made.digest.record_of(asked(), NOW).counts[0] == counted
+        made.digest.record_of(make_request(), NOW).rejected_at = NOW - rejected_ago
+    made.start_request(make_request(), NOW)
+    assert made.digest.record_of(make_request(), NOW).counts[0] == counted
 
 
 def finish(outcome, status, source=PARENTS[0], before=()):
-    made = router()
-    record = believed(made, asked(), *before)
-    state = state_with(made, asked(), None)
-    state.attempts[0].source = node(made, source)
+    made = make_router()
+    record = add_beliefs(made, make_request(), *before)
+    state = state_with(made, make_request(), None)
+    state.attempts[0].source = server_with_id(made, source)
     record_result(made, state, state.attempts[0], outcome, status, 50 * MS, 5 * MS, {}, NOW)
     return {made.registry.servers[at].id for at in record.beliefs}
 
@@ -99,25 +109,25 @@
 
 @pytest.mark.parametrize("change", ["restart", "purge", "group purge", "drain", "expiry"])
 def test_restart_purge_drain_and_expiry_void_beliefs(change):
-    made = router()
-    record = believed(made, asked(), 12, expiry=NOW if change == "expiry" else NOW + S)
+    made = make_router()
+    record = add_beliefs(made, make_request(), 12, expiry=NOW if change == "expiry" else NOW + S)
     if change == "restart":
-        made.update_endpoints([entry(12, started=NOW)], False, NOW)
+        made.update_endpoints([make_endpoint(12, started=NOW)], False, NOW)
     elif change == "drain":
-        made.update_endpoints([entry(12, EndpointState.DRAINING)], False, NOW)
+        made.update_endpoints([make_endpoint(12, EndpointState.DRAINING)], False, NOW)
     elif change != "expiry":
         made.invalidate(99 if change == "purge" else -1, 5, 0, NOW)
-    assert made.digest.valid_beliefs(asked(), record, NOW) == {}
+    assert made.digest.valid_beliefs(make_request(), record, NOW) == {}
 
 
 @pytest.mark.parametrize(
     "remaining, recheck", [(RECHECK_MARGIN_NS // 2, True), (RECHECK_MARGIN_NS + S, False)]
 )
 def test_a_belief_that_expires_soon_is_rechecked(remaining, recheck):
-    made = router()
-    record = believed(made, asked(), 12, expiry=NOW + remaining)
-    assert made.sources.sibling(state_with(made, asked()), record, node(made, 11), NOW) == (
-        node(made, 12),
+    made = make_router()
+    record = add_beliefs(made, make_request(), 12, expiry=NOW + remaining)
+    assert made.sources.sibling(state_with(made, make_request()), record, server_with_id(made, 11), NOW) == (
+        server_with_id(made, 12),
         recheck,
     )
 
@@ -127,20 +137,23 @@
     [("location", True, True), ("location", False, False), ("any", False, True), ("none", True, False)],
 )
 def test_siblings_fill_only_if_the_settings_allow_it(allowed, same_location, used):
-    made = router([entry(12)._replace(location=1 if same_location else 0)], siblings=allowed)
-    record = believed(made, asked(), 12)
+    made = make_router([make_endpoint(12)._replace(location=1 if same_location else 0)], siblings=allowed)
+    record = add_beliefs(made, make_request(), 12)
     assert (
-        made.sources.sibling(state_with(made, asked()), record, node(made, 11), NOW)[0] is not None
+        made.sources.sibling(state_with(made, make_request()), record, server_with_id(made, 11), NOW)[0]
+        is not None
     ) is used
 
 
 def test_selection_does_not_depend_on_the_order_of_the_endpoint_list():
-    one, other = router(), router()
+    one, other = make_router(), make_router()
     other.group("cache").reverse()
     for obj in range(50):
         selected = [
             made.cache_selector.select(
-                state_with(made, asked(obj=obj)), made.digest.record_of(asked(obj=obj), NOW), NOW
+                state_with(made, make_request(obj=obj)),
+                made.digest.record_of(make_request(obj=obj), NOW),
+                NOW,
             )[0].id
             for made in (one, other)
         ]
@@ -148,10 +161,10 @@
 
 
 def test_selection_distributes_objects_over_the_caches():
-    made = router()
+    made = make_router()
     selected = [
         made.cache_selector.select(
-            state_with(made, asked(obj=obj)), made.digest.record_of(asked(obj=obj), NOW), NOW
+            state_with(made, make_request(obj=obj)), made.digest.record_of(make_request(obj=obj), NOW), NOW
         )[0].id
         for obj in range(400)
     ]
@@ -160,33 +173,35 @@
 
 @pytest.mark.parametrize("count, width", [(1, 1), (6, 1), (12, 2), (30, 3)])  # small counts are noise
 def test_a_hot_object_is_spread_over_several_caches(count, width):
-    made = router()
+    made = make_router()
     made.load.sending_times[0] = [100 * MS]
     made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
-    record = made.digest.record_of(asked(), NOW)
+    record = made.digest.record_of(make_request(), NOW)
     record.counts = [count, 0, 0]
-    assert made.cache_selector.width(asked(), record, len(made.group("cache")), NOW) == width
+    assert made.cache_selector.width(make_request(), record, len(made.group("cache")), NOW) == width
 
 
 def test_a_slow_cache_is_skipped():
-    made = router()
-    first = made.cache_selector.select(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[0]
+    made = make_router()
+    first = made.cache_selector.select(
+        state_with(made, make_request()), made.digest.record_of(make_request(), NOW), NOW
+    )[0]
     first.cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
     first.in_flight = 40
     later = NOW + ESTIMATE_AGE_MAX_NS
     second, in_time = made.cache_selector.select(
-        state_with(made, asked()), made.digest.record_of(asked(), NOW), later
+        state_with(made, make_request()), made.digest.record_of(make_request(), NOW), later
     )
     assert second is not first and in_time
 
 
 def test_a_request_that_would_be_late_at_every_cache_is_rejected_with_retry_after():
-    made = router()
+    made = make_router()
     made.random.next_float = lambda text: 0.99
     for cache in CACHES:
-        node(made, cache).cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
-        node(made, cache).in_flight = 40
-    assert state_with(made, asked()).route(NOW) == [RejectRequest(S)]
+        server_with_id(made, cache).cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
+        server_with_id(made, cache).in_flight = 40
+    assert state_with(made, make_request()).route(NOW) == [RejectRequest(S)]
 
 
 @pytest.mark.parametrize(
@@ -194,18 +209,20 @@
     [([False] * 8, False, True), ([True] * 8, False, False), ([False] * 8, True, False)],
 )
 def test_fills_are_throttled_by_their_on_time_ratio(results, believed_held, cached_only):
-    made = router()
+    made = make_router()
     made.random.next_float = lambda text: 0.5
     for source in (*PARENTS, ORIGIN):
-        made.sources.fills.extend(Fill(node(made, source), NOW - S, NOW, on_time) for on_time in results)
-    believed(made, asked(), *(CACHES if believed_held else ()))
-    attempt = made.plan(state_with(made, asked()), NOW)
+        made.sources.fills.extend(
+            Fill(server_with_id(made, source), NOW - S, NOW, on_time) for on_time in results
+        )
+    add_beliefs(made, make_request(), *(CACHES if believed_held else ()))
+    attempt = made.plan(state_with(made, make_request()), NOW)
     assert attempt.only_if_cached is cached_only
 
 
 def test_a_fill_in_flight_past_its_objective_counts_as_late():
-    made = router()
-    source = node(made, PARENTS[0])
+    made = make_router()
+    source = server_with_id(made, PARENTS[0])
     made.sources.fills.extend(Fill(source, NOW - S, NOW - MS, None) for _ in range(6))
     assert made.sources.on_time_ratios([source], NOW)[0] < 0.1
 
@@ -222,32 +239,34 @@
     ],
 )
 def test_a_non_idempotent_request_is_never_executed_twice(effect, outcomes, age, action):
-    made = router(effect=["idempotent", "idempotent", effect])
-    state = state_with(made, asked(ds=2, ttl=9 * S), *outcomes)
+    made = make_router(effect=["idempotent", "idempotent", effect])
+    state = state_with(made, make_request(ds=2, ttl=9 * S), *outcomes)
     assert isinstance(state.route(NOW + age)[0], action)
 
 
 @pytest.mark.parametrize("ds, retries_max", [(2, 3), (0, 2), (1, 1)])
 def test_maximum_attempts_depend_on_revenue(ds, retries_max):
-    made = router(effect=["idempotent"] * 3)
+    made = make_router(effect=["idempotent"] * 3)
     allowed = [
-        made.retry_policy.may_attempt(state_with(made, asked(ds=ds), *[AttemptOutcome.FULL] * sent), NOW)
+        made.retry_policy.may_attempt(
+            state_with(made, make_request(ds=ds), *[AttemptOutcome.FULL] * sent), NOW
+        )
         for sent in range(6)
     ]
     assert allowed == [sent <= retries_max for sent in range(6)]
 
 
 def test_an_exhausted_retry_budget_stops_retries():
-    made = router()
+    made = make_router()
     made.retry_policy.retries.extend([True] * 30 + [False] * 70)
-    assert not made.retry_policy.may_attempt(state_with(made, asked(), AttemptOutcome.FULL), NOW)
-    assert made.retry_policy.may_attempt(state_with(made, asked()), NOW)
+    assert not made.retry_policy.may_attempt(state_with(made, make_request(), AttemptOutcome.FULL), NOW)
+    assert made.retry_policy.may_attempt(state_with(made, make_request()), NOW)
 
 
 @pytest.mark.parametrize("outcome, retried", [(AttemptOutcome.NOT_SENT, True), (AttemptOutcome.FULL, False)])
 def test_an_attempt_that_was_not_sent_is_replaced_without_retry_budget(outcome, retried):
-    made = router()
-    state = made.start_request(asked(), NOW)
+    made = make_router()
+    state = made.start_request(make_request(), NOW)
     (first,) = state.route(NOW)
     made.retry_policy.retries.extend([True] * 30 + [False] * 70)
     (action,) = state.attempt_ended(first.number, outcome, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW + MS)
@@ -259,17 +278,17 @@
 
 
 def test_a_final_answer_is_given_at_the_deadline():
-    made = router()
-    state = made.start_request(asked(ttl=3 * S), NOW)
-    state.attempts = state_with(made, asked(), None).attempts
+    made = make_router()
+    state = made.start_request(make_request(ttl=3 * S), NOW)
+    state.attempts = state_with(made, make_request(), None).attempts
     when = made.next_deadline()
     assert when == NOW + 3 * S - ANSWER_MARGIN_NS
     assert isinstance(made.on_timer(when)[-1][1][0], RejectRequest)
 
 
 def test_nothing_follows_the_final_answer():
-    made = router()
-    state = state_with(made, asked(), None)
+    made = make_router()
+    state = state_with(made, make_request(), None)
     state.finished = True
     assert state.attempt_ended(0, AttemptOutcome.FULL, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW) == []
     assert state.client_disconnected(NOW) == []
@@ -277,16 +296,16 @@
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_draining_or_removed_server_receives_no_requests(state):
-    made = router()
-    believed(made, asked(), 11, 12, 13)
-    made.update_endpoints([entry(c, state) for c in (11, 12, 13, 21)], False, NOW)
-    attempt = made.plan(state_with(made, asked()), NOW)
+    made = make_router()
+    add_beliefs(made, make_request(), 11, 12, 13)
+    made.update_endpoints([make_endpoint(c, state) for c in (11, 12, 13, 21)], False, NOW)
+    attempt = made.plan(state_with(made, make_request()), NOW)
     assert (attempt.cache, attempt.fill_source) == (14, 22)
 
 
 def test_servers_missing_from_a_complete_list_are_removed():
-    made = router()
-    made.update_endpoints([entry(11)], True, NOW)
+    made = make_router()
+    made.update_endpoints([make_endpoint(11)], True, NOW)
     assert [n.id for n in made.group("cache")] == [11] and not made.group("parent")
 
 
@@ -301,19 +320,19 @@
     ],
 )
 def test_slow_start_earns_tokens(cache, ago, completed, allowed):
-    made = router([entry(c, started=NOW - 3 * S) for c in (11, 21)])
+    made = make_router([make_endpoint(c, started=NOW - 3 * S) for c in (11, 21)])
     made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(completed))
-    made.slow_start.has_budget(node(made, cache), 0, NOW - ago * MS)
-    assert made.slow_start.has_budget(node(made, cache), 0, NOW) is allowed
+    made.slow_start.has_budget(server_with_id(made, cache), 0, NOW - ago * MS)
+    assert made.slow_start.has_budget(server_with_id(made, cache), 0, NOW) is allowed
 
 
 def test_the_last_cold_cache_does_not_earn_the_share_of_removed_caches():
     """As the last one of its group it earned tokens for the work of all four and was sent 3.3 times its capacity."""
-    made = router([entry(11, started=NOW - 9 * S)])
+    made = make_router([make_endpoint(11, started=NOW - 9 * S)])
     made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
-    made.slow_start.has_budget(node(made, 11), 0, NOW - 2 * S)
-    among_four = made.load.rate(NOW), node(made, 11)
-    made.update_endpoints([entry(c, EndpointState.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S)
+    made.slow_start.has_budget(server_with_id(made, 11), 0, NOW - 2 * S)
+    among_four = made.load.rate(NOW), server_with_id(made, 11)
+    made.update_endpoints([make_endpoint(c, EndpointState.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S)
     sent, at = 0, NOW - 2 * S
     while at < NOW:
         at += 50 * MS
@@ -325,16 +344,17 @@
 
 def test_a_router_with_only_cold_caches_still_earns_tokens():
     """Without completed work the budget was 0; if requests can't bypass the caches, all were shed permanently."""
-    made = router([entry(c, started=NOW) for c in CACHES], direct=False)
+    made = make_router([make_endpoint(c, started=NOW) for c in CACHES], direct=False)
     actions = [
-        made.start_request(asked(f"r-{at}", obj=at), NOW + at * S).route(NOW + at * S)[0] for at in range(15)
+        made.start_request(make_request(f"r-{at}", obj=at), NOW + at * S).route(NOW + at * S)[0]
+        for at in range(15)
     ]
     assert any(isinstance(action, SendAttempt) for action in actions)
 
 
 def test_an_unknown_cache_status_is_not_counted():
-    made = router(tells="hit")
-    state = state_with(made, asked(), None)
+    made = make_router(tells="hit")
+    state = state_with(made, make_request(), None)
     record_result(
         made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, 50 * MS, 0, {}, NOW
     )
@@ -345,11 +365,11 @@
     """156 fronts with one GET per second each overloaded a cold parent when the first request of each was free."""
     sent = 0
     for number in range(150):
-        made = router([entry(21, started=NOW)], my_number=number)
+        made = make_router([make_endpoint(21, started=NOW)], my_number=number)
         made.load.completions.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
         for at in range(20):
-            if made.slow_start.has_budget(node(made, 21), 0, NOW + at * 100 * MS):
-                node(made, 21).slow_start_budget -= made.load.mean_sending_time(0)
+            if made.slow_start.has_budget(server_with_id(made, 21), 0, NOW + at * 100 * MS):
+                server_with_id(made, 21).slow_start_budget -= made.load.mean_sending_time(0)
                 sent += 1
     # All routers complete 60 s of work per second, 30 s per parent. The bound is fall_multiple (2) times that at
     # the cold share, over two seconds.
@@ -368,16 +388,16 @@
     ],
 )
 def test_copies_from_before_a_purge_are_not_acceptable(ds, purge_ago, identifier, age_limit):
-    made = router()
+    made = make_router()
     if purge_ago is not None:
         made.invalidate(identifier, 5 if identifier < 0 else 6, purge_ago, NOW)
-    assert made.invalidations.max_age(asked(ds=ds), False, NOW) == age_limit
+    assert made.invalidations.max_age(make_request(ds=ds), False, NOW) == age_limit
 
 
 def test_a_stale_copy_is_acceptable_only_within_the_grace_time():
-    made = router(grace_time=[0, 20 * S, 0])
-    assert made.invalidations.max_age(asked(ds=1), True, NOW) == 28 * S
-    assert made.invalidations.max_age(asked(ds=0), True, NOW) == 0
+    made = make_router(grace_time=[0, 20 * S, 0])
+    assert made.invalidations.max_age(make_request(ds=1), True, NOW) == 28 * S
+    assert made.invalidations.max_age(make_request(ds=0), True, NOW) == 0
 
 
 @pytest.mark.parametrize(
@@ -405,21 +425,23 @@
 
 
 def test_at_most_half_of_the_caches_are_ejected():
-    made = router()
+    made = make_router()
     for cache in CACHES:
-        node(made, cache).cache_health.ejected_until = NOW + S
-        made.outliers.health_changed(node(made, cache))
+        server_with_id(made, cache).cache_health.ejected_until = NOW + S
+        made.outliers.health_changed(server_with_id(made, cache))
     assert len(made.outliers.excluded(NOW)) == 2
 
 
 def test_the_origin_fills_if_there_is_no_parent():
-    made = router([entry(c, EndpointState.GONE) for c in PARENTS])
-    assert made.sources.parent_or_origin(state_with(made, asked()), NOW)[0].id == ORIGIN
+    made = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
+    assert made.sources.parent_or_origin(state_with(made, make_request()), NOW)[0].id == ORIGIN
 
 
 def test_a_first_request_of_unknown_size_is_expected_in_time():
-    made = router(objective_stretch=[0.0] * 3)
-    assert made.cache_selector.select(state_with(made, asked()), made.digest.record_of(asked(), NOW), NOW)[1]
+    made = make_router(objective_stretch=[0.0] * 3)
+    assert made.cache_selector.select(
+        state_with(made, make_request()), made.digest.record_of(make_request(), NOW), NOW
+    )[1]
 
 
 @pytest.mark.parametrize(
@@ -432,11 +454,11 @@
     ],
 )
 def test_a_slow_fill_does_not_affect_the_slowness_of_the_cache(outcome, status, successes, slowness_samples):
-    made = router()
-    state = state_with(made, asked(size=100), None)
-    state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
+    made = make_router()
+    state = state_with(made, make_request(size=100), None)
+    state.attempts[0].fill = Fill(server_with_id(made, 21), NOW, NOW, None)
     record_result(made, state, state.attempts[0], outcome, status, S, 0, {}, NOW)
-    health = node(made, 11).cache_health
+    health = server_with_id(made, 11).cache_health
     assert ([success for _, success in health.results], len(health.slowness_samples)) == (
         successes,
         slowness_samples,
@@ -445,30 +467,30 @@
 
 @pytest.mark.parametrize("slowness, samples", [(1.0, 1), (5.0, 0)])
 def test_fills_of_a_slow_parent_are_no_samples_of_the_link(slowness, samples):
-    made = router(client_kb_per_s=1000)
+    made = make_router(client_kb_per_s=1000)
     for parent, slow in zip(PARENTS, (slowness, 1.0), strict=True):
-        node(made, parent).source_health.slowness_samples.extend((NOW, slow, 0) for _ in range(4))
-        made.outliers.health_changed(node(made, parent))
-    state = state_with(made, asked(size=100), None)
-    state.attempts[0].fill = Fill(node(made, 21), NOW, NOW, None)
+        server_with_id(made, parent).source_health.slowness_samples.extend((NOW, slow, 0) for _ in range(4))
+        made.outliers.health_changed(server_with_id(made, parent))
+    state = state_with(made, make_request(size=100), None)
+    state.attempts[0].fill = Fill(server_with_id(made, 21), NOW, NOW, None)
     record_result(made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW)
     assert len(made.inbound_link.health.slowness_samples) == samples
 
 
 def test_an_unreachable_cache_is_excluded_then_retried_and_treated_as_restarted():
-    made = router()
-    state = state_with(made, asked(), None, None)
+    made = make_router()
+    state = state_with(made, make_request(), None, None)
     record_result(
         made, state, state.attempts[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW
     )
     assert made.outliers.excluded(NOW + MS) == {made.registry.index_of[11]}
     assert made.outliers.excluded(NOW + 2 * S) == set()
-    believed(made, asked(), 11)
+    add_beliefs(made, make_request(), 11)
     record_result(
         made, state, state.attempts[1], AttemptOutcome.RETURNED, CacheStatus.HIT, MS, 0, {}, NOW + 2 * S
     )
-    assert node(made, 11).started == NOW + 2 * S
-    assert node(made, 12).started == 0
+    assert server_with_id(made, 11).started == NOW + 2 * S
+    assert server_with_id(made, 12).started == 0
 
 
 @pytest.mark.parametrize(
@@ -487,12 +509,12 @@
 def test_a_late_fill_counts_against_the_source_that_caused_it(
     outcome, status, fill_wait, attributed_to, expected_on_time
 ):
-    made = router(client_kb_per_s=1000)
-    state = state_with(made, asked(size=100), None)
-    state.attempts[0].fill = fill = Fill(node(made, 21), NOW - 2 * S, NOW - S, None)
+    made = make_router(client_kb_per_s=1000)
+    state = state_with(made, make_request(size=100), None)
+    state.attempts[0].fill = fill = Fill(server_with_id(made, 21), NOW - 2 * S, NOW - S, None)
     record_result(made, state, state.attempts[0], outcome, status, 2 * S, fill_wait, {}, NOW)
     assert (fill.source.id, fill.on_time) == (attributed_to, expected_on_time)
-    assert expected_on_time is not None or made.sources.on_time_ratios([node(made, 21)], NOW) == [1]
+    assert expected_on_time is not None or made.sources.on_time_ratios([server_with_id(made, 21)], NOW) == [1]
 
 
 @pytest.mark.parametrize(
@@ -500,35 +522,35 @@
     [([True], [True], 21), ([False], [True], ORIGIN), ([False], [False], 21)],
 )
 def test_the_origin_replaces_failing_parents_while_it_is_on_time(parents_on_time, origin_on_time, source):
-    made = router()
+    made = make_router()
     made.sources.fills.extend(
-        Fill(node(made, parent), NOW - S, NOW, on_time)
+        Fill(server_with_id(made, parent), NOW - S, NOW, on_time)
         for on_time in parents_on_time * 20
         for parent in PARENTS
     )
     made.sources.fills.extend(
-        Fill(node(made, ORIGIN), NOW - S, NOW, on_time) for on_time in origin_on_time * 20
+        Fill(server_with_id(made, ORIGIN), NOW - S, NOW, on_time) for on_time in origin_on_time * 20
     )
-    assert made.sources.parent_or_origin(state_with(made, asked(obj=3)), NOW)[0].id in (
+    assert made.sources.parent_or_origin(state_with(made, make_request(obj=3)), NOW)[0].id in (
         source,
         22 if source == 21 else source,
     )
 
 
 def test_a_throttled_request_is_never_sent_to_the_origin():
-    made = router([entry(c, EndpointState.GONE) for c in PARENTS])
+    made = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
     made.random.next_float = lambda text: 0.99
-    made.sources.fills.extend(Fill(node(made, ORIGIN), NOW - S, NOW, False) for _ in range(20))
-    assert made.sources.parent_or_origin(state_with(made, asked()), NOW) == (None, False)
+    made.sources.fills.extend(Fill(server_with_id(made, ORIGIN), NOW - S, NOW, False) for _ in range(20))
+    assert made.sources.parent_or_origin(state_with(made, make_request()), NOW) == (None, False)
 
 
 @pytest.mark.parametrize(
     "utilization, age, cached_only", [(20.0, 0, True), (1.0, 0, False), (20.0, 2 * S, False)]
 )
 def test_no_fills_are_started_on_a_link_that_is_reported_full(utilization, age, cached_only):
-    made = router(client_kb_per_s=1000)
+    made = make_router(client_kb_per_s=1000)
     made.inbound_link.utilization, made.inbound_link.utilization_reported_at = utilization, NOW - age
-    attempt = made.plan(state_with(made, asked(size=500)), NOW)
+    attempt = made.plan(state_with(made, make_request(size=500)), NOW)
     assert attempt.only_if_cached is cached_only and (attempt.cache == attempt.fill_source) is cached_only
 
 
@@ -555,7 +577,7 @@
 def test_a_stored_response_is_served_while_young_unpurged_and_without_a_queue(
     ds, age, stored_ago, queue, purged_ago, allowed
 ):
-    made, request = router(), asked(ds=ds)
+    made, request = make_router(), make_request(ds=ds)
     if purged_ago is not None:
         made.invalidate(request.object, -1, purged_ago, NOW)
     assert made.may_serve_stored_response(request, NOW - age, NOW - stored_ago, queue, NOW) is allowed
@@ -563,7 +585,7 @@
 
 @pytest.mark.parametrize("ds, requests, stored", [(0, 1, False), (0, 2, True), (2, 2, False)])
 def test_only_responses_to_repeated_reads_are_stored(ds, requests, stored):
-    made, request = router(), asked(ds=ds)
+    made, request = make_router(), make_request(ds=ds)
     made.digest.record_of(request, NOW).counts[0] = requests
     assert made.should_store_response(request, NOW - MS, NOW) is stored
 
@@ -579,12 +601,12 @@
 def test_an_error_counts_against_the_server_that_can_have_caused_it(
     returned, status, against_cache, against_source
 ):
-    made, request = router(), asked(size=100)
-    state, fill = state_with(made, request, None), Fill(node(made, PARENTS[0]), NOW, NOW + S, None)
+    made, request = make_router(), make_request(size=100)
+    state, fill = state_with(made, request, None), Fill(server_with_id(made, PARENTS[0]), NOW, NOW + S, None)
     state.attempts[0].fill, made.digest.record_of(request, NOW).returned = fill, returned
     record_result(made, state, state.attempts[0], AttemptOutcome.ERROR, status, MS, 0, {}, NOW)
     assert (
-        len(node(made, 11).cache_health.results) == against_cache
+        len(server_with_id(made, 11).cache_health.results) == against_cache
         and (fill.on_time is False) == against_source
     )
 
@@ -600,29 +622,35 @@
     ],
 )
 def test_a_reset_or_cancelled_attempt_does_not_count_against_the_source(outcome, expected_on_time):
-    made = router()
-    state, fill = state_with(made, asked(size=100), None), Fill(node(made, PARENTS[0]), NOW, NOW + S, None)
+    made = make_router()
+    state, fill = (
+        state_with(made, make_request(size=100), None),
+        Fill(server_with_id(made, PARENTS[0]), NOW, NOW + S, None),
+    )
     state.attempts[0].fill = fill
     record_result(made, state, state.attempts[0], outcome, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
     assert fill.on_time is expected_on_time
 
 
 def test_a_connection_that_breaks_with_many_attempts_counts_as_one_failure():
-    made, state = router(), None
-    state = state_with(made, asked(), None, None, None, None)
+    made, state = make_router(), None
+    state = state_with(made, make_request(), None, None, None, None)
     for at, attempt in enumerate(state.attempts):
         record_result(
             made, state, attempt, AttemptOutcome.RESET, CacheStatus.UNKNOWN, MS, 0, {}, NOW + at * 1000
         )
-    assert len(node(made, 11).cache_health.results) == 1 and node(made, 11).cache_health.ejected_until == 0
+    assert (
+        len(server_with_id(made, 11).cache_health.results) == 1
+        and server_with_id(made, 11).cache_health.ejected_until == 0
+    )
 
 
 def test_some_fills_are_sent_as_trials_over_a_full_link():
-    made = router(client_kb_per_s=1000)
+    made = make_router(client_kb_per_s=1000)
     made.inbound_link.health.slowness_samples.extend((NOW, 20.0, 3) for _ in range(16))
     trials = 0
     for n in range(300):
-        state = RequestState(made, asked(f"r-{n}", obj=n, size=200), NOW)
+        state = RequestState(made, make_request(f"r-{n}", obj=n, size=200), NOW)
         attempt = made.plan(state, NOW)
         trials += attempt.fill_source != attempt.cache
         state.attempt_ended(0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, 0, {}, True, NOW)
@@ -630,22 +658,22 @@
 
 
 def test_a_removed_cache_that_returns_is_a_new_server():
-    made = router()
-    record, before = believed(made, asked(), 11), len(made.registry.servers)
+    made = make_router()
+    record, before = add_beliefs(made, make_request(), 11), len(made.registry.servers)
     for _ in range(50):
-        made.update_endpoints([entry(11, EndpointState.GONE)], False, NOW)
+        made.update_endpoints([make_endpoint(11, EndpointState.GONE)], False, NOW)
         assert len(made.registry.servers) == before - 1 and not made.digest.valid_beliefs(
-            asked(), record, NOW
+            make_request(), record, NOW
         )
-        made.update_endpoints([entry(11)], False, NOW)
+        made.update_endpoints([make_endpoint(11)], False, NOW)
     assert len(made.registry.servers) == len(
         made.registry.index_of
-    ) == before and not made.digest.valid_beliefs(asked(), record, NOW)
+    ) == before and not made.digest.valid_beliefs(make_request(), record, NOW)
 
 
 def test_a_restart_keeps_the_count_of_attempts_in_flight():
-    made = router()
-    made.plan(state_with(made, asked()), NOW)
+    made = make_router()
+    made.plan(state_with(made, make_request()), NOW)
     cache = next(n for n in made.registry.servers.values() if n.in_flight)
     cache.on_restart(NOW)
     assert cache.in_flight == 1
@@ -673,15 +701,15 @@
     tells, elapsed, believed_held, source, status
 ):
     """Unreported waits for fills looked like congested caches: hits were shed and a full link went unnoticed."""
-    made = router(**{**NO_STATUS_REPORTED, "tells": tells})
-    attempt = Attempt(node(made, 11), node(made, source), 1, believed_held)
+    made = make_router(**{**NO_STATUS_REPORTED, "tells": tells})
+    attempt = Attempt(server_with_id(made, 11), server_with_id(made, source), 1, believed_held)
     assert made.results.inferred_status(attempt, CacheStatus.UNKNOWN, elapsed / 400) is status
 
 
 @pytest.mark.parametrize("fills, hits, slowness", [(0, 0, 1.1), (3, 0, 4.4), (3, 64, 1.2)])
 def test_an_even_share_of_the_configured_link_rate_replaces_fill_samples(fills, hits, slowness):
     # The link carries 12 transfers for four fronts; LINK_SHARE of an even share is usable.
-    made = router(**NO_STATUS_REPORTED)
+    made = make_router(**NO_STATUS_REPORTED)
     made.inbound_link.fills_in_flight = fills
     made.inbound_link.recent_misses.extend([False] * hits or [True] * 64)
     assert made.inbound_link.expected_slowness(NOW) == pytest.approx(slowness, abs=0.06)
@@ -689,10 +717,12 @@
 
 def test_requests_that_bypass_the_caches_respect_the_inbound_link():
     """Without a usable cache 766 GETs in five seconds went straight to a parent, and 656 of them were late."""
-    made = router([entry(c, EndpointState.DRAINING) for c in CACHES], **NO_STATUS_REPORTED, direct=True)
-    assert made.start_request(asked(size=400), NOW).route(NOW)[0].cache in PARENTS
+    made = make_router(
+        [make_endpoint(c, EndpointState.DRAINING) for c in CACHES], **NO_STATUS_REPORTED, direct=True
+    )
+    assert made.start_request(make_request(size=400), NOW).route(NOW)[0].cache in PARENTS
     made.inbound_link.fills_in_flight = 40
-    actions = [made.start_request(asked(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
+    actions = [made.start_request(make_request(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
     assert sum(isinstance(action, RejectRequest) for action in actions) > 15
 
 
@@ -700,28 +730,32 @@
     "reported_ago, inflight, slowness", [(0, 2, 1.2), (0, 20, 12.0), (3 * S, 20, 1.0), (0, 0, 1.0)]
 )
 def test_reported_requests_per_weight_raise_the_expected_slowness(reported_ago, inflight, slowness):
-    made = router()
-    server = node(made, 11)
+    made = make_router()
+    server = server_with_id(made, 11)
     server.load_report, server.load_reported_at = {"inflight": inflight}, NOW - reported_ago
     assert server.expected_slowness(NOW) == pytest.approx(slowness)
 
 
 def test_parts_of_an_object_share_sending_times():
-    made = router()
-    first = asked(obj=7)
+    made = make_router()
+    first = make_request(obj=7)
     # Still in flight when the next part is requested.
     earlier = made.digest.record_of(first._replace(part=2), NOW)
     made.digest.record_of(first, NOW)
     earlier.sending_times.append(120 * MS)
-    assert made.load.sending_time(first._replace(part=3)) == 120 * MS != made.load.sending_time(asked(obj=8))
+    assert (
+        made.load.sending_time(first._replace(part=3))
+        == 120 * MS
+        != made.load.sending_time(make_request(obj=8))
+    )
     for obj in range(5000):
-        made.digest.record_of(asked(obj=1000 + obj), NOW)
+        made.digest.record_of(make_request(obj=1000 + obj), NOW)
     assert len(made.digest.sending_times) <= 4096
 
 
 def with_gossip(*entries):
     """A router that received these gossip entries 100 ms after they were sent, and a request for their object."""
-    made, request = router(), asked()
+    made, request = make_router(), make_request()
     made.receive_gossip(list(entries), 100 * MS, NOW)
     return made, request
 
@@ -729,7 +763,7 @@
 def test_a_belief_from_gossip_lasts_half_of_its_remaining_time_and_is_voided_by_a_purge():
     made, request = with_gossip(BeliefGossip(99, 0, 12, 0, 4 * S, S))
     assert made.digest.valid_beliefs(request, made.digest.record_of(request, NOW), NOW) == {
-        node(made, 12): NOW + 1950 * MS
+        server_with_id(made, 12): NOW + 1950 * MS
     }
     made.invalidate(99, -1, 500 * MS, NOW)
     assert made.digest.valid_beliefs(request, made.digest.record_of(request, NOW), NOW) == {}
@@ -737,7 +771,7 @@
 
 def test_a_belief_from_gossip_replaces_no_own_belief_and_requires_the_same_cache_start():
     made, request = with_gossip()
-    believed(made, request, 12, expiry=NOW + S)
+    add_beliefs(made, request, 12, expiry=NOW + S)
     made.receive_gossip(
         [
             BeliefGossip(99, 0, 12, 0, 8 * S, 0),
@@ -748,7 +782,7 @@
         NOW,
     )
     assert made.digest.valid_beliefs(request, made.digest.record_of(request, NOW), NOW) == {
-        node(made, 12): NOW + S
+        server_with_id(made, 12): NOW + S
     }
 
 
@@ -757,34 +791,34 @@
     first = made.start_request(request, NOW).route(NOW)[0].cache
     other = next(c for c in CACHES if c != first)
     made.receive_gossip([BeliefGossip(99, 0, other, 0, 8 * S, 0)], 0, NOW)
-    assert made.start_request(asked("r-2"), NOW).route(NOW)[0].fill_source == other
+    assert made.start_request(make_request("r-2"), NOW).route(NOW)[0].fill_source == other
 
 
 def test_an_ejection_from_gossip_needs_no_own_results_and_never_shortens_an_ejection():
     made, _ = with_gossip(EjectionGossip(21, 0, True, 4 * S, 0, 0), EjectionGossip(22, 0, True, -S, 0, 0))
     assert (
-        node(made, 21).source_health.ejected_until == NOW + 1950 * MS
-        and not node(made, 22).source_health.ejected_until
+        server_with_id(made, 21).source_health.ejected_until == NOW + 1950 * MS
+        and not server_with_id(made, 22).source_health.ejected_until
     )
-    node(made, 22).source_health.results.append((NOW, True))
+    server_with_id(made, 22).source_health.results.append((NOW, True))
     made.receive_gossip(
         [EjectionGossip(22, 0, True, 4 * S, 0, 0), EjectionGossip(21, 0, True, MS, 0, 0)], 0, NOW
     )
     assert (
-        not node(made, 22).source_health.ejected_until
-        and node(made, 21).source_health.ejected_until == NOW + 1950 * MS
+        not server_with_id(made, 22).source_health.ejected_until
+        and server_with_id(made, 21).source_health.ejected_until == NOW + 1950 * MS
     )
 
 
 def test_beliefs_are_sent_once_the_most_requested_first_and_none_that_expire_soon():
-    made = router()
+    made = make_router()
     for obj, requests, expiry in ((1, 1, 8 * S), (2, 5, 8 * S), (3, 9, S)):
-        request = asked(obj=obj)
+        request = make_request(obj=obj)
         for _ in range(requests):
             made.start_request(request, NOW)
-        believed(made, request, 12, expiry=NOW + expiry)
-    node(made, 13).cache_health.ejected_until = NOW + S
-    made.outliers.health_changed(node(made, 13))
+        add_beliefs(made, request, 12, expiry=NOW + expiry)
+    server_with_id(made, 13).cache_health.ejected_until = NOW + S
+    made.outliers.health_changed(server_with_id(made, 13))
     assert made.gossip_to_send(9, NOW) == [
         EjectionGossip(13, 0, False, S, 0, 0),
         BeliefGossip(2, 0, 12, 0, 8 * S, MS),
@@ -792,13 +826,13 @@
     ]
     assert (
         made.gossip_to_send(9, NOW + 1) == [EjectionGossip(13, 0, False, S - 1, 0, 0)]
-        and len(router().gossip_to_send(0, NOW)) == 0
+        and len(make_router().gossip_to_send(0, NOW)) == 0
     )
 
 
 def test_slowness_from_gossip_is_used_without_own_samples_and_keeps_its_age():
     made, _ = with_gossip(EjectionGossip(12, 0, False, 0, 2500, 0))
-    health = node(made, 12).cache_health
+    health = server_with_id(made, 12).cache_health
     assert (
         health.slowness(NOW) == 2.5
         and not health.ejected_until
@@ -810,7 +844,7 @@
 
 
 def test_slowness_gossip_among_routers_expires_with_its_sample():
-    routers, now = [router() for _ in range(3)], NOW
+    routers, now = [make_router() for _ in range(3)], NOW
     routers[0].receive_gossip([EjectionGossip(12, 0, False, 0, 2500, 0)], 0, NOW)
     for now in range(NOW, NOW + 12 * S, S):
         for sender in routers:
@@ -818,11 +852,11 @@
             for receiver in routers:
                 if receiver is not sender:
                     receiver.receive_gossip(entries, MS, now)
-    assert not any(node(sender, 12).cache_health.slowness(now) for sender in routers)
+    assert not any(server_with_id(sender, 12).cache_health.slowness(now) for sender in routers)
 
 
 def test_purges_are_kept_until_applied_and_expire_a_few_per_call():
-    made = router()
+    made = make_router()
     # A reconnecting front receives as many in a second: the cost of one must not depend on the others.
     for identifier in range(20_000):
         made.invalidate(identifier, -1, identifier * MS, NOW)
@@ -840,4 +874,4 @@
     "limit, connected", [(7, {*CACHES, *PARENTS, ORIGIN}), (6, {*PARENTS, ORIGIN}), (3, {ORIGIN, PARENTS[0]})]
 )
 def test_startup_connections_go_to_all_servers_or_to_origin_and_parents(limit, connected):
-    assert set(router().endpoints_to_connect(limit)) == connected
+    assert set(make_router().endpoints_to_connect(limit)) == connected
--- a/tests/routing/test_slow_start_of_many_routers.py
+++ b/tests/routing/test_slow_start_of_many_routers.py
@@ -5,7 +5,7 @@
 from zlib import crc32
 
 import pytest
-from helpers import NOW, SETTINGS, asked, entry
+from helpers import NOW, SETTINGS, make_endpoint, make_request
 
 from sprucegate.routing.actions import SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
@@ -47,13 +47,13 @@
             for at in range(count)
         ]
         for front in self.fronts:
-            front.update_endpoints([entry(at) for at in (*CACHES, ORIGIN)], True, NOW)
+            front.update_endpoints([make_endpoint(at) for at in (*CACHES, ORIGIN)], True, NOW)
         shares = [1 / (1 + at) if uneven else 1 for at in range(count)]
         self.shares = [sum(shares[: at + 1]) / sum(shares) for at in range(count)]
         self.rate, self.seed, self.at, self.count, self.sent, self.completions = rate, seed, NOW, 0, [], []
 
     def announce_start(self, at, started):
-        self.fronts[at].update_endpoints([entry(COLD, started=started)], False, self.at)
+        self.fronts[at].update_endpoints([make_endpoint(COLD, started=started)], False, self.at)
 
     def run(self, until, rate_factor=lambda at: 1.0):
         """GETs of a Poisson process, its rate scaled by `rate_factor`; completed GETs are reported in order."""
@@ -71,7 +71,8 @@
     def send_request(self):
         front = self.fronts[bisect_left(self.shares, hash_fraction(self.seed, "front", self.count))]
         state = front.start_request(
-            asked(f"g{self.count}", obj=int(hash_fraction(self.seed, "of", self.count) ** 2 * 3000)), self.at
+            make_request(f"g{self.count}", obj=int(hash_fraction(self.seed, "of", self.count) ** 2 * 3000)),
+            self.at,
         )
         for action in state.route(self.at):
             if isinstance(action, SendAttempt):
