--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -52,7 +52,9 @@
         self.outliers = OutlierDetector(self.registry)
         self.slow_start = SlowStart(settings, self.registry, self.load, self.random)
         self.cache_selector = CacheSelector(self.registry, self.load, self.slow_start, self.outliers)
-        self.sources = FillSourceSelector(settings, self.registry, self.digest, self.slow_start, self.random)
+        self.source_selector = FillSourceSelector(
+            settings, self.registry, self.digest, self.slow_start, self.random
+        )
         self.inbound_link = InboundLink(settings, self.load, self.outliers, self.random)
         self.retry_policy = RetryPolicy(settings)
         self.response_cache = ResponseCachePolicy(settings, self.digest, self.invalidations, self.load)
@@ -92,10 +94,10 @@
         only_if_cached = False
         source: Server | None
         if runs_at_origin:
-            source = self._first_origin() or self.sources.parent_or_origin(state, now)[0]
+            source = self._first_origin() or self.source_selector.parent_or_origin(state, now)[0]
             cache = source if self.settings.direct else cache
         elif cache is None:
-            cache = self.sources.parent_or_origin(state, now)[0] if self.settings.direct else None
+            cache = self.source_selector.parent_or_origin(state, now)[0] if self.settings.direct else None
             source = self._first_origin()
             # A response straight from the origin occupies the inbound link for as long as a fill does.
             if self.inbound_link.fill_would_be_late(request, state.objective_at, now):
@@ -120,10 +122,10 @@
         self, state: RequestState, record: ObjectRecord, cache: Server, now: int
     ) -> tuple[Server, bool]:
         """The fill source, and whether the attempt may only return a cached copy."""
-        sibling, recheck = self.sources.sibling(state, record, cache, now)
+        sibling, recheck = self.source_selector.sibling(state, record, cache, now)
         if sibling is not None:
             return sibling, recheck
-        source, may_fetch = self.sources.parent_or_origin(state, now)
+        source, may_fetch = self.source_selector.parent_or_origin(state, now)
         if source is None or (
             cache.index not in record.beliefs
             and self.inbound_link.fill_would_be_late(state.request, state.objective_at, now)
@@ -191,7 +193,7 @@
         attempt.cache.fills_in_flight += 1
         attempt.fill = Fill(attempt.source, now, now + self.latency_objective(request))
         if not only_if_cached:
-            self.sources.fills.append(attempt.fill)
+            self.source_selector.fills.append(attempt.fill)
 
     # Timers.
 
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -55,7 +55,7 @@
     assert isinstance(said, AwaitSlot) and said.fill_source in made.slot_limited_sources and not get.attempts
     assert (
         sum(n.in_flight for n in made.registry.servers.values()) == out
-        and not made.sources.fills
+        and not made.source_selector.fills
         and not get.is_settled()
     )
     get.slot_source = said.fill_source
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -126,7 +126,9 @@
 def test_a_belief_that_expires_soon_is_rechecked(remaining, recheck):
     made = make_router()
     record = add_beliefs(made, make_request(), 12, expiry=NOW + remaining)
-    assert made.sources.sibling(state_with(made, make_request()), record, server_with_id(made, 11), NOW) == (
+    assert made.source_selector.sibling(
+        state_with(made, make_request()), record, server_with_id(made, 11), NOW
+    ) == (
         server_with_id(made, 12),
         recheck,
     )
@@ -140,7 +142,9 @@
     made = make_router([make_endpoint(12)._replace(location=1 if same_location else 0)], siblings=allowed)
     record = add_beliefs(made, make_request(), 12)
     assert (
-        made.sources.sibling(state_with(made, make_request()), record, server_with_id(made, 11), NOW)[0]
+        made.source_selector.sibling(state_with(made, make_request()), record, server_with_id(made, 11), NOW)[
+            0
+        ]
         is not None
     ) is used
 
@@ -212,7 +216,7 @@
     made = make_router()
     made.random.next_float = lambda text: 0.5
     for source in (*PARENTS, ORIGIN):
-        made.sources.fills.extend(
+        made.source_selector.fills.extend(
             Fill(server_with_id(made, source), NOW - S, NOW, on_time) for on_time in results
         )
     add_beliefs(made, make_request(), *(CACHES if believed_held else ()))
@@ -223,8 +227,8 @@
 def test_a_fill_in_flight_past_its_objective_counts_as_late():
     made = make_router()
     source = server_with_id(made, PARENTS[0])
-    made.sources.fills.extend(Fill(source, NOW - S, NOW - MS, None) for _ in range(6))
-    assert made.sources.on_time_ratios([source], NOW)[0] < 0.1
+    made.source_selector.fills.extend(Fill(source, NOW - S, NOW - MS, None) for _ in range(6))
+    assert made.source_selector.on_time_ratios([source], NOW)[0] < 0.1
 
 
 @pytest.mark.parametrize(
@@ -434,7 +438,7 @@
 
 def test_the_origin_fills_if_there_is_no_parent():
     made = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
-    assert made.sources.parent_or_origin(state_with(made, make_request()), NOW)[0].id == ORIGIN
+    assert made.source_selector.parent_or_origin(state_with(made, make_request()), NOW)[0].id == ORIGIN
 
 
 def test_a_first_request_of_unknown_size_is_expected_in_time():
@@ -514,7 +518,9 @@
     state.attempts[0].fill = fill = Fill(server_with_id(made, 21), NOW - 2 * S, NOW - S, None)
     record_result(made, state, state.attempts[0], outcome, status, 2 * S, fill_wait, {}, NOW)
     assert (fill.source.id, fill.on_time) == (attributed_to, expected_on_time)
-    assert expected_on_time is not None or made.sources.on_time_ratios([server_with_id(made, 21)], NOW) == [1]
+    assert expected_on_time is not None or made.source_selector.on_time_ratios(
+        [server_with_id(made, 21)], NOW
+    ) == [1]
 
 
 @pytest.mark.parametrize(
@@ -523,15 +529,15 @@
 )
 def test_the_origin_replaces_failing_parents_while_it_is_on_time(parents_on_time, origin_on_time, source):
     made = make_router()
-    made.sources.fills.extend(
+    made.source_selector.fills.extend(
         Fill(server_with_id(made, parent), NOW - S, NOW, on_time)
         for on_time in parents_on_time * 20
         for parent in PARENTS
     )
-    made.sources.fills.extend(
+    made.source_selector.fills.extend(
         Fill(server_with_id(made, ORIGIN), NOW - S, NOW, on_time) for on_time in origin_on_time * 20
     )
-    assert made.sources.parent_or_origin(state_with(made, make_request(obj=3)), NOW)[0].id in (
+    assert made.source_selector.parent_or_origin(state_with(made, make_request(obj=3)), NOW)[0].id in (
         source,
         22 if source == 21 else source,
     )
@@ -540,8 +546,10 @@
 def test_a_throttled_request_is_never_sent_to_the_origin():
     made = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
     made.random.next_float = lambda text: 0.99
-    made.sources.fills.extend(Fill(server_with_id(made, ORIGIN), NOW - S, NOW, False) for _ in range(20))
-    assert made.sources.parent_or_origin(state_with(made, make_request()), NOW) == (None, False)
+    made.source_selector.fills.extend(
+        Fill(server_with_id(made, ORIGIN), NOW - S, NOW, False) for _ in range(20)
+    )
+    assert made.source_selector.parent_or_origin(state_with(made, make_request()), NOW) == (None, False)
 
 
 @pytest.mark.parametrize(
