--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -33,16 +33,16 @@
 from sprucegate.units import SECOND as S
 
 
-def record_result(made, state, attempt, outcome, status, elapsed, fill_wait, load, now):
+def record_result(router, state, attempt, outcome, status, elapsed, fill_wait, load, now):
     """Record the result of an attempt without deciding what follows."""
-    made.results.record(AttemptResult(state, attempt, outcome, status, elapsed, fill_wait, load, now))
+    router.results.record(AttemptResult(state, attempt, outcome, status, elapsed, fill_wait, load, now))
 
 
-def state_with(made, request, *outcomes, at=NOW, cache=11):
+def state_with(router, request, *outcomes, at=NOW, cache=11):
     """State of a GET whose attempts had these outcomes; None for an attempt in flight."""
-    state = RequestState(made, request, at)
+    state = RequestState(router, request, at)
     for outcome in outcomes:
-        attempt = Attempt(server_with_id(made, cache), server_with_id(made, PARENTS[0]), 1)
+        attempt = Attempt(server_with_id(router, cache), server_with_id(router, PARENTS[0]), 1)
         attempt.is_open, attempt.outcome = outcome is None, outcome
         state.attempts.append(attempt)
     return state
@@ -76,20 +76,20 @@
 
 @pytest.mark.parametrize("rejected_ago, counted", [(None, 1), (S, 0), (3 * S, 1)])
 def test_a_retry_after_a_rejection_is_not_counted(rejected_ago, counted):
-    made = make_router()
+    router = make_router()
     if rejected_ago is not None:
-        made.digest.record_of(make_request(), NOW).rejected_at = NOW - rejected_ago
-    made.start_request(make_request(), NOW)
-    assert made.digest.record_of(make_request(), NOW).counts[0] == counted
+        router.digest.record_of(make_request(), NOW).rejected_at = NOW - rejected_ago
+    router.start_request(make_request(), NOW)
+    assert router.digest.record_of(make_request(), NOW).counts[0] == counted
 
 
 def finish(outcome, status, source=PARENTS[0], before=()):
-    made = make_router()
-    record = add_beliefs(made, make_request(), *before)
-    state = state_with(made, make_request(), None)
-    state.attempts[0].source = server_with_id(made, source)
-    record_result(made, state, state.attempts[0], outcome, status, 50 * MS, 5 * MS, {}, NOW)
-    return {made.registry.servers[at].id for at in record.beliefs}
+    router = make_router()
+    record = add_beliefs(router, make_request(), *before)
+    state = state_with(router, make_request(), None)
+    state.attempts[0].source = server_with_id(router, source)
+    record_result(router, state, state.attempts[0], outcome, status, 50 * MS, 5 * MS, {}, NOW)
+    return {router.registry.servers[at].id for at in record.beliefs}
 
 
 @pytest.mark.parametrize(
@@ -109,27 +109,27 @@
 
 @pytest.mark.parametrize("change", ["restart", "purge", "group purge", "drain", "expiry"])
 def test_restart_purge_drain_and_expiry_void_beliefs(change):
-    made = make_router()
-    record = add_beliefs(made, make_request(), 12, expiry=NOW if change == "expiry" else NOW + S)
+    router = make_router()
+    record = add_beliefs(router, make_request(), 12, expiry=NOW if change == "expiry" else NOW + S)
     if change == "restart":
-        made.update_endpoints([make_endpoint(12, started=NOW)], False, NOW)
+        router.update_endpoints([make_endpoint(12, started=NOW)], False, NOW)
     elif change == "drain":
-        made.update_endpoints([make_endpoint(12, EndpointState.DRAINING)], False, NOW)
+        router.update_endpoints([make_endpoint(12, EndpointState.DRAINING)], False, NOW)
     elif change != "expiry":
-        made.invalidate(99 if change == "purge" else -1, 5, 0, NOW)
-    assert made.digest.valid_beliefs(make_request(), record, NOW) == {}
+        router.invalidate(99 if change == "purge" else -1, 5, 0, NOW)
+    assert router.digest.valid_beliefs(make_request(), record, NOW) == {}
 
 
 @pytest.mark.parametrize(
     "remaining, recheck", [(RECHECK_MARGIN_NS // 2, True), (RECHECK_MARGIN_NS + S, False)]
 )
 def test_a_belief_that_expires_soon_is_rechecked(remaining, recheck):
-    made = make_router()
-    record = add_beliefs(made, make_request(), 12, expiry=NOW + remaining)
-    assert made.source_selector.sibling(
-        state_with(made, make_request()), record, server_with_id(made, 11), NOW
+    router = make_router()
+    record = add_beliefs(router, make_request(), 12, expiry=NOW + remaining)
+    assert router.source_selector.sibling(
+        state_with(router, make_request()), record, server_with_id(router, 11), NOW
     ) == (
-        server_with_id(made, 12),
+        server_with_id(router, 12),
         recheck,
     )
 
@@ -139,12 +139,12 @@
     [("location", True, True), ("location", False, False), ("any", False, True), ("none", True, False)],
 )
 def test_siblings_fill_only_if_the_settings_allow_it(allowed, same_location, used):
-    made = make_router([make_endpoint(12)._replace(location=1 if same_location else 0)], siblings=allowed)
-    record = add_beliefs(made, make_request(), 12)
+    router = make_router([make_endpoint(12)._replace(location=1 if same_location else 0)], siblings=allowed)
+    record = add_beliefs(router, make_request(), 12)
     assert (
-        made.source_selector.sibling(state_with(made, make_request()), record, server_with_id(made, 11), NOW)[
-            0
-        ]
+        router.source_selector.sibling(
+            state_with(router, make_request()), record, server_with_id(router, 11), NOW
+        )[0]
         is not None
     ) is used
 
@@ -154,21 +154,23 @@
     other.group("cache").reverse()
     for obj in range(50):
         selected = [
-            made.cache_selector.select(
-                state_with(made, make_request(obj=obj)),
-                made.digest.record_of(make_request(obj=obj), NOW),
+            router.cache_selector.select(
+                state_with(router, make_request(obj=obj)),
+                router.digest.record_of(make_request(obj=obj), NOW),
                 NOW,
             )[0].id
-            for made in (one, other)
+            for router in (one, other)
         ]
         assert selected[0] == selected[1]
 
 
 def test_selection_distributes_objects_over_the_caches():
-    made = make_router()
+    router = make_router()
     selected = [
-        made.cache_selector.select(
-            state_with(made, make_request(obj=obj)), made.digest.record_of(make_request(obj=obj), NOW), NOW
+        router.cache_selector.select(
+            state_with(router, make_request(obj=obj)),
+            router.digest.record_of(make_request(obj=obj), NOW),
+            NOW,
         )[0].id
         for obj in range(400)
     ]
@@ -177,35 +179,35 @@
 
 @pytest.mark.parametrize("count, width", [(1, 1), (6, 1), (12, 2), (30, 3)])  # small counts are noise
 def test_a_hot_object_is_spread_over_several_caches(count, width):
-    made = make_router()
-    made.load.sending_times[0] = [100 * MS]
-    made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
-    record = made.digest.record_of(make_request(), NOW)
+    router = make_router()
+    router.load.sending_times[0] = [100 * MS]
+    router.load.completions.extend((NOW - 4 * S + i * 100 * MS, 200 * MS) for i in range(40))
+    record = router.digest.record_of(make_request(), NOW)
     record.counts = [count, 0, 0]
-    assert made.cache_selector.width(make_request(), record, len(made.group("cache")), NOW) == width
+    assert router.cache_selector.width(make_request(), record, len(router.group("cache")), NOW) == width
 
 
 def test_a_slow_cache_is_skipped():
-    made = make_router()
-    first = made.cache_selector.select(
-        state_with(made, make_request()), made.digest.record_of(make_request(), NOW), NOW
+    router = make_router()
+    first = router.cache_selector.select(
+        state_with(router, make_request()), router.digest.record_of(make_request(), NOW), NOW
     )[0]
     first.cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
     first.in_flight = 40
     later = NOW + ESTIMATE_AGE_MAX_NS
-    second, in_time = made.cache_selector.select(
-        state_with(made, make_request()), made.digest.record_of(make_request(), NOW), later
+    second, in_time = router.cache_selector.select(
+        state_with(router, make_request()), router.digest.record_of(make_request(), NOW), later
     )
     assert second is not first and in_time
 
 
 def test_a_request_that_would_be_late_at_every_cache_is_rejected_with_retry_after():
-    made = make_router()
-    made.random.next_float = lambda text: 0.99
+    router = make_router()
+    router.random.next_float = lambda text: 0.99
     for cache in CACHES:
-        server_with_id(made, cache).cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
-        server_with_id(made, cache).in_flight = 40
-    assert state_with(made, make_request()).route(NOW) == [RejectRequest(S)]
+        server_with_id(router, cache).cache_health.slowness_samples.extend((NOW, 6.0, 12) for _ in range(4))
+        server_with_id(router, cache).in_flight = 40
+    assert state_with(router, make_request()).route(NOW) == [RejectRequest(S)]
 
 
 @pytest.mark.parametrize(
@@ -213,22 +215,22 @@
     [([False] * 8, False, True), ([True] * 8, False, False), ([False] * 8, True, False)],
 )
 def test_fills_are_throttled_by_their_on_time_ratio(results, believed_held, cached_only):
-    made = make_router()
-    made.random.next_float = lambda text: 0.5
+    router = make_router()
+    router.random.next_float = lambda text: 0.5
     for source in (*PARENTS, ORIGIN):
-        made.source_selector.fills.extend(
-            Fill(server_with_id(made, source), NOW - S, NOW, on_time) for on_time in results
+        router.source_selector.fills.extend(
+            Fill(server_with_id(router, source), NOW - S, NOW, on_time) for on_time in results
         )
-    add_beliefs(made, make_request(), *(CACHES if believed_held else ()))
-    attempt = made.plan(state_with(made, make_request()), NOW)
+    add_beliefs(router, make_request(), *(CACHES if believed_held else ()))
+    attempt = router.plan(state_with(router, make_request()), NOW)
     assert attempt.only_if_cached is cached_only
 
 
 def test_a_fill_in_flight_past_its_objective_counts_as_late():
-    made = make_router()
-    source = server_with_id(made, PARENTS[0])
-    made.source_selector.fills.extend(Fill(source, NOW - S, NOW - MS, None) for _ in range(6))
-    assert made.source_selector.on_time_ratios([source], NOW)[0] < 0.1
+    router = make_router()
+    source = server_with_id(router, PARENTS[0])
+    router.source_selector.fills.extend(Fill(source, NOW - S, NOW - MS, None) for _ in range(6))
+    assert router.source_selector.on_time_ratios([source], NOW)[0] < 0.1
 
 
 @pytest.mark.parametrize(
@@ -243,17 +245,17 @@
     ],
 )
 def test_a_non_idempotent_request_is_never_executed_twice(effect, outcomes, age, action):
-    made = make_router(effect=["idempotent", "idempotent", effect])
-    state = state_with(made, make_request(ds=2, ttl=9 * S), *outcomes)
+    router = make_router(effect=["idempotent", "idempotent", effect])
+    state = state_with(router, make_request(ds=2, ttl=9 * S), *outcomes)
     assert isinstance(state.route(NOW + age)[0], action)
 
 
 @pytest.mark.parametrize("ds, retries_max", [(2, 3), (0, 2), (1, 1)])
 def test_maximum_attempts_depend_on_revenue(ds, retries_max):
-    made = make_router(effect=["idempotent"] * 3)
+    router = make_router(effect=["idempotent"] * 3)
     allowed = [
-        made.retry_policy.may_attempt(
-            state_with(made, make_request(ds=ds), *[AttemptOutcome.FULL] * sent), NOW
+        router.retry_policy.may_attempt(
+            state_with(router, make_request(ds=ds), *[AttemptOutcome.FULL] * sent), NOW
         )
         for sent in range(6)
     ]
@@ -261,18 +263,18 @@
 
 
 def test_an_exhausted_retry_budget_stops_retries():
-    made = make_router()
-    made.retry_policy.retries.extend([True] * 30 + [False] * 70)
-    assert not made.retry_policy.may_attempt(state_with(made, make_request(), AttemptOutcome.FULL), NOW)
-    assert made.retry_policy.may_attempt(state_with(made, make_request()), NOW)
+    router = make_router()
+    router.retry_policy.retries.extend([True] * 30 + [False] * 70)
+    assert not router.retry_policy.may_attempt(state_with(router, make_request(), AttemptOutcome.FULL), NOW)
+    assert router.retry_policy.may_attempt(state_with(router, make_request()), NOW)
 
 
 @pytest.mark.parametrize("outcome, retried", [(AttemptOutcome.NOT_SENT, True), (AttemptOutcome.FULL, False)])
 def test_an_attempt_that_was_not_sent_is_replaced_without_retry_budget(outcome, retried):
-    made = make_router()
-    state = made.start_request(make_request(), NOW)
+    router = make_router()
+    state = router.start_request(make_request(), NOW)
     (first,) = state.route(NOW)
-    made.retry_policy.retries.extend([True] * 30 + [False] * 70)
+    router.retry_policy.retries.extend([True] * 30 + [False] * 70)
     (action,) = state.attempt_ended(first.number, outcome, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW + MS)
     assert (
         (isinstance(action, SendAttempt) and action.cache != first.cache)
@@ -282,17 +284,17 @@
 
 
 def test_a_final_answer_is_given_at_the_deadline():
-    made = make_router()
-    state = made.start_request(make_request(ttl=3 * S), NOW)
-    state.attempts = state_with(made, make_request(), None).attempts
-    when = made.next_deadline()
+    router = make_router()
+    state = router.start_request(make_request(ttl=3 * S), NOW)
+    state.attempts = state_with(router, make_request(), None).attempts
+    when = router.next_deadline()
     assert when == NOW + 3 * S - ANSWER_MARGIN_NS
-    assert isinstance(made.on_timer(when)[-1][1][0], RejectRequest)
+    assert isinstance(router.on_timer(when)[-1][1][0], RejectRequest)
 
 
 def test_nothing_follows_the_final_answer():
-    made = make_router()
-    state = state_with(made, make_request(), None)
+    router = make_router()
+    state = state_with(router, make_request(), None)
     state.finished = True
     assert state.attempt_ended(0, AttemptOutcome.FULL, CacheStatus.UNKNOWN, MS, 0, {}, False, NOW) == []
     assert state.client_disconnected(NOW) == []
@@ -300,17 +302,17 @@
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_a_draining_or_removed_server_receives_no_requests(state):
-    made = make_router()
-    add_beliefs(made, make_request(), 11, 12, 13)
-    made.update_endpoints([make_endpoint(c, state) for c in (11, 12, 13, 21)], False, NOW)
-    attempt = made.plan(state_with(made, make_request()), NOW)
+    router = make_router()
+    add_beliefs(router, make_request(), 11, 12, 13)
+    router.update_endpoints([make_endpoint(c, state) for c in (11, 12, 13, 21)], False, NOW)
+    attempt = router.plan(state_with(router, make_request()), NOW)
     assert (attempt.cache, attempt.fill_source) == (14, 22)
 
 
 def test_servers_missing_from_a_complete_list_are_removed():
-    made = make_router()
-    made.update_endpoints([make_endpoint(11)], True, NOW)
-    assert [n.id for n in made.group("cache")] == [11] and not made.group("parent")
+    router = make_router()
+    router.update_endpoints([make_endpoint(11)], True, NOW)
+    assert [n.id for n in router.group("cache")] == [11] and not router.group("parent")
 
 
 @pytest.mark.parametrize(
@@ -324,23 +326,25 @@
     ],
 )
 def test_slow_start_earns_tokens(cache, ago, completed, allowed):
-    made = make_router([make_endpoint(c, started=NOW - 3 * S) for c in (11, 21)])
-    made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(completed))
-    made.slow_start.has_budget(server_with_id(made, cache), 0, NOW - ago * MS)
-    assert made.slow_start.has_budget(server_with_id(made, cache), 0, NOW) is allowed
+    router = make_router([make_endpoint(c, started=NOW - 3 * S) for c in (11, 21)])
+    router.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(completed))
+    router.slow_start.has_budget(server_with_id(router, cache), 0, NOW - ago * MS)
+    assert router.slow_start.has_budget(server_with_id(router, cache), 0, NOW) is allowed
 
 
 def test_the_last_cold_cache_does_not_earn_the_share_of_removed_caches():
     """As the last one of its group it earned tokens for the work of all four and was sent 3.3 times its capacity."""
-    made = make_router([make_endpoint(11, started=NOW - 9 * S)])
-    made.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
-    made.slow_start.has_budget(server_with_id(made, 11), 0, NOW - 2 * S)
-    among_four = made.load.rate(NOW), server_with_id(made, 11)
-    made.update_endpoints([make_endpoint(c, EndpointState.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S)
+    router = make_router([make_endpoint(11, started=NOW - 9 * S)])
+    router.load.completions.extend((NOW - 4 * S + i * 100 * MS, 400 * MS) for i in range(40))
+    router.slow_start.has_budget(server_with_id(router, 11), 0, NOW - 2 * S)
+    among_four = router.load.rate(NOW), server_with_id(router, 11)
+    router.update_endpoints(
+        [make_endpoint(c, EndpointState.DRAINING) for c in CACHES[1:]], False, NOW - 2 * S
+    )
     sent, at = 0, NOW - 2 * S
     while at < NOW:
         at += 50 * MS
-        if made.slow_start.has_budget(among_four[1], 0, at):
+        if router.slow_start.has_budget(among_four[1], 0, at):
             among_four[1].slow_start_budget -= 400 * MS
             sent += 1
     assert 0 < sent * 0.4 / 2 <= 1.4 * 0.7 * 4 / 4 + 0.2  # its own share of 4 s of work per second
@@ -348,32 +352,32 @@
 
 def test_a_router_with_only_cold_caches_still_earns_tokens():
     """Without completed work the budget was 0; if requests can't bypass the caches, all were shed permanently."""
-    made = make_router([make_endpoint(c, started=NOW) for c in CACHES], direct=False)
+    router = make_router([make_endpoint(c, started=NOW) for c in CACHES], direct=False)
     actions = [
-        made.start_request(make_request(f"r-{at}", obj=at), NOW + at * S).route(NOW + at * S)[0]
+        router.start_request(make_request(f"r-{at}", obj=at), NOW + at * S).route(NOW + at * S)[0]
         for at in range(15)
     ]
     assert any(isinstance(action, SendAttempt) for action in actions)
 
 
 def test_an_unknown_cache_status_is_not_counted():
-    made = make_router(tells="hit")
-    state = state_with(made, make_request(), None)
+    router = make_router(tells="hit")
+    state = state_with(router, make_request(), None)
     record_result(
-        made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, 50 * MS, 0, {}, NOW
+        router, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, 50 * MS, 0, {}, NOW
     )
-    assert not made.slow_start.statuses
+    assert not router.slow_start.statuses
 
 
 def test_first_requests_of_many_routers_are_spread_over_a_cold_start():
     """156 fronts with one GET per second each overloaded a cold parent when the first request of each was free."""
     sent = 0
     for number in range(150):
-        made = make_router([make_endpoint(21, started=NOW)], my_number=number)
-        made.load.completions.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
+        router = make_router([make_endpoint(21, started=NOW)], my_number=number)
+        router.load.completions.extend((NOW - 4 * S + i * S, 400 * MS) for i in range(4))
         for at in range(20):
-            if made.slow_start.has_budget(server_with_id(made, 21), 0, NOW + at * 100 * MS):
-                server_with_id(made, 21).slow_start_budget -= made.load.mean_sending_time(0)
+            if router.slow_start.has_budget(server_with_id(router, 21), 0, NOW + at * 100 * MS):
+                server_with_id(router, 21).slow_start_budget -= router.load.mean_sending_time(0)
                 sent += 1
     # All routers complete 60 s of work per second, 30 s per parent. The bound is fall_multiple (2) times that at
     # the cold share, over two seconds.
@@ -392,16 +396,16 @@
     ],
 )
 def test_copies_from_before_a_purge_are_not_acceptable(ds, purge_ago, identifier, age_limit):
-    made = make_router()
+    router = make_router()
     if purge_ago is not None:
-        made.invalidate(identifier, 5 if identifier < 0 else 6, purge_ago, NOW)
-    assert made.invalidations.max_age(make_request(ds=ds), False, NOW) == age_limit
+        router.invalidate(identifier, 5 if identifier < 0 else 6, purge_ago, NOW)
+    assert router.invalidations.max_age(make_request(ds=ds), False, NOW) == age_limit
 
 
 def test_a_stale_copy_is_acceptable_only_within_the_grace_time():
-    made = make_router(grace_time=[0, 20 * S, 0])
-    assert made.invalidations.max_age(make_request(ds=1), True, NOW) == 28 * S
-    assert made.invalidations.max_age(make_request(ds=0), True, NOW) == 0
+    router = make_router(grace_time=[0, 20 * S, 0])
+    assert router.invalidations.max_age(make_request(ds=1), True, NOW) == 28 * S
+    assert router.invalidations.max_age(make_request(ds=0), True, NOW) == 0
 
 
 @pytest.mark.parametrize(
@@ -429,22 +433,22 @@
 
 
 def test_at_most_half_of_the_caches_are_ejected():
-    made = make_router()
+    router = make_router()
     for cache in CACHES:
-        server_with_id(made, cache).cache_health.ejected_until = NOW + S
-        made.outliers.health_changed(server_with_id(made, cache))
-    assert len(made.outliers.excluded(NOW)) == 2
+        server_with_id(router, cache).cache_health.ejected_until = NOW + S
+        router.outliers.health_changed(server_with_id(router, cache))
+    assert len(router.outliers.excluded(NOW)) == 2
 
 
 def test_the_origin_fills_if_there_is_no_parent():
-    made = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
-    assert made.source_selector.parent_or_origin(state_with(made, make_request()), NOW)[0].id == ORIGIN
+    router = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
+    assert router.source_selector.parent_or_origin(state_with(router, make_request()), NOW)[0].id == ORIGIN
 
 
 def test_a_first_request_of_unknown_size_is_expected_in_time():
-    made = make_router(objective_stretch=[0.0] * 3)
-    assert made.cache_selector.select(
-        state_with(made, make_request()), made.digest.record_of(make_request(), NOW), NOW
+    router = make_router(objective_stretch=[0.0] * 3)
+    assert router.cache_selector.select(
+        state_with(router, make_request()), router.digest.record_of(make_request(), NOW), NOW
     )[1]
 
 
@@ -458,11 +462,11 @@
     ],
 )
 def test_a_slow_fill_does_not_affect_the_slowness_of_the_cache(outcome, status, successes, slowness_samples):
-    made = make_router()
-    state = state_with(made, make_request(size=100), None)
-    state.attempts[0].fill = Fill(server_with_id(made, 21), NOW, NOW, None)
-    record_result(made, state, state.attempts[0], outcome, status, S, 0, {}, NOW)
-    health = server_with_id(made, 11).cache_health
+    router = make_router()
+    state = state_with(router, make_request(size=100), None)
+    state.attempts[0].fill = Fill(server_with_id(router, 21), NOW, NOW, None)
+    record_result(router, state, state.attempts[0], outcome, status, S, 0, {}, NOW)
+    health = server_with_id(router, 11).cache_health
     assert ([success for _, success in health.results], len(health.slowness_samples)) == (
         successes,
         slowness_samples,
@@ -471,30 +475,32 @@
 
 @pytest.mark.parametrize("slowness, samples", [(1.0, 1), (5.0, 0)])
 def test_fills_of_a_slow_parent_are_no_samples_of_the_link(slowness, samples):
-    made = make_router(client_kb_per_s=1000)
+    router = make_router(client_kb_per_s=1000)
     for parent, slow in zip(PARENTS, (slowness, 1.0), strict=True):
-        server_with_id(made, parent).source_health.slowness_samples.extend((NOW, slow, 0) for _ in range(4))
-        made.outliers.health_changed(server_with_id(made, parent))
-    state = state_with(made, make_request(size=100), None)
-    state.attempts[0].fill = Fill(server_with_id(made, 21), NOW, NOW, None)
-    record_result(made, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW)
-    assert len(made.inbound_link.health.slowness_samples) == samples
+        server_with_id(router, parent).source_health.slowness_samples.extend((NOW, slow, 0) for _ in range(4))
+        router.outliers.health_changed(server_with_id(router, parent))
+    state = state_with(router, make_request(size=100), None)
+    state.attempts[0].fill = Fill(server_with_id(router, 21), NOW, NOW, None)
+    record_result(
+        router, state, state.attempts[0], AttemptOutcome.RETURNED, CacheStatus.FILLED, S, 0, {}, NOW
+    )
+    assert len(router.inbound_link.health.slowness_samples) == samples
 
 
 def test_an_unreachable_cache_is_excluded_then_retried_and_treated_as_restarted():
-    made = make_router()
-    state = state_with(made, make_request(), None, None)
+    router = make_router()
+    state = state_with(router, make_request(), None, None)
     record_result(
-        made, state, state.attempts[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW
+        router, state, state.attempts[0], AttemptOutcome.UNREACHABLE, CacheStatus.UNKNOWN, MS, 0, {}, NOW
     )
-    assert made.outliers.excluded(NOW + MS) == {made.registry.index_of[11]}
-    assert made.outliers.excluded(NOW + 2 * S) == set()
-    add_beliefs(made, make_request(), 11)
+    assert router.outliers.excluded(NOW + MS) == {router.registry.index_of[11]}
+    assert router.outliers.excluded(NOW + 2 * S) == set()
+    add_beliefs(router, make_request(), 11)
     record_result(
-        made, state, state.attempts[1], AttemptOutcome.RETURNED, CacheStatus.HIT, MS, 0, {}, NOW + 2 * S
+        router, state, state.attempts[1], AttemptOutcome.RETURNED, CacheStatus.HIT, MS, 0, {}, NOW + 2 * S
     )
-    assert server_with_id(made, 11).started == NOW + 2 * S
-    assert server_with_id(made, 12).started == 0
+    assert server_with_id(router, 11).started == NOW + 2 * S
+    assert server_with_id(router, 12).started == 0
 
 
 @pytest.mark.parametrize(
@@ -513,13 +519,13 @@
 def test_a_late_fill_counts_against_the_source_that_caused_it(
     outcome, status, fill_wait, attributed_to, expected_on_time
 ):
-    made = make_router(client_kb_per_s=1000)
-    state = state_with(made, make_request(size=100), None)
-    state.attempts[0].fill = fill = Fill(server_with_id(made, 21), NOW - 2 * S, NOW - S, None)
-    record_result(made, state, state.attempts[0], outcome, status, 2 * S, fill_wait, {}, NOW)
+    router = make_router(client_kb_per_s=1000)
+    state = state_with(router, make_request(size=100), None)
+    state.attempts[0].fill = fill = Fill(server_with_id(router, 21), NOW - 2 * S, NOW - S, None)
+    record_result(router, state, state.attempts[0], outcome, status, 2 * S, fill_wait, {}, NOW)
     assert (fill.source.id, fill.on_time) == (attributed_to, expected_on_time)
-    assert expected_on_time is not None or made.source_selector.on_time_ratios(
-        [server_with_id(made, 21)], NOW
+    assert expected_on_time is not None or router.source_selector.on_time_ratios(
+        [server_with_id(router, 21)], NOW
     ) == [1]
 
 
@@ -528,37 +534,37 @@
     [([True], [True], 21), ([False], [True], ORIGIN), ([False], [False], 21)],
 )
 def test_the_origin_replaces_failing_parents_while_it_is_on_time(parents_on_time, origin_on_time, source):
-    made = make_router()
-    made.source_selector.fills.extend(
-        Fill(server_with_id(made, parent), NOW - S, NOW, on_time)
+    router = make_router()
+    router.source_selector.fills.extend(
+        Fill(server_with_id(router, parent), NOW - S, NOW, on_time)
         for on_time in parents_on_time * 20
         for parent in PARENTS
     )
-    made.source_selector.fills.extend(
-        Fill(server_with_id(made, ORIGIN), NOW - S, NOW, on_time) for on_time in origin_on_time * 20
+    router.source_selector.fills.extend(
+        Fill(server_with_id(router, ORIGIN), NOW - S, NOW, on_time) for on_time in origin_on_time * 20
     )
-    assert made.source_selector.parent_or_origin(state_with(made, make_request(obj=3)), NOW)[0].id in (
+    assert router.source_selector.parent_or_origin(state_with(router, make_request(obj=3)), NOW)[0].id in (
         source,
         22 if source == 21 else source,
     )
 
 
 def test_a_throttled_request_is_never_sent_to_the_origin():
-    made = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
-    made.random.next_float = lambda text: 0.99
-    made.source_selector.fills.extend(
-        Fill(server_with_id(made, ORIGIN), NOW - S, NOW, False) for _ in range(20)
+    router = make_router([make_endpoint(c, EndpointState.GONE) for c in PARENTS])
+    router.random.next_float = lambda text: 0.99
+    router.source_selector.fills.extend(
+        Fill(server_with_id(router, ORIGIN), NOW - S, NOW, False) for _ in range(20)
     )
-    assert made.source_selector.parent_or_origin(state_with(made, make_request()), NOW) == (None, False)
+    assert router.source_selector.parent_or_origin(state_with(router, make_request()), NOW) == (None, False)
 
 
 @pytest.mark.parametrize(
     "utilization, age, cached_only", [(20.0, 0, True), (1.0, 0, False), (20.0, 2 * S, False)]
 )
 def test_no_fills_are_started_on_a_link_that_is_reported_full(utilization, age, cached_only):
-    made = make_router(client_kb_per_s=1000)
-    made.inbound_link.utilization, made.inbound_link.utilization_reported_at = utilization, NOW - age
-    attempt = made.plan(state_with(made, make_request(size=500)), NOW)
+    router = make_router(client_kb_per_s=1000)
+    router.inbound_link.utilization, router.inbound_link.utilization_reported_at = utilization, NOW - age
+    attempt = router.plan(state_with(router, make_request(size=500)), NOW)
     assert attempt.only_if_cached is cached_only and (attempt.cache == attempt.fill_source) is cached_only
 
 
@@ -585,17 +591,17 @@
 def test_a_stored_response_is_served_while_young_unpurged_and_without_a_queue(
     ds, age, stored_ago, queue, purged_ago, allowed
 ):
-    made, request = make_router(), make_request(ds=ds)
+    router, request = make_router(), make_request(ds=ds)
     if purged_ago is not None:
-        made.invalidate(request.object, -1, purged_ago, NOW)
-    assert made.may_serve_stored_response(request, NOW - age, NOW - stored_ago, queue, NOW) is allowed
+        router.invalidate(request.object, -1, purged_ago, NOW)
+    assert router.may_serve_stored_response(request, NOW - age, NOW - stored_ago, queue, NOW) is allowed
 
 
 @pytest.mark.parametrize("ds, requests, stored", [(0, 1, False), (0, 2, True), (2, 2, False)])
 def test_only_responses_to_repeated_reads_are_stored(ds, requests, stored):
-    made, request = make_router(), make_request(ds=ds)
-    made.digest.record_of(request, NOW).counts[0] = requests
-    assert made.should_store_response(request, NOW - MS, NOW) is stored
+    router, request = make_router(), make_request(ds=ds)
+    router.digest.record_of(request, NOW).counts[0] = requests
+    assert router.should_store_response(request, NOW - MS, NOW) is stored
 
 
 @pytest.mark.parametrize(
@@ -609,12 +615,15 @@
 def test_an_error_counts_against_the_server_that_can_have_caused_it(
     returned, status, against_cache, against_source
 ):
-    made, request = make_router(), make_request(size=100)
-    state, fill = state_with(made, request, None), Fill(server_with_id(made, PARENTS[0]), NOW, NOW + S, None)
-    state.attempts[0].fill, made.digest.record_of(request, NOW).returned = fill, returned
-    record_result(made, state, state.attempts[0], AttemptOutcome.ERROR, status, MS, 0, {}, NOW)
+    router, request = make_router(), make_request(size=100)
+    state, fill = (
+        state_with(router, request, None),
+        Fill(server_with_id(router, PARENTS[0]), NOW, NOW + S, None),
+    )
+    state.attempts[0].fill, router.digest.record_of(request, NOW).returned = fill, returned
+    record_result(router, state, state.attempts[0], AttemptOutcome.ERROR, status, MS, 0, {}, NOW)
     assert (
-        len(server_with_id(made, 11).cache_health.results) == against_cache
+        len(server_with_id(router, 11).cache_health.results) == against_cache
         and (fill.on_time is False) == against_source
     )
 
@@ -630,59 +639,59 @@
     ],
 )
 def test_a_reset_or_cancelled_attempt_does_not_count_against_the_source(outcome, expected_on_time):
-    made = make_router()
+    router = make_router()
     state, fill = (
-        state_with(made, make_request(size=100), None),
-        Fill(server_with_id(made, PARENTS[0]), NOW, NOW + S, None),
+        state_with(router, make_request(size=100), None),
+        Fill(server_with_id(router, PARENTS[0]), NOW, NOW + S, None),
     )
     state.attempts[0].fill = fill
-    record_result(made, state, state.attempts[0], outcome, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
+    record_result(router, state, state.attempts[0], outcome, CacheStatus.UNKNOWN, MS, 0, {}, NOW)
     assert fill.on_time is expected_on_time
 
 
 def test_a_connection_that_breaks_with_many_attempts_counts_as_one_failure():
-    made, state = make_router(), None
-    state = state_with(made, make_request(), None, None, None, None)
+    router, state = make_router(), None
+    state = state_with(router, make_request(), None, None, None, None)
     for at, attempt in enumerate(state.attempts):
         record_result(
-            made, state, attempt, AttemptOutcome.RESET, CacheStatus.UNKNOWN, MS, 0, {}, NOW + at * 1000
+            router, state, attempt, AttemptOutcome.RESET, CacheStatus.UNKNOWN, MS, 0, {}, NOW + at * 1000
         )
     assert (
-        len(server_with_id(made, 11).cache_health.results) == 1
-        and server_with_id(made, 11).cache_health.ejected_until == 0
+        len(server_with_id(router, 11).cache_health.results) == 1
+        and server_with_id(router, 11).cache_health.ejected_until == 0
     )
 
 
 def test_some_fills_are_sent_as_trials_over_a_full_link():
-    made = make_router(client_kb_per_s=1000)
-    made.inbound_link.health.slowness_samples.extend((NOW, 20.0, 3) for _ in range(16))
+    router = make_router(client_kb_per_s=1000)
+    router.inbound_link.health.slowness_samples.extend((NOW, 20.0, 3) for _ in range(16))
     trials = 0
     for n in range(300):
-        state = RequestState(made, make_request(f"r-{n}", obj=n, size=200), NOW)
-        attempt = made.plan(state, NOW)
+        state = RequestState(router, make_request(f"r-{n}", obj=n, size=200), NOW)
+        attempt = router.plan(state, NOW)
         trials += attempt.fill_source != attempt.cache
         state.attempt_ended(0, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, 0, {}, True, NOW)
     assert 5 < trials < 60
 
 
 def test_a_removed_cache_that_returns_is_a_new_server():
-    made = make_router()
-    record, before = add_beliefs(made, make_request(), 11), len(made.registry.servers)
+    router = make_router()
+    record, before = add_beliefs(router, make_request(), 11), len(router.registry.servers)
     for _ in range(50):
-        made.update_endpoints([make_endpoint(11, EndpointState.GONE)], False, NOW)
-        assert len(made.registry.servers) == before - 1 and not made.digest.valid_beliefs(
+        router.update_endpoints([make_endpoint(11, EndpointState.GONE)], False, NOW)
+        assert len(router.registry.servers) == before - 1 and not router.digest.valid_beliefs(
             make_request(), record, NOW
         )
-        made.update_endpoints([make_endpoint(11)], False, NOW)
-    assert len(made.registry.servers) == len(
-        made.registry.index_of
-    ) == before and not made.digest.valid_beliefs(make_request(), record, NOW)
+        router.update_endpoints([make_endpoint(11)], False, NOW)
+    assert len(router.registry.servers) == len(
+        router.registry.index_of
+    ) == before and not router.digest.valid_beliefs(make_request(), record, NOW)
 
 
 def test_a_restart_keeps_the_count_of_attempts_in_flight():
-    made = make_router()
-    made.plan(state_with(made, make_request()), NOW)
-    cache = next(n for n in made.registry.servers.values() if n.in_flight)
+    router = make_router()
+    router.plan(state_with(router, make_request()), NOW)
+    cache = next(n for n in router.registry.servers.values() if n.in_flight)
     cache.on_restart(NOW)
     assert cache.in_flight == 1
 
@@ -709,28 +718,28 @@
     tells, elapsed, believed_held, source, status
 ):
     """Unreported waits for fills looked like congested caches: hits were shed and a full link went unnoticed."""
-    made = make_router(**{**NO_STATUS_REPORTED, "tells": tells})
-    attempt = Attempt(server_with_id(made, 11), server_with_id(made, source), 1, believed_held)
-    assert made.results.inferred_status(attempt, CacheStatus.UNKNOWN, elapsed / 400) is status
+    router = make_router(**{**NO_STATUS_REPORTED, "tells": tells})
+    attempt = Attempt(server_with_id(router, 11), server_with_id(router, source), 1, believed_held)
+    assert router.results.inferred_status(attempt, CacheStatus.UNKNOWN, elapsed / 400) is status
 
 
 @pytest.mark.parametrize("fills, hits, slowness", [(0, 0, 1.1), (3, 0, 4.4), (3, 64, 1.2)])
 def test_an_even_share_of_the_configured_link_rate_replaces_fill_samples(fills, hits, slowness):
     # The link carries 12 transfers for four fronts; LINK_SHARE of an even share is usable.
-    made = make_router(**NO_STATUS_REPORTED)
-    made.inbound_link.fills_in_flight = fills
-    made.inbound_link.recent_misses.extend([False] * hits or [True] * 64)
-    assert made.inbound_link.expected_slowness(NOW) == pytest.approx(slowness, abs=0.06)
+    router = make_router(**NO_STATUS_REPORTED)
+    router.inbound_link.fills_in_flight = fills
+    router.inbound_link.recent_misses.extend([False] * hits or [True] * 64)
+    assert router.inbound_link.expected_slowness(NOW) == pytest.approx(slowness, abs=0.06)
 
 
 def test_requests_that_bypass_the_caches_respect_the_inbound_link():
     """Without a usable cache 766 GETs in five seconds went straight to a parent, and 656 of them were late."""
-    made = make_router(
+    router = make_router(
         [make_endpoint(c, EndpointState.DRAINING) for c in CACHES], **NO_STATUS_REPORTED, direct=True
     )
-    assert made.start_request(make_request(size=400), NOW).route(NOW)[0].cache in PARENTS
-    made.inbound_link.fills_in_flight = 40
-    actions = [made.start_request(make_request(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
+    assert router.start_request(make_request(size=400), NOW).route(NOW)[0].cache in PARENTS
+    router.inbound_link.fills_in_flight = 40
+    actions = [router.start_request(make_request(f"r-{at}", size=400), NOW).route(NOW)[0] for at in range(20)]
     assert sum(isinstance(action, RejectRequest) for action in actions) > 15
 
 
@@ -738,49 +747,49 @@
     "reported_ago, inflight, slowness", [(0, 2, 1.2), (0, 20, 12.0), (3 * S, 20, 1.0), (0, 0, 1.0)]
 )
 def test_reported_requests_per_weight_raise_the_expected_slowness(reported_ago, inflight, slowness):
-    made = make_router()
-    server = server_with_id(made, 11)
+    router = make_router()
+    server = server_with_id(router, 11)
     server.load_report, server.load_reported_at = {"inflight": inflight}, NOW - reported_ago
     assert server.expected_slowness(NOW) == pytest.approx(slowness)
 
 
 def test_parts_of_an_object_share_sending_times():
-    made = make_router()
+    router = make_router()
     first = make_request(obj=7)
     # Still in flight when the next part is requested.
-    earlier = made.digest.record_of(first._replace(part=2), NOW)
-    made.digest.record_of(first, NOW)
+    earlier = router.digest.record_of(first._replace(part=2), NOW)
+    router.digest.record_of(first, NOW)
     earlier.sending_times.append(120 * MS)
     assert (
-        made.load.sending_time(first._replace(part=3))
+        router.load.sending_time(first._replace(part=3))
         == 120 * MS
-        != made.load.sending_time(make_request(obj=8))
+        != router.load.sending_time(make_request(obj=8))
     )
     for obj in range(5000):
-        made.digest.record_of(make_request(obj=1000 + obj), NOW)
-    assert len(made.digest.sending_times) <= 4096
+        router.digest.record_of(make_request(obj=1000 + obj), NOW)
+    assert len(router.digest.sending_times) <= 4096
 
 
 def with_gossip(*entries):
     """A router that received these gossip entries 100 ms after they were sent, and a request for their object."""
-    made, request = make_router(), make_request()
-    made.receive_gossip(list(entries), 100 * MS, NOW)
-    return made, request
+    router, request = make_router(), make_request()
+    router.receive_gossip(list(entries), 100 * MS, NOW)
+    return router, request
 
 
 def test_a_belief_from_gossip_lasts_half_of_its_remaining_time_and_is_voided_by_a_purge():
-    made, request = with_gossip(BeliefGossip(99, 0, 12, 0, 4 * S, S))
-    assert made.digest.valid_beliefs(request, made.digest.record_of(request, NOW), NOW) == {
-        server_with_id(made, 12): NOW + 1950 * MS
+    router, request = with_gossip(BeliefGossip(99, 0, 12, 0, 4 * S, S))
+    assert router.digest.valid_beliefs(request, router.digest.record_of(request, NOW), NOW) == {
+        server_with_id(router, 12): NOW + 1950 * MS
     }
-    made.invalidate(99, -1, 500 * MS, NOW)
-    assert made.digest.valid_beliefs(request, made.digest.record_of(request, NOW), NOW) == {}
+    router.invalidate(99, -1, 500 * MS, NOW)
+    assert router.digest.valid_beliefs(request, router.digest.record_of(request, NOW), NOW) == {}
 
 
 def test_a_belief_from_gossip_replaces_no_own_belief_and_requires_the_same_cache_start():
-    made, request = with_gossip()
-    add_beliefs(made, request, 12, expiry=NOW + S)
-    made.receive_gossip(
+    router, request = with_gossip()
+    add_beliefs(router, request, 12, expiry=NOW + S)
+    router.receive_gossip(
         [
             BeliefGossip(99, 0, 12, 0, 8 * S, 0),
             BeliefGossip(99, 0, 13, 7, 8 * S, 0),
@@ -789,66 +798,66 @@
         0,
         NOW,
     )
-    assert made.digest.valid_beliefs(request, made.digest.record_of(request, NOW), NOW) == {
-        server_with_id(made, 12): NOW + S
+    assert router.digest.valid_beliefs(request, router.digest.record_of(request, NOW), NOW) == {
+        server_with_id(router, 12): NOW + S
     }
 
 
 def test_a_miss_is_filled_from_a_sibling_known_by_gossip():
-    made, request = with_gossip()
-    first = made.start_request(request, NOW).route(NOW)[0].cache
+    router, request = with_gossip()
+    first = router.start_request(request, NOW).route(NOW)[0].cache
     other = next(c for c in CACHES if c != first)
-    made.receive_gossip([BeliefGossip(99, 0, other, 0, 8 * S, 0)], 0, NOW)
-    assert made.start_request(make_request("r-2"), NOW).route(NOW)[0].fill_source == other
+    router.receive_gossip([BeliefGossip(99, 0, other, 0, 8 * S, 0)], 0, NOW)
+    assert router.start_request(make_request("r-2"), NOW).route(NOW)[0].fill_source == other
 
 
 def test_an_ejection_from_gossip_needs_no_own_results_and_never_shortens_an_ejection():
-    made, _ = with_gossip(EjectionGossip(21, 0, True, 4 * S, 0, 0), EjectionGossip(22, 0, True, -S, 0, 0))
+    router, _ = with_gossip(EjectionGossip(21, 0, True, 4 * S, 0, 0), EjectionGossip(22, 0, True, -S, 0, 0))
     assert (
-        server_with_id(made, 21).source_health.ejected_until == NOW + 1950 * MS
-        and not server_with_id(made, 22).source_health.ejected_until
+        server_with_id(router, 21).source_health.ejected_until == NOW + 1950 * MS
+        and not server_with_id(router, 22).source_health.ejected_until
     )
-    server_with_id(made, 22).source_health.results.append((NOW, True))
-    made.receive_gossip(
+    server_with_id(router, 22).source_health.results.append((NOW, True))
+    router.receive_gossip(
         [EjectionGossip(22, 0, True, 4 * S, 0, 0), EjectionGossip(21, 0, True, MS, 0, 0)], 0, NOW
     )
     assert (
-        not server_with_id(made, 22).source_health.ejected_until
-        and server_with_id(made, 21).source_health.ejected_until == NOW + 1950 * MS
+        not server_with_id(router, 22).source_health.ejected_until
+        and server_with_id(router, 21).source_health.ejected_until == NOW + 1950 * MS
     )
 
 
 def test_beliefs_are_sent_once_the_most_requested_first_and_none_that_expire_soon():
-    made = make_router()
+    router = make_router()
     for obj, requests, expiry in ((1, 1, 8 * S), (2, 5, 8 * S), (3, 9, S)):
         request = make_request(obj=obj)
         for _ in range(requests):
-            made.start_request(request, NOW)
-        add_beliefs(made, request, 12, expiry=NOW + expiry)
-    server_with_id(made, 13).cache_health.ejected_until = NOW + S
-    made.outliers.health_changed(server_with_id(made, 13))
-    assert made.gossip_to_send(9, NOW) == [
+            router.start_request(request, NOW)
+        add_beliefs(router, request, 12, expiry=NOW + expiry)
+    server_with_id(router, 13).cache_health.ejected_until = NOW + S
+    router.outliers.health_changed(server_with_id(router, 13))
+    assert router.gossip_to_send(9, NOW) == [
         EjectionGossip(13, 0, False, S, 0, 0),
         BeliefGossip(2, 0, 12, 0, 8 * S, MS),
         BeliefGossip(1, 0, 12, 0, 8 * S, MS),
     ]
     assert (
-        made.gossip_to_send(9, NOW + 1) == [EjectionGossip(13, 0, False, S - 1, 0, 0)]
+        router.gossip_to_send(9, NOW + 1) == [EjectionGossip(13, 0, False, S - 1, 0, 0)]
         and len(make_router().gossip_to_send(0, NOW)) == 0
     )
 
 
 def test_slowness_from_gossip_is_used_without_own_samples_and_keeps_its_age():
-    made, _ = with_gossip(EjectionGossip(12, 0, False, 0, 2500, 0))
-    health = server_with_id(made, 12).cache_health
+    router, _ = with_gossip(EjectionGossip(12, 0, False, 0, 2500, 0))
+    health = server_with_id(router, 12).cache_health
     assert (
         health.slowness(NOW) == 2.5
         and not health.ejected_until
         and not health.slowness(NOW + 10 * S - 100 * MS)
     )
-    made.receive_gossip([EjectionGossip(12, 0, False, 0, 9000, 0)], 0, NOW)
+    router.receive_gossip([EjectionGossip(12, 0, False, 0, 9000, 0)], 0, NOW)
     assert health.slowness(NOW) == 2.5
-    assert made.gossip_to_send(9, NOW) == [EjectionGossip(12, 0, False, 0, 2500, 100 * MS)]
+    assert router.gossip_to_send(9, NOW) == [EjectionGossip(12, 0, False, 0, 2500, 100 * MS)]
 
 
 def test_slowness_gossip_among_routers_expires_with_its_sample():
@@ -864,18 +873,21 @@
 
 
 def test_purges_are_kept_until_applied_and_expire_a_few_per_call():
-    made = make_router()
+    router = make_router()
     # A reconnecting front receives as many in a second: the cost of one must not depend on the others.
     for identifier in range(20_000):
-        made.invalidate(identifier, -1, identifier * MS, NOW)
-    assert len(made.invalidations.purges) == 20_000 and made.invalidations.purges["object", 7] == NOW - 7 * MS
-    made.invalidate(5, -1, 0, NOW + S)  # a later purge of the same object outlives the earlier one
+        router.invalidate(identifier, -1, identifier * MS, NOW)
+    assert (
+        len(router.invalidations.purges) == 20_000
+        and router.invalidations.purges["object", 7] == NOW - 7 * MS
+    )
+    router.invalidate(5, -1, 0, NOW + S)  # a later purge of the same object outlives the earlier one
     # All have expired now; removing them in one call would delay the requests that wait for it.
-    made.invalidate(-1, 3, 0, NOW + 37 * S)
-    assert len(made.invalidations.purges) >= 19_900
+    router.invalidate(-1, 3, 0, NOW + 37 * S)
+    assert len(router.invalidations.purges) >= 19_900
     for identifier in range(6000):
-        made.invalidate(-1, 3, identifier, NOW + 37 * S)
-    assert set(made.invalidations.purges) == {("object", 5), ("group", 3)}
+        router.invalidate(-1, 3, identifier, NOW + 37 * S)
+    assert set(router.invalidations.purges) == {("object", 5), ("group", 3)}
 
 
 @pytest.mark.parametrize(
