--- a/sprucegate/routing/health_record.py
+++ b/sprucegate/routing/health_record.py
@@ -126,7 +126,7 @@
             return
         slowness = self.slowness(now)
         failure_ratio = self.failure_ratio(now)
-        peer_slowness = [speed for peer in peers if peer is not self and (speed := peer.slowness(now))]
+        peer_slowness = [ratio for peer in peers if peer is not self and (ratio := peer.slowness(now))]
         if attributable:
             failing = failure_ratio > FAILURE_RATIO_MAX
         else:
--- a/sprucegate/routing/inbound_link.py
+++ b/sprucegate/routing/inbound_link.py
@@ -74,7 +74,7 @@
     def record_fill(self, source: Server, slowness: float, concurrent_transfers: int, now: int) -> None:
         """Record the slowness of a fill, unless its source is slower than its peers and thus the cause."""
         peers, _ = self.outliers.comparison_group("parent")
-        peer_slowness = [speed for peer in peers if (speed := peer.source_health.slowness(now))] or [
+        peer_slowness = [ratio for peer in peers if (ratio := peer.source_health.slowness(now))] or [
             PEER_SLOWNESS_DEFAULT
         ]
         if source.source_health.slowness(now) <= SIMILAR_SLOWNESS_RATIO * median_low(peer_slowness):
--- a/sprucegate/simulator/process.py
+++ b/sprucegate/simulator/process.py
@@ -21,7 +21,7 @@
         try:
             text = data.decode("utf-8").rstrip("\r\n")
         except UnicodeDecodeError:
-            raise MalformedLineError(f"line {number}: is not valid UTF-8") from None
+            raise MalformedLineError(f"line {number}: not valid UTF-8") from None
         if not text:
             continue
         if now is None:
--- a/sprucegate/simulator/settings.py
+++ b/sprucegate/simulator/settings.py
@@ -9,7 +9,7 @@
 from sprucegate.simulator.codec import parse_bool
 
 
-def _microseconds(text):
+def _microseconds_to_ns(text):
     return int(float(text) * 1000)
 
 
@@ -30,9 +30,9 @@
 SETTINGS_BY_PATH = {
     "allowed.attemptsCap": ("max_forwards", int),
     "allowed.cancel": ("cancel", parse_bool),
-    "allowed.connectTimeout": ("connect_timeout", _microseconds),
-    "allowed.keepalive": ("keepalive", _microseconds),
-    "allowed.maxRetryAfter": ("max_retry_after", _microseconds),
+    "allowed.connectTimeout": ("connect_timeout", _microseconds_to_ns),
+    "allowed.keepalive": ("keepalive", _microseconds_to_ns),
+    "allowed.maxRetryAfter": ("max_retry_after", _microseconds_to_ns),
     "allowed.maxStreams": ("max_streams", int),
     "allowed.openCap": ("max_open", int),
     "allowed.peerMessages": ("peer_messages", parse_bool),
@@ -41,13 +41,13 @@
     "allowed.secondCopies": ("second_copies", parse_bool),
     "callers.marksRetry": ("repeats_marked", parse_bool),
     "discovery": ("discovery", _translated(DISCOVERY)),
-    "guarantees.answerSlack": ("answer_slack", _microseconds),
-    "guarantees.askEvery": ("ask_every", _microseconds),
+    "guarantees.answerSlack": ("answer_slack", _microseconds_to_ns),
+    "guarantees.askEvery": ("ask_every", _microseconds_to_ns),
     "guarantees.coldFrom": ("cold_share", float),
-    "guarantees.drainGrace": ("drain_grace", _microseconds),
+    "guarantees.drainGrace": ("drain_grace", _microseconds_to_ns),
     "guarantees.fallMultiple": ("fall_multiple", float),
-    "guarantees.overloadFor": ("fall_time", _microseconds),
-    "guarantees.warmUp": ("warm_time", _microseconds),
+    "guarantees.overloadFor": ("fall_time", _microseconds_to_ns),
+    "guarantees.warmUp": ("warm_time", _microseconds_to_ns),
     "loadInfo.fields": ("load_fields", _list_of(str)),
     "loadInfo.how": ("load_by", _translated(LOAD_BY)),
     "myZone": ("my_location", int),
@@ -58,7 +58,7 @@
     "penalties.peer": ("peer_price", float),
     "siblings": ("fronts", int),
     "specifics.agedWorth": ("stale_share", _list_of(float)),
-    "specifics.classFresh": ("fresh_time", _list_of(_microseconds)),
+    "specifics.classFresh": ("fresh_time", _list_of(_microseconds_to_ns)),
     "specifics.clientKbPerS": ("client_kb_per_s", float),
     "specifics.feedKbPerS": ("link_in_kb_per_s", _list_of(float)),
     "specifics.goesThrough": ("runs_at_origin", _list_of(parse_bool)),
@@ -66,27 +66,27 @@
     "specifics.linkPrice": ("link_price", float),
     "specifics.mergesFills": ("joins", parse_bool),
     "specifics.neighbours": ("siblings", _translated(SILENT_MEANS_NONE)),
-    "specifics.obeyAfter": ("purge_grace", _microseconds),
+    "specifics.obeyAfter": ("purge_grace", _microseconds_to_ns),
     "specifics.originFallMultiple": ("origin_fall_multiple", float),
     "specifics.parentFallMultiple": ("parent_fall_multiple", float),
     "specifics.parentFloor": ("parent_cold_share", float),
-    "specifics.parentRamp": ("parent_warm_time", _microseconds),
-    "specifics.purgeDone": ("purge_done", _microseconds),
-    "specifics.rootFall": ("origin_fall_time", _microseconds),
+    "specifics.parentRamp": ("parent_warm_time", _microseconds_to_ns),
+    "specifics.purgeDone": ("purge_done", _microseconds_to_ns),
+    "specifics.rootFall": ("origin_fall_time", _microseconds_to_ns),
     "specifics.says": ("tells", _translated(SILENT_MEANS_NONE)),
     "specifics.shieldKind": ("parent_kind", int),
     "specifics.storeKind": ("origin_kind", int),
     "specifics.straight": ("direct", parse_bool),
-    "specifics.usableAfter": ("grace_time", _list_of(_microseconds)),
+    "specifics.usableAfter": ("grace_time", _list_of(_microseconds_to_ns)),
     "specifics.zoneBalancers": ("fronts_by_location", _list_of(int)),
-    "tick": ("tick", _microseconds),
+    "tick": ("tick", _microseconds_to_ns),
     "weightKind": ("weights", _translated(SILENT_MEANS_NONE)),
 }
 # Each becomes a list with one item per delivery service, in wire order; None where a service leaves it out.
 BY_DELIVERY_SERVICE = {
-    "aim": ("latency_objective", _microseconds),
+    "aim": ("latency_objective", _microseconds_to_ns),
     "aimStretch": ("objective_stretch", float),
-    "deadline": ("viewer_timeout", _microseconds),
+    "deadline": ("viewer_timeout", _microseconds_to_ns),
     "effect": ("effect", _translated(EFFECTS)),
     "lateShare": ("late_share", float),
     "streamed": ("streamed", parse_bool),
--- a/tests/routing/test_slow_start_of_many_routers.py
+++ b/tests/routing/test_slow_start_of_many_routers.py
@@ -121,7 +121,7 @@
     simulation.run(NOW + 6 * S)
     simulation.sent.clear()
     started = simulation.at
-    # Fronts learn of the start at different times, and every third one is told again in the last round.
+    # Fronts learn of the start at different times, and every third one learns of it again in the last round.
     for round_ in range(8):
         for at in range(count):
             if (
