--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -15,7 +15,7 @@
 from sprucegate.front.response_writer import ResponseWriter
 from sprucegate.routing.actions import AwaitSlot, CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
-from sprucegate.routing.response_cache import OWN_COPIES_BYTES
+from sprucegate.routing.response_cache import RESPONSE_CACHE_BYTES
 from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.upstream.hosts import EndpointList
@@ -43,7 +43,9 @@
         self.compacts_at = COMPACTED
         self.timer, self.armed, self.membership, self.fleet = None, None, None, None
         self.places = None  # who shares out places for slow fills; None: each starts at once
-        self.copies = ResponseCache(min(OWN_COPIES_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link)
+        self.copies = ResponseCache(
+            min(RESPONSE_CACHE_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link
+        )
 
     # What happens.
 
@@ -89,7 +91,7 @@
         if (
             copy is None
             or get.asked.write
-            or not self.router.may_answer_from_own_copy(
+            or not self.router.may_serve_stored_response(
                 get.asked, copy.made, copy.since, self.copies.wait(now), now
             )
         ):
@@ -168,7 +170,7 @@
             self.relay.answer(out.get, 200, said.body, tagged(said.tag))
             get, now = out.get, self.clock()
             made = self._made(out, said, now)
-            if made is not None and self.router.should_store_own_copy(get.asked, made, now):
+            if made is not None and self.router.should_store_response(get.asked, made, now):
                 self.copies.put((get.ds, get.thing, get.part), CachedResponse(said.body, said.tag, made, now))
         self.book.count("gets_returned")
 
--- a/sprucegate/routing/outlier_detection.py
+++ b/sprucegate/routing/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: comparison groups of servers, and which caches are avoided.
+"""Outlier detection: comparison groups of servers, and which caches are excluded from selection.
 
-Each server has two health records, as a cache that answers and as a source of fills; what ejects it stands
-in `health_record`.
+Each server has two health records, one as a cache and one as a fill source. The rules of ejection are in
+`health_record`.
 """
 
 from collections import OrderedDict, defaultdict
@@ -14,9 +14,9 @@
 
 
 class OutlierDetector:
-    """Keeps the comparison groups of recently used servers, and says which caches to avoid.
+    """Maintains the comparison groups of recently used servers, and excludes unhealthy caches.
 
-    :ivar suspects: caches out of reach, ejected or on probation, by index.
+    :ivar suspects: unreachable or ejected caches and those on probation, by index.
     :ivar recent: by role, servers with a recent result by index, the latest last.
     """
 
@@ -25,61 +25,61 @@
         self.suspects: dict[int, Server] = {}
         self.recent: defaultdict[str, OrderedDict[int, Server]] = defaultdict(OrderedDict)
 
-    def forget(self, server: Server) -> None:
-        """Drop a server that is gone."""
+    def remove(self, server: Server) -> None:
+        """Remove a server that left the endpoint list."""
         self.suspects.pop(server.index, None)
         self.recent[server.role].pop(server.index, None)
 
-    def changed(self, server: Server) -> None:
-        """Note that a record of the server has changed."""
+    def health_changed(self, server: Server) -> None:
+        """Update the groups after a health record of the server has changed."""
         recent = self.recent[server.role]
         recent[server.index] = server
         recent.move_to_end(server.index)
         if len(recent) > RECENT_SERVERS_MAX:
             recent.popitem(last=False)
-        health = server.as_cache
+        health = server.cache_health
         if server.role == "cache" and (
             server.unreachable_until or health.on_probation or health.ejected_until
         ):
             self.suspects[server.index] = server
 
     def comparison_group(self, role: str) -> tuple[list[Server], int]:
-        """Usable servers of a role with a recent result, and the number of those without one."""
-        seen = [server for server in self.recent[role].values() if self.registry.in_group(server)]
-        return seen, len(self.registry.group(role)) - len(seen)
+        """Usable servers of a role that have a recent result, and the number of those that have none."""
+        active = [server for server in self.recent[role].values() if self.registry.in_group(server)]
+        return active, len(self.registry.group(role)) - len(active)
 
-    def judge_cache(self, cache: Server, own_fault: bool, now: int) -> None:
+    def evaluate_cache(self, cache: Server, attributable: bool, now: int) -> None:
         """Eject the server as a cache if its last result shows it to be an outlier."""
-        if cache.as_cache.needs_judging(now):
-            peers, silent = self.comparison_group("cache")
-            cache.as_cache.judge([peer.as_cache for peer in peers], own_fault, now, silent)
-            self.changed(cache)
-
-    def judge_source(self, source: Server, own_fault: bool, now: int) -> None:
-        """Eject the server as a source of fills if its last result shows it to be an outlier."""
-        if source.as_source.needs_judging(now):
-            peers, silent = self.comparison_group(source.role)
-            source.as_source.judge([peer.as_source for peer in peers], own_fault, now, silent)
-
-    def all_seen(self) -> ItemsView[int, Server]:
-        """Index and server of all that may be slow or ejected."""
-        found = dict(self.suspects)
+        if cache.cache_health.needs_evaluation(now):
+            peers, idle = self.comparison_group("cache")
+            cache.cache_health.evaluate([peer.cache_health for peer in peers], attributable, now, idle)
+            self.health_changed(cache)
+
+    def evaluate_source(self, source: Server, attributable: bool, now: int) -> None:
+        """Eject the server as a fill source if its last result shows it to be an outlier."""
+        if source.source_health.needs_evaluation(now):
+            peers, idle = self.comparison_group(source.role)
+            source.source_health.evaluate([peer.source_health for peer in peers], attributable, now, idle)
+
+    def possible_outliers(self) -> ItemsView[int, Server]:
+        """Index and server of all servers that may be slow or ejected."""
+        servers = dict(self.suspects)
         for recent in self.recent.values():
-            found.update(recent)
-        return found.items()
+            servers.update(recent)
+        return servers.items()
 
-    def avoided(self, now: int) -> set[int]:
-        """Indices of caches that get nothing now: out of reach, or ejected.
+    def excluded(self, now: int) -> set[int]:
+        """Indices of caches that receive no requests now: unreachable, ejected, or busy on probation.
 
-        Of the caches in reach at most half are ejected at a time; a cache on probation has one request at a
-        time.
+        At most half of the reachable caches are excluded by ejection or probation. A cache on probation
+        receives one request at a time.
         """
         if not self.suspects:
             return set()
         unreachable: set[int] = set()
         ejected: list[Server] = []
         for index, server in list(self.suspects.items()):
-            health = server.as_cache
+            health = server.cache_health
             if not (server.unreachable_until or health.on_probation or health.ejected_until > now):
                 del self.suspects[index]
             elif not self.registry.in_group(server):
@@ -88,6 +88,6 @@
                 unreachable.add(index)
             elif health.ejected_until > now or health.on_probation and server.in_flight:
                 ejected.append(server)
-        ejected.sort(key=lambda server: (-server.as_cache.ejected_until, server.id))
-        most = (len(self.registry.group("cache")) - len(unreachable)) // 2
-        return unreachable.union([server.index for server in ejected[:most]])
+        ejected.sort(key=lambda server: (-server.cache_health.ejected_until, server.id))
+        ejected_max = (len(self.registry.group("cache")) - len(unreachable)) // 2
+        return unreachable.union([server.index for server in ejected[:ejected_max]])
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -1,6 +1,6 @@
-"""Router: events in, actions out. It holds no sockets and no clock; its driver passes it the time (ns).
+"""Router: turns events into actions. It does no I/O and reads no clock; the driver passes the time (ns).
 
-The rules are in the modules of their names. This one connects them, and plans one attempt.
+Each policy is in a module of its own. This module wires them together and plans single attempts.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 from sprucegate.routing.events import AttemptOutcome, BeliefGossip, EjectionGossip, Endpoint, Request
 from sprucegate.routing.fill_source import Fill, FillSourceSelector
 from sprucegate.routing.gossip import Gossip
-from sprucegate.routing.hashing import HashSequence
+from sprucegate.routing.hashing import HashRandom
 from sprucegate.routing.inbound_link import TRIAL_SHARE, InboundLink
 from sprucegate.routing.invalidation import InvalidationLog
 from sprucegate.routing.load_estimation import LoadEstimator
@@ -27,47 +27,49 @@
 from sprucegate.routing.slow_start import SlowStart
 from sprucegate.units import MILLISECOND, SECOND
 
-# Limits of the line transport, which imports them.
-CONNECTIONS = 4  # to one cache: each more is read on its own, which costs CPU where requests are many
-STALLED = 150 * MILLISECOND  # a response begun and then silent so long won't be finished
-ENDPOINT_RETRY_NS = SECOND  # so that a busy discovery can recover
+# Limits that the line transport imports.
+CONNECTIONS_PER_CACHE = 4  # each one is read separately, which costs CPU under a high request rate
+STALL_TIMEOUT_NS = 150 * MILLISECOND  # a response without data for so long is taken to be stalled for good
+ENDPOINT_RETRY_NS = SECOND  # gives an overloaded discovery service time to recover
 TIMEOUT_MIN_NS = MILLISECOND
 RANK_OF_WRITES, RANK_OF_FIRST_REQUESTS, RANK_OF_REPEATED_REQUESTS = range(3)
 
 
 class Router:
-    """The decisions of one router process.
+    """The routing decisions of one router process.
 
-    :ivar slot_limited_sources: ids of sources whose concurrency slots another module hands out.
-    :ivar actions_due: actions for the next call of the timer.
+    :ivar slot_limited_sources: ids of fill sources whose concurrency slots another module grants.
+    :ivar pending_actions: actions that the next `on_timer` returns.
     """
 
     def __init__(self, settings: RoutingSettings, seed: int, now: int) -> None:
         self.settings = settings
-        self.draws = HashSequence(settings.my_number, seed)
+        self.random = HashRandom(settings.my_number, seed)
         self.registry = ServerRegistry(settings)
         self.invalidations = InvalidationLog(settings)
         self.digest = Digest(self.registry, self.invalidations)
         self.load = LoadEstimator(settings, self.digest, now)
         self.outliers = OutlierDetector(self.registry)
-        self.slow_start = SlowStart(settings, self.registry, self.load, self.draws)
-        self.caches = CacheSelector(self.registry, self.load, self.slow_start, self.outliers)
-        self.sources = FillSourceSelector(settings, self.registry, self.digest, self.slow_start, self.draws)
-        self.link = InboundLink(settings, self.load, self.outliers, self.draws)
+        self.slow_start = SlowStart(settings, self.registry, self.load, self.random)
+        self.cache_selector = CacheSelector(self.registry, self.load, self.slow_start, self.outliers)
+        self.source_selector = FillSourceSelector(
+            settings, self.registry, self.digest, self.slow_start, self.random
+        )
+        self.inbound_link = InboundLink(settings, self.load, self.outliers, self.random)
         self.retry_policy = RetryPolicy(settings)
-        self.own_copies = ResponseCachePolicy(settings, self.digest, self.invalidations, self.load)
+        self.response_cache = ResponseCachePolicy(settings, self.digest, self.invalidations, self.load)
         self.results = ResultRecorder(
-            settings, self.registry, self.digest, self.load, self.slow_start, self.outliers, self.link
+            settings, self.registry, self.digest, self.load, self.slow_start, self.outliers, self.inbound_link
         )
         self.gossip = Gossip(self.registry, self.digest, self.outliers)
         self.deadlines = DeadlineQueue()
         self.slot_limited_sources: Sequence[int] | dict[int, int] = ()
-        self.actions_due = [SubscribeToEndpoints()] if settings.discovery == "ask" else []
+        self.pending_actions = [SubscribeToEndpoints()] if settings.discovery == "ask" else []
 
     # Requests.
 
     def start_request(self, request: Request, now: int) -> RequestState:
-        """A request has come; `route` of the state returned decides on it."""
+        """Register a new request; call `route` of the returned state to get its first actions."""
         self.load.now = now
         record = self.digest.record_of(request, now)
         self.digest.count(record, request.repeat, now)
@@ -78,58 +80,59 @@
         return state
 
     def latency_objective(self, request: Request) -> int:
-        """Time within which the request is to be answered (ns)."""
+        """Target latency of the request (ns)."""
         return self.load.latency_objective(request)
 
     def plan(self, state: RequestState, now: int) -> SendAttempt | AwaitSlot | None:
-        """The next attempt of a request, a wait for a slot of its fill source, or None to give up."""
+        """The next attempt of a request, a wait for a slot at its fill source, or None to give up."""
         if not self.retry_policy.may_attempt(state, now):
             return None
         request = state.request
         record = self.digest.record_of(request, now)
         runs_at_origin = self.settings.of_service("runs_at_origin", request.delivery_service, False)
-        cache, in_time = self.caches.pick(state, record, now)
+        cache, in_time = self.cache_selector.select(state, record, now)
         only_if_cached = False
         source: Server | None
         if runs_at_origin:
-            source = self._first_origin() or self.sources.parent_or_origin(state, now)[0]
+            source = self._first_origin() or self.source_selector.parent_or_origin(state, now)[0]
             cache = source if self.settings.direct else cache
         elif cache is None:
-            cache = self.sources.parent_or_origin(state, now)[0] if self.settings.direct else None
+            cache = self.source_selector.parent_or_origin(state, now)[0] if self.settings.direct else None
             source = self._first_origin()
-            # An answer straight from the origin occupies the inbound link as long as a fill does.
-            if self.link.fill_would_be_late(request, state.objective_at, now):
+            # A response straight from the origin occupies the inbound link for as long as a fill does.
+            if self.inbound_link.fill_would_be_late(request, state.objective_at, now):
                 return None
-        elif not in_time and self.draws.chance(request.id) >= TRIAL_SHARE:
-            return None  # it would only crowd out what can still be in time
+        elif not in_time and self.random.next_float(request.id) >= TRIAL_SHARE:
+            return None  # it would take capacity from requests that can still be answered in time
         else:
-            source, only_if_cached = self._source_for(state, record, cache, now)
+            source, only_if_cached = self._select_source(state, record, cache, now)
         if cache is None:
             return None
         if source is not None and self._needs_slot(
             state, record, cache, source, runs_at_origin or only_if_cached
         ):
-            return AwaitSlot(source.id)  # before anything is counted: it may go another way by then
+            # Nothing is counted yet: once the slot is granted, the request may be routed differently.
+            return AwaitSlot(source.id)
         return self._send(state, record, cache, source or cache, only_if_cached, now)
 
     def _first_origin(self) -> Server | None:
         return next(iter(self.registry.group("origin")), None)
 
-    def _source_for(
+    def _select_source(
         self, state: RequestState, record: ObjectRecord, cache: Server, now: int
     ) -> tuple[Server, bool]:
-        """The source of a fill, and whether the attempt is only for what is cached."""
-        sibling, recheck = self.sources.sibling(state, record, cache, now)
+        """The fill source, and whether the attempt may only return a cached copy."""
+        sibling, recheck = self.source_selector.sibling(state, record, cache, now)
         if sibling is not None:
             return sibling, recheck
-        source, may_fetch = self.sources.parent_or_origin(state, now)
+        source, may_fetch = self.source_selector.parent_or_origin(state, now)
         if source is None or (
             cache.index not in record.beliefs
-            and self.link.fill_would_be_late(state.request, state.objective_at, now)
+            and self.inbound_link.fill_would_be_late(state.request, state.objective_at, now)
         ):
             source = cache
             may_fetch = False
-        # Still sent, though without a fetch: asking cache and parent is cheap, and a hit can be served.
+        # Without permission to fetch it is still sent: a lookup at cache and parent is cheap and may hit.
         state.no_retry = not may_fetch
         return source, not may_fetch
 
@@ -144,7 +147,7 @@
             and state.slot_source != source.id
         )
 
-    def _send(  # noqa: PLR0913 - what was decided
+    def _send(  # noqa: PLR0913 - all parts of one decision
         self,
         state: RequestState,
         record: ObjectRecord,
@@ -153,7 +156,7 @@
         only_if_cached: bool,
         now: int,
     ) -> SendAttempt:
-        """Count the attempt, and say how it is sent."""
+        """Account for the attempt and build the action that sends it."""
         request = state.request
         service = request.delivery_service
         number = len(state.attempts)
@@ -185,25 +188,25 @@
         )
 
     def _count_fill(self, attempt: Attempt, request: Request, only_if_cached: bool, now: int) -> None:
-        self.link.fills_in_flight += 1
-        attempt.fills_sharing = self.link.fills_in_flight
+        self.inbound_link.fills_in_flight += 1
+        attempt.concurrent_fills = self.inbound_link.fills_in_flight
         attempt.cache.fills_in_flight += 1
         attempt.fill = Fill(attempt.source, now, now + self.latency_objective(request))
         if not only_if_cached:
-            self.sources.fills.append(attempt.fill)
+            self.source_selector.fills.append(attempt.fill)
 
-    # Time.
+    # Timers.
 
     def next_deadline(self) -> int | None:
-        """When `on_timer` is to be called (ns), None for never; 0 is at once."""
-        at = self.deadlines.next()
-        return 0 if self.actions_due else at
+        """When to call `on_timer` next (ns): 0 for at once, None if no timer is set."""
+        due = self.deadlines.next()
+        return 0 if self.pending_actions else due
 
     def on_timer(self, now: int) -> list[tuple[RequestState | None, list[Action | SubscribeToEndpoints]]]:
-        """Actions that are due, each list with its request, or None where it belongs to none."""
+        """Actions that are due, as lists with the request that they belong to, or None for no request."""
         decided: list[tuple[RequestState | None, list[Action | SubscribeToEndpoints]]]
-        decided = [(None, [*self.actions_due])]
-        self.actions_due = []
+        decided = [(None, [*self.pending_actions])]
+        self.pending_actions = []
         for state in self.deadlines.pop_expired(now):
             decided.append((state, [*state.give_up(now)] if state else [SubscribeToEndpoints()]))
         return decided
@@ -212,7 +215,7 @@
 
     @property
     def platform_clock_offset(self) -> int:
-        """How far the platform's clock is ahead of the router's (ns), at the least."""
+        """Lower bound of how far the platform's clock is ahead of the router's (ns)."""
         return self.registry.platform_clock_offset
 
     @platform_clock_offset.setter
@@ -220,55 +223,62 @@
         self.registry.platform_clock_offset = offset
 
     def update_endpoints(self, entries: Sequence[Endpoint], complete: bool, now: int) -> None:
-        """The endpoint list has come, or, if not `complete`, changed entries of it."""
+        """Apply the endpoint list or, if not `complete`, changed entries of it."""
         for server in self.registry.update(entries, complete, now):
-            self.outliers.forget(server)
+            self.outliers.remove(server)
 
     def endpoint_list_failed(self, now: int) -> None:
-        """Service discovery did not answer."""
+        """Handle a failed request for the endpoint list."""
         if self.settings.discovery == "ask":
             self.deadlines.add(now + ENDPOINT_RETRY_NS, None)
 
-    def endpoints_to_connect(self, most: int) -> list[int]:
-        """Ids of servers to connect to at the start, at most `most`."""
-        return self.registry.endpoints_to_connect(most)
+    def endpoints_to_connect(self, limit: int) -> list[int]:
+        """Ids of at most `limit` servers to connect to at startup."""
+        return self.registry.endpoints_to_connect(limit)
 
     def group(self, role: str) -> list[Server]:
-        """Servers of a role that requests or fills may go to."""
+        """Servers of a role that may receive requests or fills."""
         return self.registry.group(role)
 
     def age(self, server: Server, now: int) -> int:
-        """Nanoseconds since the server started, at most the true ones."""
+        """Lower bound of the time since the server started (ns)."""
         return self.registry.age(server, now)
 
     def receive_load_report(
         self, cache: int, outcome: AttemptOutcome, elapsed: int, load: dict[str, float], now: int
     ) -> None:
-        """No health checks are sent, so no report is expected."""
+        """Ignored: no health checks are sent, so no report is expected."""
 
-    # Invalidation and own copies.
+    # Invalidation and the response cache.
 
     def invalidate(self, identifier: int, group: int, age: int, now: int) -> None:
-        """A purge of an object, or of a group if `identifier` is negative, was issued `age` ns ago."""
+        """Record a purge of an object, or of a group if `identifier` is negative, issued `age` ns ago."""
         self.invalidations.invalidate(identifier, group, age, now)
 
-    def may_answer_from_own_copy(self, request: Request, made: int, since: int, wait: int, now: int) -> bool:
-        """Whether an own copy, generated at `made` and stored at `since`, may answer after `wait` ns."""
-        return self.own_copies.may_answer(request, made, since, wait, now)
+    def may_serve_stored_response(
+        self, request: Request, generated_at: int, stored_at: int, link_queue: int, now: int
+    ) -> bool:
+        """Whether the request may be answered from a response that this process stored.
+
+        :param generated_at: when the response was generated (ns).
+        :param stored_at: when it was stored (ns).
+        :param link_queue: queueing delay on this process's outgoing link (ns).
+        """
+        return self.response_cache.may_serve(request, generated_at, stored_at, link_queue, now)
 
-    def should_store_own_copy(self, request: Request, made: int, now: int) -> bool:
-        """Whether to keep a copy of a response generated at `made`."""
-        return self.own_copies.should_store(request, made, now)
+    def should_store_response(self, request: Request, generated_at: int, now: int) -> bool:
+        """Whether to store a response that was generated at `generated_at` (ns)."""
+        return self.response_cache.should_store(request, generated_at, now)
 
     # Other routers.
 
-    def gossip_to_send(self, most: int, now: int) -> list[EjectionGossip | BeliefGossip]:
-        """At most `most` facts for other routers."""
-        return self.gossip.to_send(most, now)
+    def gossip_to_send(self, limit: int, now: int) -> list[EjectionGossip | BeliefGossip]:
+        """At most `limit` gossip entries to send to other routers."""
+        return self.gossip.to_send(limit, now)
 
-    def receive_gossip(self, facts: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
-        """Facts that another router sent `age` ns ago."""
-        self.gossip.receive(facts, age, now)
+    def receive_gossip(self, entries: Sequence[EjectionGossip | BeliefGossip], age: int, now: int) -> None:
+        """Apply gossip that another router sent `age` ns ago."""
+        self.gossip.receive(entries, age, now)
 
     def receive_peer_message(self, peer: int, payload: bytes, now: int) -> None:
-        """Routers exchange nothing over the simulator's protocol."""
+        """Ignored: routers exchange no messages over the simulator's protocol."""
