--- a/sprucegate/fleet/rollout/__init__.py
+++ b/sprucegate/fleet/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Who may go out, releases in waves, and the gates that stop them. No I/O, no clock."""
+"""Maintenance permits, releases in waves, and the gates that halt them. No I/O, no clock."""
--- a/sprucegate/fleet/rollout/commands.py
+++ b/sprucegate/fleet/rollout/commands.py
@@ -1,11 +1,14 @@
-"""The commands of the machine by shape: what does not fit is refused at the door, or all would trip over it."""
+"""The types of the state machine's commands.
+
+A command that doesn't fit is refused before it is proposed: once committed it would fail in every process.
+"""
 
 import msgspec
 
-from sprucegate.fleet.rollout.gates import MEASURES
+from sprucegate.fleet.rollout.gates import METRICS
 
-TEXT_MOST = 200  # characters of a name or a reason
-BOXES_MOST = 5000
+TEXT_LENGTH_MAX = 200  # characters of a name or a reason
+BOXES_MAX = 5000
 SHAPES = {
     "ask": tuple[str, str, str, str],
     "withdraw": tuple[str],
@@ -30,36 +33,37 @@
 }
 BY_OPERATORS = ("ask", "withdraw", "give-up", "release", "halt", "resume", "back", "out", "renew", "started")
 REPORT = tuple[list[tuple[str, int, int, int, int, int, int]], list[str], dict[str, str]]
-assert len(MEASURES) == 5  # the columns of a report after the count of GETs, starts in the place of crashes
+# A report has a column for each metric after the count of GETs, with starts in the place of crashes.
+assert len(METRICS) == 5
 
 
 def fault(command):
-    """Why that can't be a command, or ""."""
+    """Return why this is not a valid command, or ""."""
     if not isinstance(command, list) or not command or not isinstance(command[0], str):
         return "no command"
     if command[0] == "once":
-        if len(command) != 3 or not isinstance(command[1], str) or not 0 < len(command[1]) <= TEXT_MOST:
+        if len(command) != 3 or not isinstance(command[1], str) or not 0 < len(command[1]) <= TEXT_LENGTH_MAX:
             return "once wants an id and a command"
         if not isinstance(command[2], list) or command[2][:1] == ["once"]:
             return "no command"
         return fault(command[2])
-    shape = SHAPES.get(command[0])
-    if shape is None:
+    fields = SHAPES.get(command[0])
+    if fields is None:
         return f"{command[0][:60]} is not known"
     try:
-        said = msgspec.convert(command[1:], shape)
-    except msgspec.ValidationError as wrong:
-        return f"{command[0]}: {wrong}"
-    if any(isinstance(one, str) and len(one) > TEXT_MOST for one in said):
-        return f"{command[0]}: a text of more than {TEXT_MOST} characters"
-    if command[0] == "boxes" and len(said[0]) > BOXES_MOST:
-        return f"boxes: more than {BOXES_MOST}"
+        arguments = msgspec.convert(command[1:], fields)
+    except msgspec.ValidationError as error:
+        return f"{command[0]}: {error}"
+    if any(isinstance(one, str) and len(one) > TEXT_LENGTH_MAX for one in arguments):
+        return f"{command[0]}: a text of more than {TEXT_LENGTH_MAX} characters"
+    if command[0] == "boxes" and len(arguments[0]) > BOXES_MAX:
+        return f"boxes: more than {BOXES_MAX}"
     return ""
 
 
-def report(told):
-    """A front's report where it fits, or an empty one."""
+def report(received):
+    """Return a front's report, or an empty one if it is not valid."""
     try:
-        return msgspec.convert(told, REPORT)
+        return msgspec.convert(received, REPORT)
     except msgspec.ValidationError:
         return []
--- a/sprucegate/fleet/rollout/follower.py
+++ b/sprucegate/fleet/rollout/follower.py
@@ -1,20 +1,30 @@
-"""What a front says to the log about boxes that go out and come back. No I/O, no clock."""
+"""What a front reports to the replicated log on boxes that go out and come back. No I/O, no clock."""
 
 from sprucegate.fleet.rollout.permits import PermitStep
 
 S = 1_000_000_000
-AGAIN = S  # until a word that is not in the log is said anew
+RETRY_INTERVAL = S  # after which a command that has not been committed is proposed again
 
 
 class FrontReporter:
-    """What a front reports to the replicated log: that it drained a server, and that one is warm again."""
+    """What a front reports to the replicated log: that it drained a server, and that one is warm again.
+
+    :ivar proposed: {command as text: when it was proposed}.
+    :ivar same: whether the log has this front's boxes and limits.
+    """
 
     def __init__(self, name, life):
-        self.name, self.life, self.said, self.same = name, life, {}, False
+        self.name = name
+        self.life = life
+        self.proposed = {}
+        self.same = False
 
     def due(self, machine, drained, warm, now):
-        """Commands to propose. `drained`: boxes that this front sends nothing new and names no more as source;
-        `warm(box, start)`: whether it sees that start answer and sends it its part."""
+        """Return reports to propose.
+
+        `drained`: boxes that this front sends nothing new and does not name as sources;
+        `warm(box, start)`: whether that start answers this front at its full share of the load.
+        """
         found = []
         for permit in machine.permits.of_box.values():
             if (
@@ -29,10 +39,13 @@
                 and warm(permit.box, permit.start)
             ):
                 found.append(["warm", permit.id, permit.start, self.name, self.life])
-        return self._fresh(found, now)
+        return self._not_pending(found, now)
 
     def view(self, machine, boxes, limits, now):
-        """Boxes and limits as this front's lists and file have them, said by the first of the live fronts alone."""
+        """Return commands that bring the log's boxes and limits up to date with this front's lists and file.
+
+        Only the first live front by name proposes them.
+        """
         permits, found, self.same = machine.permits, [], True
         if not permits.fronts or min(permits.fronts) != self.name:
             return []
@@ -42,11 +55,12 @@
         known = [list(b) for b in permits.boxes.values() if b.name not in out or b.name in boxes]
         if sorted(known) != sorted(map(list, boxes.values())):
             found.append(["boxes", [list(b) for b in boxes.values()]])
-        self.same = not found  # in the log, not merely proposed
-        return self._fresh(found, now)
+        self.same = not found  # by what is committed, not by what is proposed
+        return self._not_pending(found, now)
 
-    def _fresh(self, found, now):
-        self.said = {key: at for key, at in self.said.items() if now - at < AGAIN}
-        fresh = [c for c in found if repr(c) not in self.said]
-        self.said.update((repr(c), now) for c in fresh)
+    def _not_pending(self, commands, now):
+        """Return the commands that were not proposed within RETRY_INTERVAL, and note them as proposed."""
+        self.proposed = {key: at for key, at in self.proposed.items() if now - at < RETRY_INTERVAL}
+        fresh = [c for c in commands if repr(c) not in self.proposed]
+        self.proposed.update((repr(c), now) for c in fresh)
         return fresh
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -1,20 +1,29 @@
-"""Who is out, why, and who may go out next: what the agreed log makes of it. No I/O, no clock: commands in, words out.
+"""Maintenance permits: which servers are out of service and why, and which may go out next.
 
-Every keeper applies the same commands in the same order, and a grant is what they come to, not what a leader says. So
-a leader that stood still can grant nothing, and whoever dies between granting and telling has granted all the same.
+A state machine without I/O and without a clock: commands in, answers out. Every voter applies the same commands in the
+same order, and a grant follows from the resulting state, not from a message of the leader. So a leader that was
+suspended can grant nothing, and a grant stands even if the leader dies before it has told anyone.
 
     asked -> granted -> drained -> out -> cold -> back          (or withdrawn before out, or given up by an operator)
 
-A request waits without holding anything, so no two can wait for each other; it is passed by a later one only where no
-budget binds both. A place is free again when the box is back or given up, whatever became of who asked for it.
+A waiting request holds nothing, so requests can't deadlock. A later request overtakes an earlier one only where no
+budget applies to both. A server counts against the budgets until it is back or given up, whatever became of the
+process that asked for the permit.
+
+A box is a server that permits are given for (a cache, a parent or a front), as commands and answers call it.
 """
 
 from enum import IntEnum
 from typing import NamedTuple
 
-ENDED_MOST = 1000  # permits that are over and still told of
-OPEN_MOST = 2000  # requests at one time
-FLEET, LOCATION, KIND, GROUP = "fleet", "location", "kind", "group"  # words of the file and of stored budgets
+ENDED_MAX = 1000  # ended permits, and names of fronts that left, that are kept
+OPEN_PERMITS_MAX = 2000
+FLEET, LOCATION, KIND, GROUP = (
+    "fleet",
+    "location",
+    "kind",
+    "group",
+)  # in the operator's file and in stored budgets
 SCOPES = (FLEET, LOCATION, KIND, GROUP)
 
 
@@ -31,7 +40,7 @@
     GIVEN_UP = 7
 
 
-# A step's word in answers to commands, in reasons and in operators' answers.
+# The name of a step in answers to commands, in reasons and in operators' answers.
 STEP_WORDS = {
     PermitStep.ASKED: "asked",
     PermitStep.GRANTED: "granted",
@@ -42,12 +51,13 @@
     PermitStep.WITHDRAWN: "withdrawn",
     PermitStep.GIVEN_UP: "given_up",
 }
-OPEN = (PermitStep.ASKED, PermitStep.GRANTED, PermitStep.DRAINED, PermitStep.OUT, PermitStep.COLD)
-TAKES = (PermitStep.GRANTED, PermitStep.DRAINED, PermitStep.OUT, PermitStep.COLD)  # a place
+OPEN_STEPS = (PermitStep.ASKED, PermitStep.GRANTED, PermitStep.DRAINED, PermitStep.OUT, PermitStep.COLD)
+# Steps in which the server counts against the budgets.
+COUNTED_STEPS = (PermitStep.GRANTED, PermitStep.DRAINED, PermitStep.OUT, PermitStep.COLD)
 
 
 class ManagedServer(NamedTuple):
-    """A cache, a parent or a front. `weight`: its part of what its kind carries there."""
+    """A cache, a parent or a front. `weight`: its relative share of the load of its kind in its location."""
 
     name: str
     role: str  # "cache" or "front"
@@ -57,7 +67,7 @@
     weight: int
 
 
-# Which of the places that a scope tells apart a box is in.
+# A server's value for each scope of a budget.
 _SCOPE_VALUES = {
     FLEET: lambda box: "",
     LOCATION: lambda box: box.location,
@@ -67,9 +77,10 @@
 
 
 class DisruptionBudget(NamedTuple):
-    """So many may be out at once, and so much of the weight (thousandths), of each one of the scope, or of `of` alone.
+    """How many servers may be out at once, and how much of the weight (thousandths).
 
-    `role`: of caches or of fronts; "" of both together.
+    It holds for each value of the scope separately (for instance each location), or only for the value `of`.
+    `role`: of caches or of fronts; "" for both together.
     """
 
     scope: str
@@ -78,25 +89,34 @@
     count: int
     share: int
 
-    def binds(self, box):
+    def applies_to(self, box):
         """Whether the budget counts this server."""
-        return self.role in ("", box.role) and (not self.of or self.of == self.place(box))
+        return self.role in ("", box.role) and (not self.of or self.of == self.scope_value(box))
 
-    def place(self, box):
+    def scope_value(self, box):
         """Return the server's value of the budget's scope, for instance its location."""
         return _SCOPE_VALUES[self.scope](box)
 
 
 class Warmth(NamedTuple):
-    """`floor`: of its part that a cold cache takes (the settings' cold share); `spare`: how much more than their part
-    those that stay may be given; in thousandths."""
+    """Load that caches can take, in thousandths of their usual load.
+
+    `floor`: what a cold cache takes (the cold share of the settings); `spare`: how much a cache in service may take in
+    addition to its own load.
+    """
 
     floor: int
     spare: int
 
 
 class MaintenancePermit:
-    """Permission to take one server out of service, from the request to its return."""
+    """Permission to take one server out of service, from the request to its return.
+
+    :ivar version: the version to install; "" keeps the present one.
+    :ivar index: index of the log entry that granted it; the permit with the higher index is the newer one.
+    :ivar drained: fronts that reported the server as drained; `warm`: fronts that reported its `start` as warm.
+    :ivar renewed: how often the holder has renewed the permit's lease; `overdue`: the lease has expired.
+    """
 
     def __init__(
         self,
@@ -115,21 +135,23 @@
         renewed=0,
         overdue=False,
     ):
-        self.id, self.box, self.by, self.why, self.release, self.step = (
-            id,
-            box,
-            by,
-            why,
-            release,
-            PermitStep(step),
-        )
-        self.version = version  # to be put there; "" as it is
-        self.index = index  # of the entry that granted it: the later one is the newer
-        self.drained, self.warm = list(drained), list(warm)  # fronts that said so
-        self.start, self.holder, self.renewed, self.overdue = start, holder, renewed, overdue
-
-    def told(self):
-        """The values as they are stored, in this order."""
+        self.id = id
+        self.box = box
+        self.by = by
+        self.why = why
+        self.release = release
+        self.step = PermitStep(step)
+        self.version = version
+        self.index = index
+        self.drained = list(drained)
+        self.warm = list(warm)
+        self.start = start
+        self.holder = holder
+        self.renewed = renewed
+        self.overdue = overdue
+
+    def to_record(self):
+        """Return the values in the order in which they are stored."""
         return [
             self.id,
             self.box,
@@ -149,59 +171,78 @@
 
 
 class PermitTable:
-    """State machine of maintenance permits: the same commands give the same state in every process."""
+    """State machine of maintenance permits: the same commands give the same state in every process.
+
+    :ivar boxes: {name: ManagedServer}; `failed`: {name: reason} of those that are out without a permit.
+    :ivar fronts: {name: incarnation} of the live fronts according to the log.
+    :ivar departed: {name: incarnation that left last} of fronts.
+    :ivar permits: by id, in the order of asking; `of_box`: {box: its open permit}.
+    :ivar ended: ids of ended permits that are kept; `just_ended`: permits that the present command has ended.
+    :ivar without: how many fronts left without a permit.
+    """
 
     def __init__(self):
-        self.budgets, self.warmth = [], Warmth(0, 1000)
-        self.boxes, self.down = {}, {}  # name -> Box; -> why it is out by itself
-        self.fronts = {}  # live ones by the log: name -> life
-        self.permits, self.of_box = {}, {}  # in the order of asking; box -> its open one
-        self.ended, self.over = [], []  # ids that are told of still; permits that ended by this command
-        self.without, self.gone = 0, {}  # fronts that went without a permit; by name the life that left last
-
-    def told(self):
+        self.budgets = []
+        self.warmth = Warmth(0, 1000)
+        self.boxes = {}
+        self.failed = {}
+        self.fronts = {}
+        self.permits = {}
+        self.of_box = {}
+        self.ended = []
+        self.just_ended = []
+        self.without = 0
+        self.departed = {}
+
+    def snapshot(self):
         """Return the state in its stored form."""
         return [
             [list(b) for b in self.budgets],
             list(self.warmth),
             [list(b) for b in self.boxes.values()],
-            self.down,
+            self.failed,
             self.fronts,
-            [p.told() for p in self.permits.values()],
+            [p.to_record() for p in self.permits.values()],
             self.ended,
             self.without,
-            self.gone,
+            self.departed,
         ]
 
-    def loaded(self, told):
-        """Take a state in its stored form."""
-        budgets, warmth, boxes, down, fronts, permits, ended, self.without, gone = told
-        self.budgets, self.warmth = [DisruptionBudget(*b) for b in budgets], Warmth(*warmth)
+    def restore(self, state):
+        """Replace the state by a stored one."""
+        budgets, warmth, boxes, failed, fronts, permits, ended, self.without, departed = state
+        self.budgets = [DisruptionBudget(*b) for b in budgets]
+        self.warmth = Warmth(*warmth)
         self.boxes = {b[0]: ManagedServer(*b) for b in boxes}
-        self.down, self.fronts, self.ended = dict(down), dict(fronts), list(ended)
-        self.gone = dict(gone)
+        self.failed = dict(failed)
+        self.fronts = dict(fronts)
+        self.ended = list(ended)
+        self.departed = dict(departed)
         self.permits = {p[0]: MaintenancePermit(*p) for p in permits}
-        self.of_box = {p.box: p for p in self.permits.values() if p.step in OPEN}
+        self.of_box = {p.box: p for p in self.permits.values() if p.step in OPEN_STEPS}
 
-    # What is so.
+    # Queries.
 
     def out(self):
-        """{box: why} of all that take a place: by permit, or by themselves."""
-        taken = dict(self.down)
-        taken.update(
+        """Return {box: reason} of all that count against the budgets: by a permit, or because they failed."""
+        reasons = dict(self.failed)
+        reasons.update(
             {b.name: "lost" for b in self.boxes.values() if b.role == "front" and b.name not in self.fronts}
         )
-        taken.update({p.box: STEP_WORDS[p.step] for p in self.of_box.values() if p.step in TAKES})
-        return {name: why for name, why in taken.items() if name in self.boxes}
+        reasons.update({p.box: STEP_WORDS[p.step] for p in self.of_box.values() if p.step in COUNTED_STEPS})
+        return {name: why for name, why in reasons.items() if name in self.boxes}
+
+    def blocked_by(self, permit, out=None):
+        """Return why the server may not go out now, as (rule, of, out, at most), or None where it may.
 
-    def wait(self, permit, out=None):
-        """Why it may not go out now: (what, of, out, most), or None. Of `what`, "last" and "gone" bind it alone."""
+        The rules "last" and "gone" concern this server alone; any other also makes later requests wait behind this one.
+        """
         box = self.boxes.get(permit.box)
         if box is None:
             return "gone", permit.box, 0, 0
         out = self.out() if out is None else out
         if box.name in out:
-            return None  # it takes its place already, as it failed by itself
+            return None  # it has failed, so it counts as out already
         same = [
             b
             for b in self.boxes.values()
@@ -210,120 +251,132 @@
         if not any(b.name != box.name and b.name not in out for b in same):
             return "last", f"{box.kind} in {box.location}", len(same) - 1, len(same) - 1
         away = sum(b.name in out for b in same) + 1
-        # What cold ones don't take goes to those that stay, and what those lack to the parents.
+        # Load that cold caches can't take goes to the caches in service, and to the parents what exceeds their spare
+        # capacity.
         if box.role == "cache" and away * (1000 - self.warmth.floor) > (len(same) - away) * self.warmth.spare:
             return "warm", f"{box.kind} in {box.location}", away - 1, away - 1
         for budget in self.budgets:
-            if budget.binds(box):
-                place = budget.place(box)
-                bound = [b for b in self.boxes.values() if budget.binds(b) and budget.place(b) == place]
-                gone = [b for b in bound if b.name in out]
-                weight = sum(b.weight for b in gone) + box.weight
-                if len(gone) >= budget.count or weight * 1000 > budget.share * sum(b.weight for b in bound):
-                    return f"{budget.scope} {budget.role}".strip(), place, len(gone), budget.count
+            if budget.applies_to(box):
+                value = budget.scope_value(box)
+                counted = [
+                    b for b in self.boxes.values() if budget.applies_to(b) and budget.scope_value(b) == value
+                ]
+                absent = [b for b in counted if b.name in out]
+                weight = sum(b.weight for b in absent) + box.weight
+                if len(absent) >= budget.count or weight * 1000 > budget.share * sum(
+                    b.weight for b in counted
+                ):
+                    return f"{budget.scope} {budget.role}".strip(), value, len(absent), budget.count
         return None
 
-    def waits(self, may=lambda permit: True):
-        """{id: why} of all that ask, those that are behind an earlier one of the same place included; what may not go
-        at all (a halted release) is in nobody's way."""
-        found, taken = {}, []
-        asked = [p for p in self.of_box.values() if p.step is PermitStep.ASKED and may(p)]
+    def blocked(self, is_allowed=lambda permit: True):
+        """Return {id: reason} of all requests that have to wait, also behind an earlier request of the same scope.
+
+        A request that is not allowed at all (its release is halted) makes no other one wait.
+        """
+        found, claimed = {}, []
+        asked = [p for p in self.of_box.values() if p.step is PermitStep.ASKED and is_allowed(p)]
         out = self.out() if asked else {}
         for permit in asked:
-            why, box = self.wait(permit, out), self.boxes.get(permit.box)
-            ahead = next((id for id, place in taken if box is not None and place in self._places(box)), None)
+            why, box = self.blocked_by(permit, out), self.boxes.get(permit.box)
+            ahead = next(
+                (id for id, scope in claimed if box is not None and scope in self._scopes(box)), None
+            )
             if why is None and ahead is not None:
                 why = "behind", ahead, 0, 0
             if why is not None:
                 found[permit.id] = why
                 if why[0] not in ("last", "gone"):
-                    taken += [(permit.id, place) for place in self._places(box)]
+                    claimed += [(permit.id, scope) for scope in self._scopes(box)]
         return found
 
-    def _places(self, box):
-        return [(*budget, budget.place(box)) for budget in self.budgets if budget.binds(box)] + [
+    def _scopes(self, box):
+        """Return the scopes of all budgets that count the server, and that of the limit on cold caches."""
+        return [(*budget, budget.scope_value(box)) for budget in self.budgets if budget.applies_to(box)] + [
             ("warm", box.role, box.location, box.kind)
         ]
 
     # Commands.
 
     def ask(self, id, box, by, why, release="", version=""):
-        """A word for whoever asked; the same request again has no second effect."""
+        """Ask for a permit. Returns the answer for the log; the same request again has no second effect."""
         if id in self.permits:
             return STEP_WORDS[self.permits[id].step]
         if box not in self.boxes:
             return "no such box"
         if (other := self.of_box.get(box)) is not None:
             return f"asked for already, as {other.id}"
-        if len(self.of_box) >= OPEN_MOST:
+        if len(self.of_box) >= OPEN_PERMITS_MAX:
             return "too many requests"
         permit = self.permits[id] = self.of_box[box] = MaintenancePermit(id, box, by, why, release, version)
         return STEP_WORDS[permit.step]
 
-    def grants(self, index, may=lambda permit: True):
-        """Those that go out now, in the order of asking; `may` holds a release back."""
+    def grant_available(self, index, is_allowed=lambda permit: True):
+        """Grant what the budgets allow, in the order of asking, and return it; `is_allowed` holds releases back."""
         granted = []
         while True:
-            # Anew after each: what is granted takes a place that the next one may have wanted.
-            waits = self.waits(may)
-            free = next(
+            # Evaluated again after each grant, which may use up the budget that the next request needs.
+            blocked = self.blocked(is_allowed)
+            permit = next(
                 (
                     p
                     for p in self.of_box.values()
-                    if p.step is PermitStep.ASKED and p.id not in waits and may(p)
+                    if p.step is PermitStep.ASKED and p.id not in blocked and is_allowed(p)
                 ),
                 None,
             )
-            if free is None:
+            if permit is None:
                 return granted
-            free.step, free.index = PermitStep.GRANTED, index
-            granted.append(free)
+            permit.step, permit.index = PermitStep.GRANTED, index
+            granted.append(permit)
 
-    def said_drained(self, id, front, life):
-        """That front sends it nothing new and names it no more as source. All live fronts have to."""
+    def report_drained(self, id, front, life):
+        """A front sends the server nothing new and no longer names it as a source. All live fronts have to say so."""
         permit = self.permits.get(id)
         if permit is None or permit.step is not PermitStep.GRANTED or self.fronts.get(front) != life:
             return
         if front not in permit.drained:
             permit.drained.append(front)
-        self._settled(permit)
+        self._advance(permit)
 
-    def _settled(self, permit):
+    def _advance(self, permit):
         box = self.boxes.get(permit.box)
-        of_front = box is not None and box.role == "front"
-        # Nobody sends to a front but clients: it says by itself that it takes none any more, or serves again.
-        asked = [n for n in self.fronts if n == permit.box] if of_front else list(self.fronts)
+        is_front = box is not None and box.role == "front"
+        # Only clients send to a front, so the front itself reports that it takes no more, and that it serves again.
+        reporters = [n for n in self.fronts if n == permit.box] if is_front else list(self.fronts)
         if (
             permit.step is PermitStep.GRANTED
-            and (asked or of_front)
-            and all(name in permit.drained for name in asked)
+            and (reporters or is_front)
+            and all(name in permit.drained for name in reporters)
         ):
             permit.step = PermitStep.DRAINED
-        # Not of all: one that sees few GETs would take an hour to earn its part of a cold one's warmth.
+        # A majority, not all: a front that sees few GETs would take an hour to warm up its part of a cold cache.
         if (
             permit.step is PermitStep.COLD
-            and asked
-            and 2 * sum(name in permit.warm for name in asked) > len(asked)
+            and reporters
+            and 2 * sum(name in permit.warm for name in reporters) > len(reporters)
         ):
             self._end(permit, PermitStep.BACK)
 
-    def settled(self):
-        """What may have come true without a word of its own: one that was waited for is fenced. With no front at all
-        nothing does: that nobody is there to say so is no proof."""
+    def advance_all(self):
+        """Advance permits without a report of their own, as when a front that was waited for is fenced.
+
+        Without any live front nothing advances: that nobody is there to object proves nothing.
+        """
         for permit in list(self.of_box.values()):
-            self._settled(permit)
+            self._advance(permit)
 
-    def went(self, id, holder):
-        """Whoever holds the permit is about to stop it: only once it is drained."""
+    def mark_out(self, id, holder):
+        """The holder of the permit is about to stop the server, which has to be drained first."""
         permit = self.permits.get(id)
         if permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT):
             return "not drained" if permit is not None else "no such permit"
         if (
             permit.step is PermitStep.DRAINED
-            and self._free(permit.box)
-            and (why := self.wait(permit, self._charged(permit)))
+            and self._has_failed(permit.box)
+            and (why := self.blocked_by(permit, self._out_by_permit(permit)))
         ):
-            # It may be there again by now, and nobody here knows yet. The permit stands, and goes out in its turn.
+            # The server may have recovered without this log knowing it yet. The permit stands, and waits for its turn.
             return f"held back: {why[0]}"
         permit.step, permit.holder = PermitStep.OUT, holder
         return "out"
@@ -331,17 +384,20 @@
     def renew(self, id, holder):
         """Renew a permit's lease on behalf of its holder; return the answer for the log."""
         permit = self.permits.get(id)
-        if permit is not None and permit.step in TAKES:
+        if permit is not None and permit.step in COUNTED_STEPS:
             permit.holder, permit.renewed, permit.overdue = holder, permit.renewed + 1, False
 
-    def late(self, id, renewed):
-        """Its lease ended: told, and no place is free by it. Not where it was renewed since the leader looked."""
+    def mark_overdue(self, id, renewed):
+        """The permit's lease has expired, unless it was renewed since the leader looked.
+
+        This is only shown to operators: the server still counts against the budgets.
+        """
         permit = self.permits.get(id)
-        if permit is not None and permit.step in TAKES and permit.renewed == renewed:
+        if permit is not None and permit.step in COUNTED_STEPS and permit.renewed == renewed:
             permit.overdue = True
 
-    def started(self, id, start):
-        """It runs again, by the word of who replaced it; what it earns since another start counts no more."""
+    def mark_started(self, id, start):
+        """The holder reports that the server runs again, as `start`; reports on other starts count no more."""
         permit = self.permits.get(id)
         if permit is None or permit.step not in (PermitStep.OUT, PermitStep.COLD):
             return "not out" if permit is not None else "no such permit"
@@ -349,8 +405,8 @@
             permit.step, permit.start, permit.warm = PermitStep.COLD, start, []
         return "cold"
 
-    def said_warm(self, id, start, front, life):
-        """That front sees this start answer and sends it its part: the word of who replaced it is not enough."""
+    def report_warm(self, id, start, front, life):
+        """A front sees this start answer at its full share of the load; the holder's word alone is not enough."""
         permit = self.permits.get(id)
         if (
             permit is None
@@ -362,7 +418,7 @@
             return
         if front not in permit.warm:
             permit.warm.append(front)
-        self._settled(permit)
+        self._advance(permit)
 
     def withdraw(self, id):
         """Withdraw a permit whose server is not out yet; return the answer for the log."""
@@ -373,82 +429,86 @@
         return "withdrawn"
 
     def give_up(self, box):
-        """An operator says that it won't come back: it counts neither as out nor as there."""
+        """An operator says that the server won't come back: it no longer counts, neither as out nor as in service."""
         permit = self.of_box.get(box)
         if box not in self.boxes:
             return "no such box"
         del self.boxes[box]
-        self.down.pop(box, None)
+        self.failed.pop(box, None)
         if permit is not None:
             self._end(permit, PermitStep.GIVEN_UP)
         return "given up"
 
-    def listed(self, boxes):
-        """All boxes that the leader's view has. One that is out stays until it is back or given up."""
-        fresh = {box.name: box for box in boxes}
-        out = {*self.down, *[p.box for p in self.of_box.values() if p.step in TAKES]}
-        kept = {name: box for name, box in self.boxes.items() if name in out and name not in fresh}
-        self.boxes = fresh | kept
-        self.down = {name: why for name, why in self.down.items() if name in self.boxes}
+    def set_boxes(self, boxes):
+        """Replace the servers by those of a front's view. One that is out stays until it is back or given up."""
+        listed = {box.name: box for box in boxes}
+        out = {*self.failed, *[p.box for p in self.of_box.values() if p.step in COUNTED_STEPS]}
+        kept = {name: box for name, box in self.boxes.items() if name in out and name not in listed}
+        self.boxes = listed | kept
+        self.failed = {name: why for name, why in self.failed.items() if name in self.boxes}
 
-    def stands(self, box, why):
-        """It failed by itself, or does no more (why "")."""
+    def set_failed(self, box, why):
+        """The server has failed without a permit, or has recovered (`why` is "")."""
         if why and box in self.boxes:
-            self.down[box] = why
-        elif self.down.pop(box, None) is not None:
-            self._charge(box)
+            self.failed[box] = why
+        elif self.failed.pop(box, None) is not None:
+            self._on_recovered(box)
 
-    def front(self, name, life, on):
-        """A front that follows the log, or one whose lease ended (not `on`): it is waited for no more."""
-        if on and self.gone.get(name) != life:  # one that has left still follows until it ends
+    def set_front(self, name, life, on):
+        """A front that follows the log (`on`), or one whose lease expired: nobody waits for its reports any more."""
+        if on and self.departed.get(name) != life:  # one that has left still follows the log until it ends
             lost = name not in self.fronts
             self.fronts[name] = life
-            self.gone.pop(name, None)
+            self.departed.pop(name, None)
             if lost:
-                self._charge(name)
+                self._on_recovered(name)
         elif not on and self.fronts.get(name) == life:
             del self.fronts[name]
 
-    def _free(self, name):
-        """Whether a box is out by itself, so that a permit of it took no place when it was granted."""
+    def _has_failed(self, name):
+        """Whether a server is out without a permit, so that a permit for it was granted at no cost to the budgets."""
         box = self.boxes.get(name)
-        return name in self.down or box is not None and box.role == "front" and name not in self.fronts
+        return name in self.failed or box is not None and box.role == "front" and name not in self.fronts
 
-    def _charged(self, but):
-        """{box: why} of those that take a place by a permit: out, or granted as one that was there."""
+    def _out_by_permit(self, excluded):
+        """Return {box: step} of servers out by a permit, or with one granted while they were in service."""
         return {
             p.box: STEP_WORDS[p.step]
             for p in self.of_box.values()
-            if p is not but
-            and (p.step in (PermitStep.OUT, PermitStep.COLD) or p.step in TAKES and not self._free(p.box))
+            if p is not excluded
+            and (
+                p.step in (PermitStep.OUT, PermitStep.COLD)
+                or p.step in COUNTED_STEPS
+                and not self._has_failed(p.box)
+            )
         }
 
-    def _charge(self, name):
-        """A box is there again whose permit may have been free, as it was out by itself.
+    def _on_recovered(self, name):
+        """A failed server is in service again, and its permit may have been granted at no cost to the budgets.
 
-        Where the budgets have no place for it now the permit waits like any other; one that is out stays so.
+        Where the budgets have no room for it now the permit waits again like any other; one that is out stays out.
         """
         permit = self.of_box.get(name)
         if permit is None or permit.step not in (PermitStep.GRANTED, PermitStep.DRAINED):
             return
         others = {box: why for box, why in self.out().items() if box != name}
-        if self.wait(permit, others) is not None:
+        if self.blocked_by(permit, others) is not None:
             permit.step, permit.index, permit.drained = PermitStep.ASKED, 0, []
 
-    def left(self, name, life):
-        """A front that ends by SIGTERM: nobody has to wait for its lease. Without a permit it is obeyed and counted."""
+    def front_left(self, name, life):
+        """A front ends by SIGTERM, so nobody has to wait for its lease; one without a permit is counted."""
         if self.fronts.get(name) == life:
             permit = self.of_box.get(name)
             self.without += permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT)
             del self.fronts[name]
-            self.gone[name] = life
-            while len(self.gone) > ENDED_MOST:
-                del self.gone[next(iter(self.gone))]
+            self.departed[name] = life
+            while len(self.departed) > ENDED_MAX:
+                del self.departed[next(iter(self.departed))]
 
     def _end(self, permit, step):
         permit.step = step
-        self.over.append(permit)
+        self.just_ended.append(permit)
         self.of_box.pop(permit.box, None)
         self.ended.append(permit.id)
-        while len(self.ended) > ENDED_MOST:
+        while len(self.ended) > ENDED_MAX:
             del self.permits[self.ended.pop(0)]
--- a/sprucegate/fleet/rollout/releases.py
+++ b/sprucegate/fleet/rollout/releases.py
@@ -1,6 +1,7 @@
-"""A release: versions to boxes in waves, each held against its gate before the next; halt, resume, and the way back.
+"""Releases: a version installed on servers in waves, each checked by a gate before the next; halt, resume, rollback.
 
-No I/O, no clock. It asks for permits like anybody else, one request a box, and has no other right.
+A state machine without I/O and without a clock. It asks for maintenance permits like any operator, one request for each
+box, and has no other rights.
 """
 
 from enum import IntEnum
@@ -8,7 +9,7 @@
 
 from sprucegate.fleet.rollout.permits import PermitStep
 
-HISTORY_MOST = 500  # events of releases that are told of
+HISTORY_MAX = 500  # events of releases that are kept
 
 
 class ReleasePhase(IntEnum):
@@ -16,12 +17,12 @@
 
     RUNNING = 0
     HALTED = 1
-    BACK = 2  # the released go back, in waves under the same budgets
+    BACK = 2  # rolled back in waves under the same budgets
     DONE = 3
     RETURNED = 4
 
 
-# A phase's word in reasons and in operators' answers.
+# The name of a phase in reasons and in operators' answers.
 PHASE_WORDS = {
     ReleasePhase.RUNNING: "running",
     ReleasePhase.HALTED: "halted",
@@ -32,7 +33,7 @@
 
 
 class ReleasePlan(NamedTuple):
-    """`waves`: boxes by name, the canary first. `bake`: ns for which a whole wave is watched before its gate passes."""
+    """`waves`: names of boxes, the canary first. `bake`: ns for which a whole wave is observed before it may pass."""
 
     name: str
     kind: str
@@ -43,20 +44,36 @@
 
 
 class Release:
-    """One release: its plan, its present stage and what is done."""
+    """One release: its plan, its present wave and what is done.
+
+    :ivar done: boxes that have the new version; `ahead`: in a rollback, the boxes that still have it.
+    :ivar run: raised by each resume and rollback, so that permits are requested under new ids.
+    :ivar gate_passed: whether the gate of the present wave has passed.
+    """
 
     def __init__(
-        self, plan, by, phase=ReleasePhase.RUNNING, wave=0, why="", done=(), turn=0, passed=False, ahead=()
+        self,
+        plan,
+        by,
+        phase=ReleasePhase.RUNNING,
+        wave=0,
+        why="",
+        done=(),
+        run=0,
+        gate_passed=False,
+        ahead=(),
     ):
-        self.plan, self.by, self.phase, self.wave, self.why = plan, by, ReleasePhase(phase), wave, why
-        self.done, self.turn, self.passed = (
-            list(done),
-            turn,
-            passed,
-        )  # boxes at the new version; turn: of direction
-        self.ahead = list(ahead)  # on the way back: boxes still to go
-
-    def told(self):
+        self.plan = plan
+        self.by = by
+        self.phase = ReleasePhase(phase)
+        self.wave = wave
+        self.why = why
+        self.done = list(done)
+        self.run = run
+        self.gate_passed = gate_passed
+        self.ahead = list(ahead)
+
+    def to_record(self):
         """Return the release in its stored form."""
         plan = [*self.plan[:4], [list(wave) for wave in self.plan.waves], self.plan.bake]
         return [
@@ -66,50 +83,57 @@
             self.wave,
             self.why,
             self.done,
-            self.turn,
-            self.passed,
+            self.run,
+            self.gate_passed,
             self.ahead,
         ]
 
     @classmethod
-    def of(cls, told):
+    def from_record(cls, record):
         """Return the release of a stored form."""
-        plan, *rest = told
+        plan, *rest = record
         return cls(ReleasePlan(*plan[:4], tuple(map(tuple, plan[4])), plan[5]), *rest)
 
     def over(self):
-        """Whether nothing more happens to it."""
+        """Whether the release is done or rolled back."""
         return self.phase in (ReleasePhase.DONE, ReleasePhase.RETURNED)
 
-    def request(self, box):
-        """One id a box and direction, so that the same request given by two leaders is one."""
-        return f"{self.plan.name}/{self.turn}/{box}"
+    def permit_id(self, box):
+        """Return the id of a box's permit in this run, the same for whichever leader asks for it."""
+        return f"{self.plan.name}/{self.run}/{box}"
 
-    def version(self):
-        """Return the version that servers are brought to now: the former one while it is taken back."""
+    def target_version(self):
+        """Return the version to install now: the former one in a rollback."""
         return self.plan.former if self.phase is ReleasePhase.BACK else self.plan.version
 
 
 class ReleaseTable:
-    """State machine of releases: the same commands give the same state in every process."""
+    """State machine of releases: the same commands give the same state in every process.
+
+    :ivar troubles: {what: why} of incidents; releases wait while there is one.
+    :ivar history: [index of the log entry, release, event, who or why] of the latest events.
+    """
 
     def __init__(self, permits):
-        self.permits, self.releases = permits, {}
-        self.troubles = {}  # what -> why: while there is one, releases wait by themselves
-        self.history, self.index = [], 0  # (entry, release, what, by or why)
+        self.permits = permits
+        self.releases = {}
+        self.troubles = {}
+        self.history = []
+        self.index = 0
 
-    def told(self):
+    def snapshot(self):
         """Return the state in its stored form."""
-        return [[one.told() for one in self.releases.values()], self.troubles, self.history]
+        return [[one.to_record() for one in self.releases.values()], self.troubles, self.history]
 
-    def loaded(self, told):
-        """Take a state in its stored form."""
-        self.releases = {one.plan.name: one for one in map(Release.of, told[0])}
-        self.troubles, self.history = dict(told[1]), [list(one) for one in told[2]]
+    def restore(self, state):
+        """Replace the state by a stored one."""
+        self.releases = {one.plan.name: one for one in map(Release.from_record, state[0])}
+        self.troubles = dict(state[1])
+        self.history = [list(one) for one in state[2]]
 
-    def _note(self, name, what, text=""):
-        self.history.append([self.index, name, what, text])
-        del self.history[:-HISTORY_MOST]
+    def _record(self, name, event, text=""):
+        self.history.append([self.index, name, event, text])
+        del self.history[:-HISTORY_MAX]
 
     def start(self, plan, by):
         """Start a release; return the answer for the log."""
@@ -132,18 +156,21 @@
         ):
             del self.releases[over]
         self.releases[plan.name] = Release(plan, by)
-        self._note(plan.name, "started", by)
+        self._record(plan.name, "started", by)
         return "started"
 
     def halt(self, name, by, why):
-        """No new permit from here on; who is out comes back by its own permit. Halting what is halted is no error."""
+        """Halt a release: no more permits are granted for it, and boxes that are out return under theirs.
+
+        A second halt changes nothing and is answered like the first.
+        """
         release = self.releases.get(name)
         if release is None or release.over():
             return "no such release is under way"
         if release.phase is not ReleasePhase.HALTED:
             release.phase, release.why = ReleasePhase.HALTED, f"{by}: {why}"
-            self._withdraw(release)
-            self._note(name, "halted", release.why)
+            self._withdraw_permits(release)
+            self._record(name, "halted", release.why)
         return "halted"
 
     def resume(self, name, by):
@@ -151,24 +178,22 @@
         release = self.releases.get(name)
         if release is None or release.phase is not ReleasePhase.HALTED:
             return "is not halted"
-        release.phase, release.why, release.passed = (
-            (ReleasePhase.BACK if release.ahead else ReleasePhase.RUNNING),
-            "",
-            False,
-        )
-        self._note(name, "resumed", by)
-        release.turn += 1  # what was withdrawn is asked for anew, under other ids
+        release.phase = ReleasePhase.BACK if release.ahead else ReleasePhase.RUNNING
+        release.why = ""
+        release.gate_passed = False
+        self._record(name, "resumed", by)
+        release.run += 1  # withdrawn permits are requested again under new ids
         return "resumed"
 
-    def back(self, name, by):
-        """All that were released, the last one first. From a halt, from a run, and after the end."""
+    def roll_back(self, name, by):
+        """Reinstall the former version everywhere, in reverse order; a running, halted or done release can be."""
         release = self.releases.get(name)
         if release is None or release.phase is ReleasePhase.RETURNED:
             return "no such release"
         if release.phase is ReleasePhase.BACK:
             return "goes back"
-        self._withdraw(release)
-        # What is out for it has the new version, or may have; it goes back once it is back from this one.
+        self._withdraw_permits(release)
+        # A box that is out for this release has the new version, or may have: it is rolled back once it has returned.
         out = [
             p.box
             for p in self.permits.of_box.values()
@@ -176,27 +201,30 @@
         ]
         release.ahead = [*reversed(release.done), *[box for box in out if box not in release.done]]
         release.phase, release.why = ReleasePhase.BACK, f"{by} turned it back"
-        self._note(name, "goes back", by)
-        release.turn += 1
+        self._record(name, "goes back", by)
+        release.run += 1
         return "goes back"
 
-    def gate(self, name, turn, wave, passed, why):
-        """The leader's look at that wave; a word about another wave or direction comes too late."""
+    def gate_result(self, name, run, wave, passed, why):
+        """Take the leader's gate result for a wave; one for another wave or run is late and has no effect."""
         release = self.releases.get(name)
         if (
             release is None
             or release.phase is not ReleasePhase.RUNNING
-            or (release.turn, release.wave) != (turn, wave)
+            or (release.run, release.wave) != (run, wave)
         ):
             return
         if passed:
-            release.passed = True
-            self._note(name, f"wave {wave + 1} passed", why)
+            release.gate_passed = True
+            self._record(name, f"wave {wave + 1} passed", why)
         else:
             self.halt(name, "gate", why)
 
-    def may(self, permit):
-        """A halt holds back what was asked for and not granted, a trouble too, but for the way back."""
+    def allows(self, permit):
+        """Whether the permit's release lets it be granted: it is not halted, and no trouble is known.
+
+        Rollbacks go on in spite of troubles.
+        """
         release = self.releases.get(permit.release)
         return (
             release is None
@@ -205,51 +233,56 @@
             and not self.troubles
         )
 
-    def trouble(self, what, why):
-        """Note a trouble, or with an empty `why` its end: while there is one, releases wait."""
+    def set_trouble(self, what, why):
+        """Note a trouble, or its end where `why` is empty: while there is one, releases wait."""
         if why:
             self.troubles[what] = why
         else:
             self.troubles.pop(what, None)
 
-    def moves(self):
-        """After each command: what follows of it. Deterministic, in the order of the releases."""
-        over, self.permits.over = self.permits.over, []
+    def advance(self):
+        """Advance all releases after a command, in a deterministic order."""
+        ended, self.permits.just_ended = self.permits.just_ended, []
         for release in self.releases.values():
-            self._taken(
-                release, [p for p in over if p.release == release.plan.name and p.step is PermitStep.BACK]
+            self._count_returned(
+                release, [p for p in ended if p.release == release.plan.name and p.step is PermitStep.BACK]
             )
             if release.phase is ReleasePhase.RUNNING:
                 wave = release.plan.waves[release.wave]
                 for box in wave:
                     if box not in release.done:
-                        self._ask(release, box)
-                # One that was given up is waited for no more, and counts as nothing.
-                if release.passed and all(
+                        self._request_permit(release, box)
+                # A box that was given up is not waited for.
+                if release.gate_passed and all(
                     box in release.done or box not in self.permits.boxes for box in wave
                 ):
-                    release.wave, release.passed = release.wave + 1, False
+                    release.wave, release.gate_passed = release.wave + 1, False
                     if release.wave == len(release.plan.waves):
                         release.wave, release.phase = release.wave - 1, ReleasePhase.DONE
-                        self._note(release.plan.name, "done")
+                        self._record(release.plan.name, "done")
                     else:
                         for box in release.plan.waves[release.wave]:
-                            self._ask(release, box)
+                            self._request_permit(release, box)
             elif release.phase is ReleasePhase.BACK:
                 for box in release.ahead:
-                    self._ask(release, box)
+                    self._request_permit(release, box)
                 if not release.ahead:
                     release.phase = ReleasePhase.RETURNED
-                    self._note(release.plan.name, "returned")
+                    self._record(release.plan.name, "returned")
 
-    def _ask(self, release, box):
+    def _request_permit(self, release, box):
         if box in self.permits.boxes and box not in self.permits.of_box:
             self.permits.ask(
-                release.request(box), box, release.by, "release", release.plan.name, release.version()
+                release.permit_id(box),
+                box,
+                release.by,
+                "release",
+                release.plan.name,
+                release.target_version(),
             )
 
-    def _taken(self, release, back):
-        for permit in back:
+    def _count_returned(self, release, permits):
+        for permit in permits:
             if permit.version == release.plan.version and permit.box not in release.done:
                 release.done.append(permit.box)
             elif permit.version == release.plan.former:
@@ -257,7 +290,7 @@
                 release.ahead = [box for box in release.ahead if box != permit.box]
         release.ahead = [box for box in release.ahead if box in self.permits.boxes]
 
-    def _withdraw(self, release):
+    def _withdraw_permits(self, release):
         for permit in list(self.permits.of_box.values()):
             if permit.release == release.plan.name:
                 self.permits.withdraw(permit.id)
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -1,93 +1,94 @@
-"""Permits and releases as one machine that a log drives: the same commands, the same state, at any keeper or front.
+"""Permits and releases as one state machine driven by the replicated log: the same commands give the same state.
 
-A command is a list, its name first; times and counts in it are the leader's, who made it. What nobody knows here (a
-newer build's command) changes nothing and is said so.
+A command is a list that begins with its name. Times and counts in it were taken by the leader that proposed it. An
+unknown command, of a newer build, changes nothing, and the answer says so.
 """
 
 from sprucegate.fleet.rollout.permits import DisruptionBudget, ManagedServer, PermitStep, PermitTable, Warmth
 from sprucegate.fleet.rollout.releases import PHASE_WORDS, ReleasePlan, ReleaseTable
 
-FORMAT = 1
-ONCE_MOST = 1000  # requests of operators whose words are kept
+STATE_FORMAT = 1
+REQUESTS_KEPT_MAX = 1000  # requests of operators whose answers are kept
 
 
 class RolloutStateMachine:
     """The state machine of the replicated log: permits and releases, changed by commands alone."""
 
     def __init__(self):
-        self.index, self.permits, self.once = 0, PermitTable(), {}
+        self.index = 0
+        self.permits = PermitTable()
+        self.answers = {}  # by the id of an operator's request
         self.releases = ReleaseTable(self.permits)
         permits, releases = self.permits, self.releases
         self.commands = {
             "ask": permits.ask,
             "withdraw": permits.withdraw,
-            "drained": permits.said_drained,
-            "out": permits.went,
+            "drained": permits.report_drained,
+            "out": permits.mark_out,
             "renew": permits.renew,
-            "late": permits.late,
-            "started": permits.started,
-            "warm": permits.said_warm,
+            "late": permits.mark_overdue,
+            "started": permits.mark_started,
+            "warm": permits.report_warm,
             "give-up": permits.give_up,
-            "stands": permits.stands,
-            "front": permits.front,
-            "left": permits.left,
-            "boxes": lambda boxes: permits.listed([ManagedServer(*box) for box in boxes]),
-            "limits": self._limits,
+            "stands": permits.set_failed,
+            "front": permits.set_front,
+            "left": permits.front_left,
+            "boxes": lambda boxes: permits.set_boxes([ManagedServer(*box) for box in boxes]),
+            "limits": self._set_limits,
             "release": lambda plan, by: releases.start(
                 ReleasePlan(*plan[:4], tuple(map(tuple, plan[4])), plan[5]), by
             ),
             "halt": releases.halt,
             "resume": releases.resume,
-            "back": releases.back,
-            "gate": releases.gate,
-            "trouble": releases.trouble,
+            "back": releases.roll_back,
+            "gate": releases.gate_result,
+            "trouble": releases.set_trouble,
         }
 
     def told(self):
         """Return the state in its stored form."""
-        return [FORMAT, self.index, self.permits.told(), self.releases.told(), self.once]
+        return [STATE_FORMAT, self.index, self.permits.snapshot(), self.releases.snapshot(), self.answers]
 
-    def loaded(self, told):
-        """Returns whether it could be read."""
-        if told[0] != FORMAT:
+    def loaded(self, state):
+        """Replace the state by a stored one; return False for another format."""
+        if state[0] != STATE_FORMAT:
             return False
-        self.index = told[1]
-        self.permits.loaded(told[2])
-        self.releases.loaded(told[3])
-        self.once = dict(told[4])
+        self.index = state[1]
+        self.permits.restore(state[2])
+        self.releases.restore(state[3])
+        self.answers = dict(state[4])
         return True
 
     def apply(self, index, command):
-        """(the word for whoever asked, permits that are granted by it)."""
+        """Apply a command; return (the answer to the proposer, permits that were granted by it)."""
         self.index = self.releases.index = index
         if not command:
-            return "", []  # an entry of the log's own
+            return "", []  # the entry that a new leader appends
         if command[0] == "once":
-            # Given again as its answer was lost, perhaps to another leader: a halt must not undo a later resume.
-            _, id, wanted = command
-            if id in self.once:
-                return self.once[id], []
-            word, granted = self.apply(index, wanted)
-            self.once[id] = word
-            while len(self.once) > ONCE_MOST:
-                del self.once[next(iter(self.once))]
-            return word, granted
-        action = self.commands.get(command[0])
-        if action is None:
+            # The answer was lost and the request was sent again, perhaps to another leader. It is not applied twice:
+            # a repeated halt must not undo a later resume.
+            _, id, inner = command
+            if id in self.answers:
+                return self.answers[id], []
+            answer, granted = self.apply(index, inner)
+            self.answers[id] = answer
+            while len(self.answers) > REQUESTS_KEPT_MAX:
+                del self.answers[next(iter(self.answers))]
+            return answer, granted
+        handler = self.commands.get(command[0])
+        if handler is None:
             return f"{command[0]} is not known here", []
-        word = action(*command[1:]) or "done"
-        self.permits.settled()
-        self.releases.moves()
-        return word, self.permits.grants(index, self.releases.may)
+        answer = handler(*command[1:]) or "done"
+        self.permits.advance_all()
+        self.releases.advance()
+        return answer, self.permits.grant_available(index, self.releases.allows)
 
-    def _limits(self, budgets, warmth):
-        self.permits.budgets, self.permits.warmth = (
-            [DisruptionBudget(*one) for one in budgets],
-            Warmth(*warmth),
-        )
+    def _set_limits(self, budgets, warmth):
+        self.permits.budgets = [DisruptionBudget(*one) for one in budgets]
+        self.permits.warmth = Warmth(*warmth)
 
     def drained(self):
-        """{box: index of its permit}: nothing new goes there, and it is named no more as source."""
+        """Return {box: index of its permit} of boxes that get nothing new and are not named as sources."""
         return {
             p.box: p.index
             for p in self.permits.of_box.values()
@@ -95,10 +96,10 @@
         }
 
     def waits(self):
-        """{id: why} of all that ask."""
-        found = self.permits.waits(self.releases.may)
+        """Return {id: reason} of all requests that wait."""
+        found = self.permits.blocked(self.releases.allows)
         for permit in self.permits.of_box.values():
-            if permit.step is PermitStep.ASKED and not self.releases.may(permit):
+            if permit.step is PermitStep.ASKED and not self.releases.allows(permit):
                 release = self.releases.releases[permit.release]
                 found[permit.id] = (
                     "trouble",
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -30,7 +30,7 @@
 from sprucegate.fleet.rollout import gates
 from sprucegate.fleet.rollout.follower import FrontReporter
 from sprucegate.fleet.rollout.gates import AnalysisSample, GateVerdict
-from sprucegate.fleet.rollout.leader import FRONT_LEASE, LIVE_MOST, PERMIT_LEASE, RolloutLeader
+from sprucegate.fleet.rollout.leader import FRONT_LEASE, PERMIT_LEASE, RETURN_TIMEOUT, RolloutLeader
 from sprucegate.fleet.rollout.permits import PermitStep, PermitTable
 from sprucegate.fleet.rollout.releases import ReleasePhase, ReleaseTable
 from sprucegate.fleet.rollout.rollout import RolloutStateMachine
@@ -411,28 +411,28 @@
         (seen(2000, late=20), seen(20_000, late=200), 1, True, GateVerdict.PASS, ""),
         (seen(2000, errors=40), seen(20_000), 1, False, GateVerdict.FAIL, "errors"),
         (seen(2000, late=600), seen(20_000, late=200), 1, False, GateVerdict.FAIL, "late"),
-        (seen(100, late=1), seen(20_000, late=200), 1, True, GateVerdict.FEW, "gets"),
-        (seen(2000, late=20), seen(20_000, late=200), 1, False, GateVerdict.FEW, "gets"),
+        (seen(100, late=1), seen(20_000, late=200), 1, True, GateVerdict.INCONCLUSIVE, "gets"),
+        (seen(2000, late=20), seen(20_000, late=200), 1, False, GateVerdict.INCONCLUSIVE, "gets"),
         (
             seen(300, errors=3),
             seen(20_000),
             1,
             True,
-            GateVerdict.FEW,
+            GateVerdict.INCONCLUSIVE,
             "errors",
         ),  # may be chance: no pass and no halt
-        (seen(0), seen(20_000), 1, True, GateVerdict.FEW, "gets"),
+        (seen(0), seen(20_000), 1, True, GateVerdict.INCONCLUSIVE, "gets"),
         (seen(2000), seen(20_000), 3, True, GateVerdict.FAIL, "starts"),
         (seen(2000, crashes=1), seen(20_000), 1, True, GateVerdict.FAIL, "crashes"),
     ],
 )
 def test_a_gate_by_counts_of_both_sides(released, others, starts, baked, said, by):
-    assert gates.verdict(released, others, starts, baked, gates.GateLimits())[:2] == (said, by)
+    assert gates.evaluate(released, others, starts, baked, gates.GateLimits())[:2] == (said, by)
 
 
 def test_the_interval_of_a_difference_is_newcombes():
     # His example (method 10, 95%): 56 of 70 and 48 of 80 differ by 0.0524 to 0.3339.
-    least, most = gates.worse_by(56, 70, 48, 80, 0.025)
+    least, most = gates.difference_interval(56, 70, 48, 80, 0.025)
     assert round(least, 4) == 0.0524 and round(most, 4) == 0.3339
 
 
@@ -470,10 +470,12 @@
     release(log)
     log.out("v2/0/c0")
     leading = RolloutLeader(log.machine, 0)
-    for at in range(0, LIVE_MOST, 10 * S):
+    for at in range(0, RETURN_TIMEOUT, 10 * S):
         assert leading.due(heard(at), at) == []
         log.do("renew", "v2/0/c0", "agent")
-    assert leading.due(heard(LIVE_MOST), LIVE_MOST) == [["halt", "v2", "fleet", "c0 does not come back"]]
+    assert leading.due(heard(RETURN_TIMEOUT), RETURN_TIMEOUT) == [
+        ["halt", "v2", "fleet", "c0 does not come back"]
+    ]
 
 
 def test_what_most_fronts_miss_is_out_by_itself_and_comes_back_by_them():
@@ -739,7 +741,9 @@
     leading = RolloutLeader(log.machine, 0)
     for at in range(50):
         leading.due(heard(at * S, rows=[[f"none-{at}-{n}", at, 0, 0, 0, 0, 1] for n in range(20)]), at * S)
-    assert not leading.totals and not leading.starts and all(not rows for *_, rows in leading.told.values())
+    assert (
+        not leading.totals and not leading.starts and all(not rows for *_, rows in leading.reports.values())
+    )
     monkeypatch.setattr(log_server, "FOLLOWERS_MAX", 5)
     _, one = serving()
     for at in range(50):
@@ -787,7 +791,7 @@
         self, machine, {p.box: 1 for p in machine.permits.of_box.values()}, warm, now
     ),
 )
-ANY = ("wait", lambda self, permit, out=None: None)
+ANY = ("blocked_by", lambda self, permit, out=None: None)
 SOWN = [
     ("over_budget", PermitTable, *ANY, small(waves=[["c0", "c1", "c2", "c3", "c4"]])),
     ("last_gone", PermitTable, *ANY, small(("ask", "h", "c0", "op", ""), ("ask", "i", "c3", "op", ""))),
@@ -796,14 +800,14 @@
     (
         "granted_halted",
         ReleaseTable,
-        "may",
+        "allows",
         lambda self, permit: True,
         small(("halt", "v2", "op", ""), waves=[["c0", "c1", "c2", "c3", "c4"]]),
     ),
     (
         "without_end",
         PermitTable,
-        "said_warm",
+        "report_warm",
         lambda self, id, start, front, life: None,
         small(("ask", "h", "c0", "op", ""), until=10),
     ),
@@ -815,7 +819,7 @@
     assert rollouts.broken(world(1).trace, 6) == [] or check == "granted_halted"
     monkeypatch.setattr(of, name, defect)
     if check == "granted_halted":
-        monkeypatch.setattr(ReleaseTable, "_withdraw", lambda self, release: None)
+        monkeypatch.setattr(ReleaseTable, "_withdraw_permits", lambda self, release: None)
     if check == "sent_to_drained":
         monkeypatch.setattr(rollouts.Front, "turn", _late_turn)
     assert check in {name for name, _ in rollouts.broken(world(1).trace, 6)}
