--- a/sprucegate/fleet/quotas/actions.py
+++ b/sprucegate/fleet/quotas/actions.py
@@ -1,4 +1,4 @@
-"""What the quotas ask their caller to do. A `token` is the caller's own name for one waiting request."""
+"""Actions that the quotas ask their caller to perform. A `token` is the caller's identifier of one request."""
 
 from collections.abc import Hashable
 from typing import NamedTuple
@@ -7,14 +7,14 @@
 
 
 class Send(NamedTuple):
-    """Send a message to the front of that name, which may be this one."""
+    """Send a message to a front, which may be this one."""
 
     to: str
     message: Message
 
 
 class StartFill(NamedTuple):
-    """Start the request's fill: it has a slot of the source until `fill_ended` or `slot_unused` is called."""
+    """Start the request's fill: it holds a slot of the source until `fill_ended` or `slot_unused` is called."""
 
     token: Hashable
     source: int
@@ -28,7 +28,7 @@
 
 
 class LeaseHolderChanged(NamedTuple):
-    """This front follows another lease holder; "": none, so that it uses its floors."""
+    """This front follows another lease holder, or none (""): then it uses its floors."""
 
     name: str
 
--- a/sprucegate/fleet/quotas/allocation.py
+++ b/sprucegate/fleet/quotas/allocation.py
@@ -1,8 +1,8 @@
-"""Who is to have a source's slots: whole slots to tenants by weight, a tenant's slots to the fronts with its demand.
+"""The allocation of a source's slots: whole slots to tenants by weight, and a tenant's to the fronts with its demand.
 
-Slot time is shared as in start-time fair queueing (Goyal, Vin, Cheng, 1996) over all fronts: each slot goes to the
-tenant that has had the least slot time by its weight. Slots that nobody wants are lent to the fronts as spare ones, so
-that a request which comes alone waits for no grant.
+Slot time is shared over all fronts as in start-time fair queueing (Goyal, Vin, Cheng, 1996): each slot goes to the
+tenant with the least slot time relative to its weight. Slots without demand are lent to the fronts as spare ones, so
+that an occasional request doesn't wait for a grant.
 """
 
 from collections.abc import Mapping
@@ -12,9 +12,9 @@
 from sprucegate.fleet.quotas.settings import LEASE_DURATION, QuotaSettings
 from sprucegate.units import MILLISECOND, SECOND
 
-ALLOCATION_FRESH = 20 * MILLISECOND  # for which an allocation is used again while demand and capacity stay
-ACCOUNT_KEPT = 60 * SECOND  # for which an idle tenant's slot time is remembered
-ACCOUNTS_MAX = 1000  # above which idle ones are forgotten
+ALLOCATION_FRESH = 20 * MILLISECOND  # for which an allocation is reused if demand and capacity are the same
+ACCOUNT_KEPT = 60 * SECOND  # for which an idle tenant's slot time is kept
+ACCOUNTS_MAX = 1000  # above which idle ones are removed
 
 # Of one front and one source: {tenant: (running fills, waiting requests)}.
 FrontDemand = Mapping[int, tuple[int, int]]
@@ -23,7 +23,7 @@
 
 
 class Allotment(NamedTuple):
-    """One front's slots of one source: by tenant, and spare ones for any tenant."""
+    """One front's slots of one source: those of each tenant, and spare ones for any tenant."""
 
     by_tenant: dict[int, int]
     spare: int
@@ -33,7 +33,7 @@
 
 
 class CachedAllocation(NamedTuple):
-    """An allocation with what it was made from."""
+    """An allocation and its inputs."""
 
     made_at: int
     capacity: int
@@ -41,15 +41,15 @@
     allocation: Allocation
 
     def holds(self, capacity: int, demand: dict[str, FrontDemand], now: int) -> bool:
-        """Whether it is fresh, and made from the same capacity and demand."""
+        """Whether it is recent and was made from the same capacity and demand."""
         fresh = now - self.made_at < ALLOCATION_FRESH
         return fresh and (self.capacity, self.demand) == (capacity, demand)
 
 
 class SlotAllocator:
-    """Divides slots, and keeps account of the slot time that tenants have had.
+    """Allocates slots, and accounts for the slot time that tenants have had.
 
-    :ivar slot_time: ns of slot time by weight; `charged_at`: when the account was last charged.
+    :ivar slot_time: ns of slot time, divided by the weight; `charged_at`: when the account was last charged.
     """
 
     def __init__(self, settings: QuotaSettings) -> None:
@@ -59,7 +59,7 @@
         self.cached: dict[int, CachedAllocation] = {}
 
     def charge(self, front: str, sources: list[SourceDemand], elapsed: int, now: int) -> None:
-        """Charge `elapsed` ns of the slots that one front uses to its tenants by weight, and to the front itself."""
+        """Charge `elapsed` ns of the slots that one front uses to its tenants, by weight, and to the front itself."""
         for row in sources:
             for tenant, using, _ in row.tenants:
                 weight = self.settings.tenants[tenant].weight
@@ -71,7 +71,7 @@
 
     def _charge_account(self, key: AccountKey, amount: int, now: int) -> None:
         if now - self.charged_at.get(key, -ACCOUNT_KEPT) > LEASE_DURATION:
-            # It was idle: it starts at the present, which is the least of its active neighbours, with no credit.
+            # It was idle: it starts at the least slot time of the active accounts, so that it has no credit.
             active = [
                 self.slot_time[other]
                 for other, at in self.charged_at.items()
@@ -82,16 +82,16 @@
         self.charged_at[key] = now
 
     def used_time(self, source: int, tenant: int) -> int:
-        """Return the slot time by weight that a tenant has had at a source."""
+        """Return the slot time that a tenant has had at a source, divided by its weight."""
         return self.slot_time.get((source, tenant), 0)
 
     def forget_unlisted_sources(self) -> None:
-        """Drop the allocations of sources that are listed no more."""
+        """Drop the allocations of sources that are no longer listed."""
         for source in [one for one in self.cached if one not in self.settings.slots]:
             del self.cached[source]
 
     def allocate(self, source: int, capacity: int, demand: dict[str, FrontDemand], now: int) -> Allocation:
-        """Return each front's slots of a source; an allocation is kept for ALLOCATION_FRESH of the same demand."""
+        """Return each front's slots of a source; reused for ALLOCATION_FRESH while demand and capacity are the same."""
         cached = self.cached.get(source)
         if cached is not None and cached.holds(capacity, demand, now):
             return cached.allocation
@@ -103,10 +103,10 @@
     def divide(
         self, source: int, capacity: int, demand: dict[str, FrontDemand], former: Allocation
     ) -> Allocation:
-        """Divide `capacity` slots anew; `former` is the allocation before.
+        """Compute a new allocation of `capacity` slots; `former` is the previous one.
 
-        Who holds a slot keeps it until another is behind by a lease's time: each move leaves the slot idle for a while,
-        and by the smallest difference in slot time all slots would move at each request.
+        A slot stays where it is until another tenant or front is behind by one lease duration: each move leaves the
+        slot idle for a while, and without that tolerance all slots would move at each request.
         """
         by_tenant, remaining = self._by_tenant(source, capacity, demand, former)
         allocation = {name: Allotment({}, 0) for name in sorted(demand)}
@@ -125,7 +125,7 @@
     def _by_tenant(
         self, source: int, capacity: int, demand: dict[str, FrontDemand], former: Allocation
     ) -> tuple[dict[int, int], int]:
-        """Return ({tenant: slots}, slots that nobody wants): floors first, then one by one by slot time."""
+        """Return ({tenant: slots}, slots without demand): floors first, then one at a time by least slot time."""
         held: dict[int, int] = {}
         for by_tenant, _ in former.values():
             for tenant, slots in by_tenant.items():
@@ -141,7 +141,7 @@
             remaining -= given[tenant]
 
         def order(tenant: int) -> tuple[int, int]:
-            # A slot of the next lease counts as used: else a tenant slightly behind would get all of them.
+            # Slots of the next lease count as used already: otherwise a tenant slightly behind would get all of them.
             new_slots = given[tenant] - (given[tenant] < held.get(tenant, 0))
             next_lease = new_slots * LEASE_DURATION // self.settings.tenants[tenant].weight
             return self.used_time(source, tenant) + next_lease, tenant
@@ -157,7 +157,7 @@
     def _by_front(
         self, source: int, tenant: int, slots: int, demand: dict[str, FrontDemand], former: Allocation
     ) -> dict[str, int]:
-        """Divide a tenant's slots among fronts: to where its fills run, then to where it has had the least."""
+        """Return {front: slots} of a tenant: first where its fills run, then where it has had the least slot time."""
         rows = {name: one[tenant] for name, one in sorted(demand.items()) if tenant in one}
         given = dict.fromkeys(rows, 0)
         held = {name: former[name].by_tenant.get(tenant, 0) if name in former else 0 for name in rows}
--- a/sprucegate/fleet/quotas/borrower.py
+++ b/sprucegate/fleet/quotas/borrower.py
@@ -1,12 +1,12 @@
-"""What a front may use of each source's slots: the lease holder's grants, else its floor.
+"""The slots of each source that a front may use: the lease holder's grants, or else its floor.
 
-Leases as of Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency",
-SOSP 1989: the borrower counts a lease from its request on, the lender from its answer on and longer. A front's own
-floor is a lease the other way: each request leaves it to the lease holder for a time, which the front counts as longer
-than the lease holder does. So at any instant what all fronts use is within the sum of their floors, however many lease
-holders there are and whatever is disconnected.
+Leases are those of Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache
+Consistency", SOSP 1989: the borrower counts a lease from its request on, the lender from its answer on and longer. A
+front's floor is a lease in the other direction: each request waives it in favour of the lease holder for a time, which
+the front counts as longer than the lease holder does. So at any instant the slots that all fronts use are within the
+sum of their floors, however many lease holders there are and whatever is disconnected.
 
-It is checked against the time of each decision: a process that was suspended uses nothing that has expired.
+Expiry is checked at each decision, so a process that was suspended uses nothing that has expired meanwhile.
 """
 
 from collections.abc import Callable
@@ -30,21 +30,21 @@
 from sprucegate.units import MILLISECOND, SECOND
 
 IDLE_REQUEST_INTERVAL = 300 * MILLISECOND  # between two requests without demand
-OPEN_REQUESTS_MAX = 64  # whose answers may still come
+OPEN_REQUESTS_MAX = 64  # latest requests whose answers are accepted
 NO_SLOTS = AvailableSlots({}, 0)
-DEMAND_INTERVAL_DIVISOR = 5  # new demand is sent after this part of the request interval
+DEMAND_INTERVAL_DIVISOR = 5  # new demand is reported after this fraction of the request interval
 
 
 class Borrower:
     """The borrowing side of one front under one lease holder at a time.
 
-    :ivar lease_holder: whom this front asks; `epoch`: how often that changed.
+    :ivar lease_holder: the one that this front follows; `epoch`: how often that has changed.
     :ivar granted: {source: slots} of the latest grant, in force until `expires`.
-    :ivar floors_waived_until: until then the own floors may be lent by some lease holder.
+    :ivar floors_waived_until: until then this front's floors may be lent by some lease holder.
     :ivar former_lease: {source: slots} that the former lease holder lent; it may lend the floors until
         `former_floors_until`, and counts those slots as in use until `former_counted_until`.
     :ivar may_borrow: whether the membership view allows grants; `may_use_floors`: whether it allows floors.
-    :ivar slow_start: {source: part of its slots that it has after a cold start}.
+    :ivar slow_start: {source: share of its slots that it has after a cold start}.
     """
 
     def __init__(self, name: str, incarnation: int, settings: QuotaSettings, now: int) -> None:
@@ -59,7 +59,7 @@
         self.sent_at: dict[int, int] = {}  # by sequence number
         self.granted: dict[int, AvailableSlots] = {}
         self.expires = now
-        # A former incarnation of this front may have left its floors to a lease holder just before it ended.
+        # A former incarnation of this front may have waived its floors just before it ended.
         self.floors_waived_until = now + promise_duration(settings.floor_waiver)
         self.former_lease: dict[int, int] = {}
         self.former_floors_until = self.floors_waived_until
@@ -71,7 +71,7 @@
         self.slow_start: dict[int, float] = {}
 
     def available_slots(self, source: int, now: int) -> AvailableSlots:
-        """Return the slots of a source at this instant."""
+        """Return the slots of a source that may be used at this instant."""
         if self.may_borrow and now < self.expires:
             return self.granted.get(source, NO_SLOTS)
         if self.may_use_floors and now >= self.floors_waived_until:
@@ -80,7 +80,7 @@
         return NO_SLOTS
 
     def follow(self, lease_holder: LeaseHolderId, now: int) -> None:
-        """Change the lease holder: grants of the former are dropped, and the next is told what it may still lend."""
+        """Change the lease holder. Grants of the former are dropped, and the new one is told what it may still lend."""
         if lease_holder == self.lease_holder:
             return
         counted_until = self.expires + self.settings.fill_time_max
@@ -110,7 +110,7 @@
         take_fill_counts: Callable[[int], tuple[int, int]],
         now: int,
     ) -> list[Send]:
-        """Return the next request, if it is time; `demand` and `take_fill_counts` are the fair queue's."""
+        """Return the next request, if it is due; `demand` and `take_fill_counts` are the fair queue's."""
         if self.lease_holder == NO_LEASE_HOLDER or now < self.next_request_at:
             return []
         sources = []
@@ -147,20 +147,21 @@
         self.floors_waived_until = max(self.floors_waived_until, waived_until)
 
     def demand_changed(self, now: int) -> None:
-        """There is demand that the last request did not report: send the next one sooner."""
+        """There is demand that the last request didn't report: send the next one sooner."""
         interval = request_interval(len(self.settings.fronts)) // DEMAND_INTERVAL_DIVISOR
         earliest = self.sent_at.get(self.sequence, now - SECOND) + interval
         self.next_request_at = min(self.next_request_at, max(now, earliest))
 
     def on_grant(self, sender: str, message: LeaseGrant, now: int) -> bool:
-        """Take a grant, unless it is late or another's; return whether it is in force now."""
+        """Take a grant, unless it is late or of another lease holder; return whether it is in force now."""
         sent_at = self.sent_at.get(message.sequence)
         if sender != self.lease_holder.name or message.epoch != self.epoch:
             return False
         if sent_at is None or message.grant <= self.grant:
             return False
         if not self.echo:
-            self.next_request_at = now  # by the request after the first answer the own floors count as lent
+            # Floors count as waived only from the request that follows the first answer.
+            self.next_request_at = now
         self.grant = message.grant
         self.echo = max(self.echo, message.stamp)
         self.unanswered = 0
--- a/sprucegate/fleet/quotas/codec.py
+++ b/sprucegate/fleet/quotas/codec.py
@@ -1,4 +1,4 @@
-"""Messages on quotas as bytes: a kind number and the fields in order, MessagePack arrays in a component's message."""
+"""The encoding of quota messages: a kind number and the fields in order, as MessagePack arrays."""
 
 from collections.abc import Callable
 
@@ -35,15 +35,15 @@
 
 
 def decode(data: bytes, settings: QuotaSettings) -> Message:
-    """Return the message; raises FrameError for what no front of this fleet sends."""
+    """Return the message; raises FrameError for one that no front of this fleet may send."""
     try:
         kind, fields = _decode_envelope(data)
         if kind not in DECODERS:
-            problem = f"a word on shares of kind {kind}, which is not known here"
+            problem = f"quota message of unknown kind {kind}"
             raise FrameError(problem)
         message = DECODERS[kind](fields)
-    except msgspec.MsgspecError as fault:
-        problem = f"a word on shares that can't be read: {fault}"
+    except msgspec.MsgspecError as error:
+        problem = f"malformed quota message: {error}"
         raise FrameError(problem) from None
     if isinstance(message, QuotaRequest):
         _check_request(message, settings)
@@ -69,7 +69,7 @@
     for row in message.sources:
         slots = [one.slots for one in row.tenants]
         if row.spare + sum(slots) > settings.slots.get(row.source, COUNT_MAX):
-            problem = f"more places of {row.source:x} lent than there are: its file has other figures"
+            problem = f"grant of more slots than source {row.source:x} has: the operators' files differ"
             raise FrameError(problem)
         counts += [row.spare, *slots]
         tenants += [one.tenant for one in row.tenants]
@@ -77,8 +77,8 @@
 
 
 def _check_values(counts: list[int], tenants: list[int], settings: QuotaSettings) -> None:
-    possible_counts = all(0 <= count <= COUNT_MAX for count in counts)
-    possible_tenants = all(0 <= tenant < len(settings.tenants) for tenant in tenants)
-    if not possible_counts or not possible_tenants:
-        problem = "a word on shares with tenants or counts that can't be: its file has other figures"
+    valid_counts = all(0 <= count <= COUNT_MAX for count in counts)
+    valid_tenants = all(0 <= tenant < len(settings.tenants) for tenant in tenants)
+    if not valid_counts or not valid_tenants:
+        problem = "quota message with impossible tenants or counts: the operators' files differ"
         raise FrameError(problem)
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -1,7 +1,7 @@
-"""The quotas in a front: its waiting requests, messages to and from lease holders, timers. `coordinator` decides.
+"""The quotas in a front: connects the coordinator to waiting requests, to other fronts and to timers.
 
 The component sets itself as `driver.places`, and the sources whose fills wait for slots as
-`router.slot_limited_sources`. Nothing here asks another front on a request's path.
+`router.slot_limited_sources`. No other front is called synchronously while a request is served.
 """
 
 import time
@@ -19,38 +19,40 @@
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.units import SECOND
 
-SLOW_START_INTERVAL_S = 0.5  # between two looks at which sources have just started
+SLOW_START_INTERVAL_S = 0.5  # between two updates of the sources that have just started
 TIMER_WAIT_MAX_S = 1.0
 RETRY_AFTER_FAULT_S = 0.1
-FILL_TIME_MAX_DEFAULT = (
-    3 * SECOND
-)  # where neither the operator's file nor the settings bound a request's time
+FILL_TIME_MAX_DEFAULT = 3 * SECOND  # if neither the operator's file nor the settings bound a request's time
 CACHE_HITS = (CacheStatus.HIT, CacheStatus.STALE_HIT, CacheStatus.COLLAPSED)
-# After these the fill may go on at the source, for all that is known here.
+# Outcomes after which the fill may still run at the source.
 DETACHED_OUTCOMES = (AttemptOutcome.CANCELLED, AttemptOutcome.TIMED_OUT, AttemptOutcome.RESET)
 
 
 class SlotWait:
     """One wait of one request for a slot.
 
-    :ivar get: the open request; `source`: where its fill is to run.
-    :ivar out: the attempt that runs by the slot, or None.
-    :ivar has: whether the slot was given.
+    :ivar request: the open request; `source`: where its fill is to run.
+    :ivar attempt: the attempt that uses the slot, or None.
+    :ivar granted: whether the slot was granted.
     """
 
-    __slots__ = ("get", "has", "out", "source")
+    __slots__ = ("attempt", "granted", "request", "source")
 
-    def __init__(self, get, source):
-        self.get = get
+    def __init__(self, request, source):
+        self.request = request
         self.source = source
-        self.out = None
-        self.has = False
+        self.attempt = None
+        self.granted = False
 
 
 class QuotaComponent(FleetComponent):
-    """Joins the quota coordinator to a front's driver and to its fleet.
+    """Connects the quota coordinator to a front's driver and to its fleet.
 
-    `fleet`: the front's fleet service; `node`: the block `shares` of the operator's file.
+    :ivar fleet: the front's fleet service.
+    :ivar node: the block `shares` of the operator's file.
+    :ivar waits_by_request: {open request: its SlotWait}.
+    :ivar source_names: {source: name of its server}.
+    :ivar running: between start and stop.
     """
 
     name = "shares"
@@ -70,38 +72,38 @@
             waiting_max=node.waiting,
         )
         self.quotas = QuotaCoordinator(fleet.name, fleet.being, self.settings, time.monotonic_ns())
-        # Until a view says otherwise; floors that a former incarnation may have lent are still waited for.
+        # Until the first membership view; floors that a former incarnation has waived are still not used.
         self.quotas.borrower.may_use_floors = True
         self.waits_by_request = {}
         self.timer = None
         self.source_names = {}
-        self.up = False
+        self.running = False
         self.driver.places = self
         self.driver.router.slot_limited_sources = self.settings.slots
 
     async def start(self):
-        """Begin with the front's identity in the fleet."""
-        self.up = True
+        """Start with the front's identity in the fleet."""
+        self.running = True
         own = self.fleet.peer.members.own
         self.on_identity_changed(own.name, own.incarnation)
         self._update_slow_start()
 
     def start_without_storage(self):
-        """Go on with the floors alone: else requests that wait for slots would be neither filled nor answered."""
-        self.up = True
+        """Start with the floors alone: otherwise requests that wait for slots would be neither filled nor answered."""
+        self.running = True
         self._update_slow_start()
         self._set_timer()
 
     async def stop(self):
         """Stop the timers."""
-        self.up = False
+        self.running = False
         if self.timer is not None:
             self.timer.cancel()
 
     # Events of the fleet.
 
     def on_endpoints_changed(self):
-        """Set the slots of the listed sources: what the operator's file gives by a source's name, else by its kind."""
+        """Set the slots of the listed sources, which the operator's file gives by a source's name or by its kind."""
         router = self.driver.router
         kinds = {value: name for name, value in self.driver.wanted.kinds.items()}
         slots = {}
@@ -122,7 +124,7 @@
         self._perform(self.quotas.on_identity_changed(name, life, time.monotonic_ns()))
 
     def on_view_changed(self, view):
-        """Tell the coordinator who may lend, and whether this front may borrow or use its floors."""
+        """Tell the coordinator who may be lease holder, and whether this front may borrow or use its floors."""
         own = self.fleet.peer.members.own
         candidates = [
             (name, row.incarnation)
@@ -137,16 +139,16 @@
         self._perform(self.quotas.on_view_changed(candidates, may_borrow, may_use_floors, now))
 
     def on_message(self, sender, data):
-        """A message of another front; raises FrameError for one that can't be read."""
+        """Handle a message of another front; raises FrameError for one that is not valid."""
         message = codec.decode(data, self.settings)
         self._perform(self.quotas.on_message(sender, message, time.monotonic_ns()))
 
     def explain(self, given):
-        """Return the rows of `fleet why share`, of the tenants or sources given, or of all."""
+        """Return the rows of `fleet why share`, for the tenants or sources given, or for all."""
         now = time.monotonic_ns()
         return quota_status(self.quotas, self.node.names, self.source_names, given, now)
 
-    # Events of the front: the calls of the driver.
+    # Events of the front, called by its driver.
 
     def tenant(self, headers):
         """Return the index of a client's tenant; clients that name no listed one belong to the common tenant."""
@@ -156,33 +158,33 @@
         return index
 
     def waits(self, get, source, now):
-        """A request needs a slot: it has sent nothing for this fill, and is routed again once it has one."""
+        """A request needs a slot. No attempt was sent for this fill; it is routed again once it has the slot."""
         wait = SlotWait(get, source)
         self.waits_by_request[get] = wait
         self.driver.book.count("gets_slow")
-        # The driver's clock and the fleet's differ: only durations are taken over.
+        # The driver's clock is another one than the fleet's: only durations can be taken over.
         monotonic = time.monotonic_ns()
         deadline = monotonic + get.handle.deadline - now
         self._perform(self.quotas.request_arrived(wait, source, get.tenant, deadline, monotonic))
 
     def sent(self, get, out, forward, now):
-        """An attempt goes out: by the request's slot, if it is the fill that the slot is for."""
+        """An attempt is sent: it uses the request's slot, if it is the fill that the slot was granted for."""
         wait = self.waits_by_request.get(get)
-        if wait is None or not wait.has or wait.out is not None:
+        if wait is None or not wait.granted or wait.attempt is not None:
             return
         if forward.fill_source == wait.source and not forward.only_if_cached:
-            wait.out = out
+            wait.attempt = out
             out.place = wait
             out.limit = min(out.limit, now + self.settings.fill_time_max)
 
     def ended(self, out, outcome, found, waited, now):
-        """An attempt ended; `found`: the server's cache status, `waited`: ns of the fill by its answer, or 0."""
+        """An attempt ended; `found`: the server's cache status, `waited`: ns of the fill as its answer says, or 0."""
         wait = out.place
         if wait is None:
             return
         out.place = None
-        if self.waits_by_request.get(wait.get) is wait:
-            del self.waits_by_request[wait.get]
+        if self.waits_by_request.get(wait.request) is wait:
+            del self.waits_by_request[wait.request]
         monotonic = time.monotonic_ns()
         if outcome in DETACHED_OUTCOMES:
             self.quotas.fill_detached(wait, monotonic)
@@ -192,18 +194,18 @@
         else:
             duration = now - out.at
             on_time = outcome is AttemptOutcome.RETURNED and duration <= self.driver.router.latency_objective(
-                wait.get.asked
+                wait.request.asked
             )
             self._perform(self.quotas.fill_ended(wait, waited or duration, on_time, monotonic))
 
     def left(self, get):
-        """A request is over, or its client has left: it waits no more."""
+        """A request is finished or its client has left, so it no longer waits."""
         wait = self.waits_by_request.pop(get, None)
         if wait is None:
             return
-        if not wait.has:
+        if not wait.granted:
             self.quotas.request_cancelled(wait)
-        elif wait.out is None:
+        elif wait.attempt is None:
             self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
 
     # Actions of the coordinator.
@@ -225,31 +227,31 @@
         self._forget(wait)
         self.driver.book.count("gets_not_waited")
         now = self.driver.clock()
-        self.driver.guarded(wait.get, self._give_up, wait.get, now)
+        self.driver.guarded(wait.request, self._give_up, wait.request, now)
 
     def _forget(self, wait):
-        if self.waits_by_request.get(wait.get) is wait:
-            del self.waits_by_request[wait.get]
+        if self.waits_by_request.get(wait.request) is wait:
+            del self.waits_by_request[wait.request]
 
     def _give_up(self, get, now):
         self.driver.say(get, get.handle.give_up(now), now)
 
     def _start_fill(self, wait, source):
-        get = wait.get
+        get = wait.request
         now = self.driver.clock()
         if self.waits_by_request.get(get) is not wait or get.handle.finished:
             self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
             return
-        wait.has = True
+        wait.granted = True
         get.handle.slot_source = source
         self.driver.guarded(get, self._route, get, now)
-        if wait.out is None:  # another cache has the object by now, or another source is to be asked
+        if wait.attempt is None:  # a cache has the object by now, or another source was chosen
             self._forget(wait)
             self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
 
     def _route(self, get, now):
         actions = get.handle.route(now)
-        get.handle.slot_source = None  # for this attempt alone
+        get.handle.slot_source = None  # the slot was for this attempt only
         self.driver.say(get, actions, now)
         self.driver.arm(now)
 
@@ -270,7 +272,7 @@
     # Timers.
 
     def _set_timer(self):
-        if not self.up:
+        if not self.running:
             return
         if self.timer is not None:
             self.timer.cancel()
@@ -280,14 +282,13 @@
     def _on_timer(self):
         try:
             self._perform(self.quotas.on_timer(time.monotonic_ns()))
-        except (
-            Exception
-        ) as fault:  # without a next call all waiting requests would wait until their deadlines
-            self.driver.fault(fault)
+        except Exception as error:
+            # Without another call all waiting requests would wait until their deadlines.
+            self.driver.fault(error)
             self.timer = self.loop.call_later(RETRY_AFTER_FAULT_S, self._on_timer)
 
     def _update_slow_start(self):
-        if not self.up:
+        if not self.running:
             return
         router = self.driver.router
         now = self.driver.clock()
--- a/sprucegate/fleet/quotas/coordinator.py
+++ b/sprucegate/fleet/quotas/coordinator.py
@@ -1,4 +1,4 @@
-"""The quotas of one front as one state machine: its fair queue, what it borrows, what it lends, whom it follows."""
+"""The quotas of one front as one state machine: its fair queue, borrower and lease holder, and whom it follows."""
 
 from collections.abc import Hashable
 from zlib import crc32
@@ -20,17 +20,17 @@
 from sprucegate.units import MILLISECOND, SECOND
 
 NEVER = 1 << 62
-QUEUE_CHECK_INTERVAL = 50 * MILLISECOND  # between two looks at a queue that waits for leases
-UNANSWERED_REQUESTS_MAX = 3  # in a row: then the lease holder is avoided
+QUEUE_CHECK_INTERVAL = 50 * MILLISECOND  # while requests wait for leases
+UNANSWERED_REQUESTS_MAX = 3  # in a row, after which the lease holder is avoided
 AVOIDED_DURATION = 3 * SECOND
 QUERY_INTERVAL = SECOND  # between two queries of a lease holder to fronts that don't follow it
 
 
 class QuotaCoordinator:
-    """Each call takes an event and the time, and returns the actions that it asks for.
+    """Each method takes an event and the time, and returns the actions to perform.
 
-    :ivar candidates: fronts that may be lease holders by this front's membership view, itself among them.
-    :ivar avoided: {lease holder that didn't answer: until when it is passed over}.
+    :ivar candidates: fronts that may be lease holders according to this front's membership view, itself included.
+    :ivar avoided: {lease holder that didn't answer: until when it is not chosen}.
     """
 
     def __init__(self, name: str, incarnation: int, settings: QuotaSettings, now: int) -> None:
@@ -47,16 +47,16 @@
     def on_view_changed(
         self, candidates: list[LeaseHolderId], may_borrow: bool, may_use_floors: bool, now: int
     ) -> list[Action]:
-        """A new membership view: who may be the lease holder, and whether this front may use grants and its floors."""
+        """Take a new membership view: who may be lease holder, and whether this front may use grants and its floors."""
         self.candidates = sorted(LeaseHolderId(*one) for one in candidates)
         self.borrower.may_borrow = may_borrow
         self.borrower.may_use_floors = may_use_floors
         return self._choose_lease_holder(now)
 
     def on_identity_changed(self, name: str, incarnation: int, now: int) -> list[Action]:
-        """This front is another incarnation, or has another name: nothing that was lent holds for it.
+        """This front has a new incarnation or name: grants to the former one are no longer valid.
 
-        Fills that were started go on; under the new name nobody counts them.
+        Fills that were started go on, but are not counted under the new name.
         """
         former = self.borrower
         self.name = name
@@ -70,7 +70,7 @@
         return self._choose_lease_holder(now)
 
     def set_slow_start(self, ratios: dict[int, float]) -> None:
-        """Set {source: part of its slots that it has now, after a cold start}."""
+        """Set {source: share of its slots that it has now, after a cold start}."""
         self.lease_holder.slow_start = ratios
         self.borrower.slow_start = ratios
 
@@ -88,7 +88,7 @@
         self.queue.request_cancelled(token)
 
     def fill_detached(self, token: Hashable, now: int) -> None:
-        """Nobody waits for a fill here any more; it may go on at the source."""
+        """Nobody waits for a fill here any more, but it may go on at the source."""
         self.queue.fill_detached(token, now)
 
     def slot_unused(self, token: Hashable, now: int) -> list[Action]:
@@ -96,13 +96,13 @@
         return self.queue.slot_unused(token, now)
 
     def fill_ended(self, token: Hashable, duration: int, on_time: bool, now: int) -> list[Action]:
-        """A fill ended after `duration` ns; its slot may be lent on at once."""
+        """A fill ended after `duration` ns; its slot may be used again at once."""
         actions = self.queue.fill_ended(token, duration, on_time, now)
         self.borrower.demand_changed(now)
         return actions
 
     def on_message(self, sender: str, message: Message, now: int) -> list[Action]:
-        """A message of another front, or of this one to itself."""
+        """Handle a message of another front, or of this one to itself."""
         match message:
             case QuotaRequest():
                 return self._on_request(sender, message, now)
@@ -133,20 +133,19 @@
     def _on_other_lease_holder(
         self, sender: str, other: LeaseHolderId, followers: int, now: int
     ) -> list[Action]:
-        """The sender follows `other`: of two lease holders side by side the one with fewer followers gives way.
+        """The sender follows `other`. Of two concurrent lease holders the one with fewer followers gives way.
 
-        Fewer, as the floors of fronts that change can't be lent for a while.
+        The one with fewer, as the floors of fronts that change their lease holder can't be lent for a while.
         """
         followed = self.borrower.lease_holder
         if other == followed or other not in self._available():
             return []
-        if (
-            sender != followed.name
-        ):  # else the one that was asked follows another itself, and so does this front
+        # If the sender is this front's lease holder, it follows `other` itself now, and so does this front.
+        if sender != followed.name:
             if followed != self._own_id():
                 return []
             own_followers = self.lease_holder.follower_count(now)
-            if not followers and sender != other.name:  # by hearsay: that one is asked itself
+            if not followers and sender != other.name:  # a third front doesn't know its followers: ask it
                 return [Send(other.name, LeaseHolderQuery(followed.incarnation, own_followers))]
             if (-followers, _hash_order(other)) > (-own_followers, _hash_order(followed)):
                 return []
@@ -163,7 +162,7 @@
         return [one for one in self.candidates if one not in self.avoided]
 
     def next_deadline(self) -> int:
-        """Return when `on_timer` is to be called."""
+        """Return when `on_timer` is to be called next."""
         times = [NEVER, *self.avoided.values()]
         queue_deadline = self.queue.next_deadline()
         if queue_deadline is not None:
@@ -173,11 +172,11 @@
         return min(times)
 
     def on_timer(self, now: int) -> list[Action]:
-        """Avoid a silent lease holder, choose one, serve the queue, and send the next request."""
+        """Avoid a lease holder that doesn't answer, choose one, serve the queue, and send the next request."""
         self.checked_at = now
         followed = self.borrower.lease_holder
         if self.borrower.unanswered >= UNANSWERED_REQUESTS_MAX and followed.name != self.name:
-            # It is suspended or disconnected, and no view has said so yet.
+            # It is suspended or disconnected, and the membership view doesn't show it yet.
             self.avoided[followed] = now + AVOIDED_DURATION
         self.avoided = {one: until for one, until in self.avoided.items() if now < until}
         actions = self._choose_lease_holder(now)
@@ -186,10 +185,10 @@
         return actions
 
     def _choose_lease_holder(self, now: int) -> list[Action]:
-        """Keep the lease holder while it is available, else take the first by hash, which is one where views agree.
+        """Keep the lease holder while it is available, else take the first by hash: the same one where views agree.
 
-        The first by hash does not become it again when it returns: each change leaves slots idle until what the former
-        lent has expired.
+        The first by hash is not chosen again when it returns: each change leaves slots idle until the former lease
+        holder's grants have expired.
         """
         available = self._available()
         followed = self.borrower.lease_holder
@@ -202,7 +201,7 @@
         return [] if chosen == followed else self._follow(chosen, now)
 
     def _query_other_fronts(self, available: list[LeaseHolderId], now: int) -> list[Action]:
-        """Ask the first front by hash that doesn't follow this lease holder which one it follows."""
+        """Ask the first front by hash that doesn't follow this lease holder whom it follows."""
         own = self._own_id()
         others = [one for one in available if one != own and not self.lease_holder.is_followed_by(one, now)]
         if not others:
--- a/sprucegate/fleet/quotas/fair_queue.py
+++ b/sprucegate/fleet/quotas/fair_queue.py
@@ -1,8 +1,8 @@
-"""Requests of one front that wait for slots: whose fill starts next, who waits, who is answered at once.
+"""Requests of one front that wait for slots: which fill starts next, and which requests are answered without one.
 
 Start-time fair queueing with several fills served at a time, SFQ(D): Goyal, Vin, Cheng, "Start-time Fair Queueing",
-1996; Jin, Chase, Kaur, "Interposed Proportional Sharing", SIGMETRICS 2004. A request is charged the source's mean fill
-time when it starts, by its tenant's weight, and what its fill took differently when it ends.
+1996; Jin, Chase, Kaur, "Interposed Proportional Sharing", SIGMETRICS 2004. A tenant is charged the source's mean fill
+time by its weight when a request starts, and the difference to the actual fill time when the fill ends.
 """
 
 import heapq
@@ -16,31 +16,33 @@
 from sprucegate.fleet.quotas.settings import COMMON_TENANT, QuotaSettings
 from sprucegate.units import MILLISECOND
 
-MEAN_SAMPLES_MAX = 64  # latest fills of a source that its mean is taken of
+MEAN_SAMPLES_MAX = 64  # latest fills in the mean fill time of a source
 INITIAL_FILL_TIME = 100 * MILLISECOND  # assumed before any fill has ended
-INITIAL_FILL_SAMPLES = 4  # samples that the assumption counts for
-CORRECTION_MEANS_MAX = 8  # bound of one fill's correction, in mean fills
+INITIAL_FILL_SAMPLES = 4  # weight of that assumption, in samples
+CORRECTION_MEANS_MAX = 8  # bound of the correction for one fill, in mean fill times
 SOURCES_MAX = 1000
-STALE_DEADLINES_MAX = 1000  # of requests that no longer wait, beside twice those that do
+STALE_DEADLINES_MAX = (
+    1000  # entries beyond twice the number of waiting requests, after which stale ones are dropped
+)
 TENANT_HEADER_BYTES_MAX = 200
 
 
 class AvailableSlots(NamedTuple):
-    """Slots of one source at one instant: those lent to tenants, and how many there are in all."""
+    """Slots of one source at one instant: those granted to tenants, and the total."""
 
     by_tenant: Mapping[int, int]
     total: int
 
 
 class SourceState(NamedTuple):
-    """Demand at one source: tenants that have any, and all running fills."""
+    """Demand at one source: by tenant, where there is any, and the number of running fills."""
 
     tenants: list[TenantDemand]
     using: int
 
 
 class WaitingRequest:
-    """A request in the queue; `open` until it starts, is answered or is cancelled. `deadline`: its client's, ns."""
+    """A request in the queue, `open` until it starts, is answered or cancelled; `deadline`: its client's, ns."""
 
     __slots__ = ("deadline", "open", "source", "tenant", "token")
 
@@ -53,7 +55,7 @@
 
 
 class RunningFill:
-    """A fill that has a slot since `since`; `charged`: ns of slot time that its tenant was charged at the start."""
+    """A fill that has held a slot since `since`; `charged`: ns of slot time charged to its tenant at the start."""
 
     __slots__ = ("charged", "since", "source", "tenant")
 
@@ -65,7 +67,7 @@
 
 
 class SourceQueue:
-    """The queues, running fills and SFQ tags of one source, each by tenant."""
+    """The queues, running fills and SFQ tags of one source, by tenant."""
 
     def __init__(self) -> None:
         self.using: dict[int, int] = {}
@@ -77,7 +79,7 @@
         self.late = 0
 
     def mean_fill_time(self) -> int:
-        """Return the mean of the latest fills (ns); few samples are weighed with INITIAL_FILL_TIME."""
+        """Return the mean time of the latest fills (ns); with few samples INITIAL_FILL_TIME is averaged in."""
         total = sum(self.fill_times) + INITIAL_FILL_SAMPLES * INITIAL_FILL_TIME
         return total // (len(self.fill_times) + INITIAL_FILL_SAMPLES)
 
@@ -86,7 +88,7 @@
         return [tenant for tenant, queue in self.waiting.items() if queue]
 
     def start_tag(self, tenant: int) -> float:
-        """Return the tenant's SFQ start tag: one that was idle starts at the present virtual time, with no credit."""
+        """Return the tenant's SFQ start tag; one that was idle starts at the present virtual time, with no credit."""
         return max(self.virtual_time, self.finish_tags.get(tenant, 0))
 
     def has_free_slot(self, total: int) -> bool:
@@ -104,7 +106,7 @@
 class FairQueue:
     """All waiting requests and running fills of one front.
 
-    `available_slots(source, now)` is asked at each decision, so that nothing starts by a lease that is over.
+    `available_slots(source, now)` is called at each decision, so that nothing starts by an expired lease.
     """
 
     def __init__(
@@ -120,7 +122,7 @@
         self.order = count()
 
     def next_deadline(self) -> int | None:
-        """Return when `on_timer` is to be called, or None."""
+        """Return when `on_timer` is to be called next, or None."""
         while self.deadlines and not self.deadlines[0][2].open:
             heapq.heappop(self.deadlines)
         times = [self.deadlines[0][0]] if self.deadlines else []
@@ -150,7 +152,7 @@
     def request_arrived(
         self, token: Hashable, source: int, tenant: int, deadline: int, now: int
     ) -> list[Action]:
-        """A request needs a fill at a source before `deadline`: start it, let it wait, or abandon it at once."""
+        """A request needs a fill at a source before `deadline`: start it, queue it, or abandon it at once."""
         queue = self._source_queue(source)
         if queue is None:
             return [AbandonWait(token, source)]
@@ -177,18 +179,18 @@
             self.sources[waiting.source].remove(waiting)
 
     def slot_unused(self, token: Hashable, now: int) -> list[Action]:
-        """A started request needed no fill: its slot is free, and its tenant's charge is returned."""
+        """A started request needed no fill: its slot is free again, and its tenant's charge is refunded."""
         return self.fill_ended(token, 0, None, now)
 
     def fill_detached(self, token: Hashable, now: int) -> None:
-        """Nobody waits for the fill here, but it may go on at the source: its slot is kept for the longest fill."""
+        """Nobody waits for the fill here, but it may go on at the source: its slot is kept for `fill_time_max`."""
         fill = self.running.get(token)
         if fill is not None:
             released = max(now, fill.since + self.settings.fill_time_max)
             heapq.heappush(self.detached, (released, next(self.order), token))
 
     def fill_ended(self, token: Hashable, duration: int, on_time: bool | None, now: int) -> list[Action]:
-        """A fill ended after `duration` ns (0: there was none); `on_time` None: it tells nothing of the source."""
+        """A fill ended after `duration` ns (0: there was none); `on_time` None: it says nothing about the source."""
         fill = self.running.pop(token, None)
         if fill is None:
             return []
@@ -244,14 +246,14 @@
         return self.sources.setdefault(source, SourceQueue())
 
     def _expected_wait(self, queue: SourceQueue, tenant: int, ahead: int, slots: AvailableSlots) -> float:
-        """Return the wait (ns) behind `ahead` requests of the tenant, while all other tenants go on waiting.
+        """Return the wait (ns) behind `ahead` requests of the tenant, if all other tenants stay backlogged.
 
-        The tenant then has the slots of its lease, or its part by weight of all slots.
+        The tenant then has the slots of its lease, or its share of all slots by weight.
         """
         contenders = {*queue.backlogged(), *queue.using, tenant}
         weights = {one: self.settings.tenants[one].weight for one in contenders}
-        part = max(slots.by_tenant.get(tenant, 0), slots.total * weights[tenant] / sum(weights.values()))
-        return (ahead + 1) * queue.mean_fill_time() // part if part else 0
+        share = max(slots.by_tenant.get(tenant, 0), slots.total * weights[tenant] / sum(weights.values()))
+        return (ahead + 1) * queue.mean_fill_time() // share if share else 0
 
     def _take_out(self, waiting: WaitingRequest) -> None:
         waiting.open = False
@@ -265,7 +267,7 @@
             slots = self.available_slots(source, now)
             if not queue.has_free_slot(slots.total):
                 break
-            # A tenant's own lease goes before spare slots: the lease holder weighed it over all fronts.
+            # Tenants with leased slots go first: the lease holder has weighed them over all fronts, unlike spare slots.
             leased = [t for t in backlogged if queue.using.get(t, 0) < slots.by_tenant.get(t, 0)]
             tenant = min(leased or backlogged, key=lambda t: (queue.start_tag(t), t))
             waiting = queue.waiting[tenant][0]
@@ -284,9 +286,9 @@
 
 
 def tenant_of(header: bytes | None, listed: Mapping[bytes, int]) -> tuple[int, bool]:
-    """Return (index of the tenant, whether it is a listed one) for a client's header.
+    """Return (index of the tenant, whether it is listed) for a client's header.
 
-    Only listed names become keys of any table; every other client belongs to the common tenant.
+    Only listed names become keys of tables; all other clients belong to the common tenant.
     """
     if header is None or not 0 < len(header) <= TENANT_HEADER_BYTES_MAX:
         return COMMON_TENANT, False
--- a/sprucegate/fleet/quotas/lease_holder.py
+++ b/sprucegate/fleet/quotas/lease_holder.py
@@ -1,7 +1,8 @@
-"""The lease holder lends slots of the floors that fronts left to it, by tenants' weights and demand.
+"""The lease holder grants slots from the floors that fronts have waived, by tenants' weights and demand.
 
-At any time its grants are within the floors that are surely its own until the last fill by them has ended; what a
-former lease holder may still have lent of the same floors is subtracted. `allocation` decides who gets which slots.
+At any time its grants are within the floors that are certainly waived in its favour until the last fill by a grant has
+ended; what a former lease holder may still have lent of these floors is subtracted. `allocation` decides who gets which
+slots.
 """
 
 from typing import NamedTuple
@@ -26,10 +27,10 @@
 
 FOLLOWER_TIMEOUT = (
     2 * LEASE_DURATION
-)  # since its last request a front counts as a follower, and its demand counts
-FRONT_KEPT_MIN = 60 * SECOND  # for which a silent front is remembered at least
+)  # since the last request of a front, until it no longer counts as a follower
+FRONT_KEPT_MIN = 60 * SECOND  # the least time for which a silent front is kept
 FRONTS_MAX = 1000
-UNREQUESTED_GRANTS_MAX = 8  # to other fronts, at one request
+UNREQUESTED_GRANTS_MAX = 8  # to other fronts, per request
 
 
 class GrantRecord(NamedTuple):
@@ -41,11 +42,11 @@
 
 
 class FrontRecord:
-    """What is known of one incarnation of a borrower, by its latest request.
+    """What is known of one incarnation of a borrower from its latest request.
 
-    :ivar waived_until: until then its floors are this lease holder's to lend.
+    :ivar waived_until: until then its floors may be lent by this lease holder.
     :ivar former_lease: {source: slots} lent to it by its former lease holder, which may lend its floors until
-        `former_floors_until`, and surely counts those slots as in use until `former_counted_until`.
+        `former_floors_until`, and certainly counts those slots as in use until `former_counted_until`.
     :ivar using: {source: running fills}; `demand`: {source: {tenant: (running, waiting)}}.
     :ivar grants: those by which it may have started fills.
     :ivar heard_at: time of the latest request; 0: none.
@@ -65,7 +66,7 @@
         self.heard_at = 0
 
     def slots_in_use(self, source: int, fill_time_max: int, now: int) -> int:
-        """Return the most slots it may use now: by its latest request, and by each grant whose fills may still run."""
+        """Return the most slots that it may use: by its latest request, and by each grant whose fills may still run."""
         reported_until = self.heard_at + promise_duration(LEASE_DURATION + fill_time_max)
         reported = self.using.get(source, 0) if now < reported_until else 0
         fill_duration = promise_duration(fill_time_max)
@@ -73,19 +74,19 @@
         return max([reported, *lent])
 
     def has_waiting_requests(self) -> bool:
-        """Whether any request waited at its latest request for slots."""
+        """Whether its latest request for slots reported any waiting request."""
         return any(waiting for rows in self.demand.values() for _, waiting in rows.values())
 
     def update(self, request: QuotaRequest, settings: QuotaSettings, now: int) -> None:
-        """Take over what a request says."""
+        """Update the record by a request."""
         self.sequence = request.sequence
         self.heard_at = now
         if request.echo:
-            # Sent after this lease holder's clock showed `echo`: the floors are its own for this long at the least.
+            # Sent after this lease holder's clock showed `echo`: the floors are waived for at least this long.
             waiver = settings.floor_waiver
             self.waived_until = max(self.waived_until, request.echo + waiver - waiver // CLOCK_DRIFT_DIVISOR)
         self.former_floors_until = now + promise_duration(request.floors_lent) if request.floors_lent else 0
-        # Counted from the echo, which was before the request was sent: shorter than it may be.
+        # Counted from the echo, which was before the request was sent: never longer than it really is.
         counted = request.lease_counted
         self.former_counted_until = (
             request.echo + counted - counted // CLOCK_DRIFT_DIVISOR if request.echo else 0
@@ -101,11 +102,11 @@
 
 
 class LeaseHolder:
-    """The lending side of one incarnation of a front; every front has one, and uses it when others follow it.
+    """The lending side of one incarnation of a front; every front has one, for the time when others follow it.
 
     :ivar fronts: followers by name; `former_fronts`: former incarnations, until their fills have ended.
-    :ivar limits: adaptive limits by source; `slow_start`: {source: part of its slots after a cold start}.
-    :ivar grant: number of the latest grant; it rises over restarts as well, as it starts at the clock.
+    :ivar limits: adaptive limits by source; `slow_start`: {source: share of its slots after a cold start}.
+    :ivar grant: number of the latest grant; it starts at the clock, so that it rises across restarts.
     """
 
     def __init__(self, incarnation: int, settings: QuotaSettings, now: int) -> None:
@@ -119,11 +120,11 @@
         self.grant = int(now)
 
     def on_request(self, sender: str, request: QuotaRequest, now: int) -> list[Send]:
-        """Answer a front's request, and grant slots that it gave back to fronts that wait for them."""
+        """Answer a front's request, and grant slots that it has released to fronts that wait for them."""
         front = self._front_of(sender, request, now) if request.lease_holder == self.incarnation else None
         if front is None:
             return []
-        # Only listed sources: a peer that names others could fill any table with them.
+        # Only listed sources: a peer that names others could make the tables grow without bound.
         listed = [row for row in request.sources if row.source in self.settings.slots]
         request = request._replace(sources=listed)
         elapsed = min(now - front.heard_at, LEASE_DURATION) if front.heard_at else 0
@@ -139,9 +140,9 @@
         return sends
 
     def _grant_to_waiting(self, sender: str, now: int) -> list[Send]:
-        """Grant slots that were given back to fronts that wait, in answer to their latest requests.
+        """Grant released slots to waiting fronts, in answer to their latest requests.
 
-        Else a slot would be idle until the next request of the front that is to have it.
+        Otherwise a slot would be idle until the next request of the front that is to have it.
         """
         sends: list[Send] = []
         for name, front in self.fronts.items():
@@ -186,9 +187,9 @@
         return sum(now - front.heard_at < FOLLOWER_TIMEOUT for front in self.fronts.values())
 
     def capacity(self, source: int, now: int) -> int:
-        """Return the slots of a source that may be lent at this instant, lent ones included.
+        """Return the slots of a source that may be lent at this instant, including those that are lent.
 
-        They rest on the floors that are waived until the last fill by a lease of now has ended.
+        Only floors count that are waived until the last fill by a lease granted now has ended.
         """
         horizon = now + promise_duration(LEASE_DURATION) + promise_duration(self.settings.fill_time_max)
         floors = 0
@@ -203,11 +204,11 @@
 
     @staticmethod
     def _lendable(front: FrontRecord, source: int, floor: int, now: int) -> int:
-        """Return how many slots this lease holder may lend on the ground of one front's floor.
+        """Return how many slots this lease holder may lend based on one front's floor.
 
-        While a former lease holder may lend that floor, it is what the former lent to this very front, as nobody else
-        can have it. Once the former has counted that as free again, it is no more than the floor: what was lent beyond
-        it, of other fronts' floors, the former may have lent anew.
+        While a former lease holder may lend that floor, these are the slots that it lent to this very front, as nobody
+        else can have them. Once the former lease holder counts them as free again, they are at most the floor: those
+        beyond it came from other fronts' floors, and may have been lent again.
         """
         if now >= front.former_floors_until:
             return floor
@@ -227,7 +228,7 @@
         if (request.epoch, request.sequence) <= (front.epoch, front.sequence):
             return None
         if front.epoch != request.epoch:
-            # It followed another since: what it was lent here it has dropped, and what it uses it reports.
+            # It has followed another lease holder since: it dropped its grants from here, and reports the slots in use.
             front.epoch = request.epoch
             front.grants = []
             front.waived_until = 0
@@ -235,7 +236,7 @@
         return front
 
     def _make_room(self, replaced: FrontRecord | None, now: int) -> bool:
-        """Return whether there is room for a new record; the replaced one is kept, as its fills may go on."""
+        """Return whether there is room for a new record; the replaced one is kept, as its fills may still run."""
         if max(len(self.fronts), len(self.former_fronts)) >= FRONTS_MAX:
             self._forget_silent(now)
         if replaced is None and len(self.fronts) >= FRONTS_MAX:
@@ -247,7 +248,7 @@
         return True
 
     def _forget_silent(self, now: int) -> None:
-        """Forget fronts with no grant, waiver or fill left, and what was kept of sources that are listed no more."""
+        """Remove fronts without grant, waiver or fill, and what was kept of sources that are no longer listed."""
         oldest = now - max(FRONT_KEPT_MIN, 2 * promise_duration(self.settings.floor_waiver))
         self.fronts = {name: front for name, front in self.fronts.items() if front.heard_at > oldest}
         self.allocator.forget_unlisted_sources()
@@ -265,7 +266,7 @@
         return last_start + 2 * promise_duration(self.settings.fill_time_max)
 
     def _slots_for(self, name: str, front: FrontRecord, source: int, now: int) -> tuple[dict[int, int], int]:
-        """Return ({tenant: slots}, spare slots) for one front: its allotment, never more than is free or its own."""
+        """Return ({tenant: slots}, spare slots) for one front: its allotment, limited to the free slots and its own."""
         capacity = self.capacity(source, now)
         free = capacity - self._slots_in_use(source, now, front)
         if free <= 0:
--- a/sprucegate/fleet/quotas/messages.py
+++ b/sprucegate/fleet/quotas/messages.py
@@ -4,7 +4,7 @@
 
 
 class LeaseHolderId(NamedTuple):
-    """One incarnation of a front that lends slots; NO_LEASE_HOLDER in its place where there is none."""
+    """One incarnation of a front that lends slots; NO_LEASE_HOLDER stands for none."""
 
     name: str
     incarnation: int
@@ -24,7 +24,7 @@
 class SourceDemand(NamedTuple):
     """A front's state at one source.
 
-    :ivar using: its running fills, also those whose client has left.
+    :ivar using: its running fills, including those whose client has left.
     :ivar former_lease: slots that a former lease holder may still have lent to this front.
     :ivar ended: fills that ended since the last request; `late`: of these, the ones that missed the objective.
     """
@@ -45,7 +45,7 @@
 
 
 class SourceGrant(NamedTuple):
-    """Slots of one source: `spare` ones for any tenant, and those of each tenant."""
+    """Slots granted at one source: `spare` ones for any tenant, and those for each tenant."""
 
     source: int
     spare: int
@@ -53,16 +53,16 @@
 
 
 class QuotaRequest(NamedTuple):
-    """A front asks for slots, and promises that for `floor_waiver` after sending its floors may be lent.
+    """A front asks for slots, and waives its floors for `floor_waiver` after sending, so that they may be lent.
 
     :ivar incarnation: of the sender.
-    :ivar lease_holder: the incarnation that is meant, as another process of its name doesn't know what was lent.
+    :ivar lease_holder: incarnation of the receiver; another process of that name doesn't know what was lent.
     :ivar epoch: how often the sender has changed its lease holder.
     :ivar sequence: number of the request.
     :ivar echo: stamp of the latest grant received in this epoch; 0 without one.
     :ivar grant: number of the latest grant in force.
     :ivar floors_lent: ns for which a former lease holder may still lend the sender's floors.
-    :ivar lease_counted: ns for which that one surely still counts its grants to the sender as in use.
+    :ivar lease_counted: ns for which the former lease holder certainly counts its grants to the sender as in use.
     :ivar sources: demand by source.
     """
 
@@ -78,10 +78,10 @@
 
 
 class LeaseGrant(NamedTuple):
-    """Answer to the request `sequence` of `epoch`: all slots that the front holds from here on.
+    """Answer to the request `sequence` of `epoch`: all slots that the front holds from now on.
 
     :ivar stamp: the lease holder's clock, ns.
-    :ivar grant: rising number of the grant.
+    :ivar grant: number of the grant, which rises.
     """
 
     epoch: int
@@ -101,7 +101,8 @@
 class LeaseHolderNotice(NamedTuple):
     """The lease holder that the sender follows, and its followers if that is the sender itself (else 0).
 
-    By it a front that returns joins the present lease holder, and of two the one with fewer followers gives way.
+    By it a returning front joins the present lease holder, and of two lease holders the one with fewer followers
+    gives way.
     """
 
     name: str
--- a/sprucegate/fleet/quotas/slots.py
+++ b/sprucegate/fleet/quotas/slots.py
@@ -1,12 +1,12 @@
-"""How many slots a source has now: what the operator's file gives, less while fills come late or it has just started.
+"""How many slots a source has now: those of the operator's file, fewer while fills are late or it has just started.
 
-Never more than the file gives, as the fronts' floors rest on that.
+Never more than in the file, as the fronts' floors are computed from that number.
 """
 
 from sprucegate.units import SECOND
 
-JUDGED_SPAN = SECOND  # over which fills are judged together
-JUDGED_FILLS_MIN = 8  # with fewer the span goes on
+ADJUSTMENT_INTERVAL = SECOND  # the least time between two adjustments
+ADJUSTMENT_FILLS_MIN = 8  # with fewer fills the interval is extended
 DECREASE_LATE_RATIO = 0.2  # share of late fills above which the limit falls
 INCREASE_LATE_RATIO = 0.05  # share of late fills up to which the limit rises
 DECREASE_FACTOR = 0.8
@@ -15,7 +15,7 @@
 
 
 class AdaptiveLimit:
-    """The part of a source's slots that is lent: additive increase, multiplicative decrease by the share of late fills.
+    """The share of a source's slots that is lent, by additive increase and multiplicative decrease on late fills.
 
     Chiu and Jain, "Analysis of the Increase and Decrease Algorithms for Congestion Avoidance", 1989; the same rule
     governs adaptive concurrency limits.
@@ -30,10 +30,10 @@
         self.late = 0
 
     def fills_ended(self, ended: int, late: int, now: int) -> None:
-        """Count fills that ended, `late` of them late, and adjust the ratio once there are enough to judge by."""
+        """Count fills that ended, `late` of them late, and adjust the ratio once there are enough."""
         self.ended += ended
         self.late += late
-        if now - self.since < JUDGED_SPAN or self.ended < JUDGED_FILLS_MIN:
+        if now - self.since < ADJUSTMENT_INTERVAL or self.ended < ADJUSTMENT_FILLS_MIN:
             return
         late_ratio = self.late / self.ended
         if late_ratio > DECREASE_LATE_RATIO:
@@ -46,9 +46,9 @@
 
 
 def slow_start_ratio(started: int, warm_time: int, initial_ratio: float, now: int) -> float:
-    """Return the part of its slots that a source has after a cold start: linear from `initial_ratio` to 1.
+    """Return the share of its slots that a source has after a cold start: linear from `initial_ratio` to 1.
 
-    `started`: time of its start, ns, or 0 for one that is warm; `warm_time`: ns until it has all of them.
+    `started`: time of its start, ns, or 0 for a warm source; `warm_time`: ns until it has all slots.
     """
     if not started or not warm_time or now - started >= warm_time:
         return 1.0
--- a/sprucegate/fleet/quotas/status.py
+++ b/sprucegate/fleet/quotas/status.py
@@ -1,4 +1,4 @@
-"""The answer to `fleet why share`: each source and tenant as this front sees it. Its keys are an interface."""
+"""The answer to `fleet why share`: each source and tenant as this front sees it. Operators' tools read its keys."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -41,7 +41,7 @@
 def _source_status(
     quotas: QuotaCoordinator, source: int, source_name: str | None, now: int
 ) -> dict[str, Any]:
-    """Return what is the same for all tenants of a source."""
+    """Return the fields that are the same for all tenants of a source."""
     borrower = quotas.borrower
     queue: SourceQueue | None = quotas.queue.sources.get(source)
     return {
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -721,7 +721,7 @@
         sock.settimeout(5)
         while sock.recv(4096):
             pass  # its greeting, then the end
-    assert "more places of 13 lent" in front.until("fleet_peer_refused")["error"]
+    assert "grant of more slots than source 13 has" in front.until("fleet_peer_refused")["error"]
     assert front.ask("status")["refused"] == 1
     assert sum(share(shared, name)["all_here"] for name in shared.names) <= 6
 
