--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -143,9 +143,8 @@
                 upstream = self._upstream(permit.box, rows)
                 if upstream is not None:
                     self.missed.pop(permit.box, None)
-                    upstream.transport.leave(
-                        upstream
-                    )  # connections to the former start prove nothing of this one
+                    # Connections to the former start prove nothing of this one.
+                    upstream.transport.leave(upstream)
                     self.driver.servers.warm(upstream, now)
         open_permits = machine.permits.of_box
         self.cold = {box: one for box, one in self.cold.items() if box in open_permits}
--- a/sprucegate/fleet/quotas/lease_holder.py
+++ b/sprucegate/fleet/quotas/lease_holder.py
@@ -25,9 +25,7 @@
 from sprucegate.fleet.quotas.slots import AdaptiveLimit
 from sprucegate.units import SECOND
 
-FOLLOWER_TIMEOUT = (
-    2 * LEASE_DURATION
-)  # since the last request of a front, until it no longer counts as a follower
+FOLLOWER_TIMEOUT = 2 * LEASE_DURATION  # after which a front without a request is no follower
 FRONT_KEPT_MIN = 60 * SECOND  # the least time for which a silent front is kept
 FRONTS_MAX = 1000
 UNREQUESTED_GRANTS_MAX = 8  # to other fronts, per request
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -18,12 +18,8 @@
 
 ENDED_MAX = 1000  # ended permits, and names of fronts that left, that are kept
 OPEN_PERMITS_MAX = 2000
-FLEET, LOCATION, KIND, GROUP = (
-    "fleet",
-    "location",
-    "kind",
-    "group",
-)  # in the operator's file and in stored budgets
+# Scopes of a budget, by the words of the operator's file and of stored budgets.
+FLEET, LOCATION, KIND, GROUP = "fleet", "location", "kind", "group"
 SCOPES = (FLEET, LOCATION, KIND, GROUP)
 
 
