--- a/sprucegate/fleet/quotas/fair_queue.py
+++ b/sprucegate/fleet/quotas/fair_queue.py
@@ -21,9 +21,7 @@
 INITIAL_FILL_SAMPLES = 4  # weight of that assumption, in samples
 CORRECTION_MEANS_MAX = 8  # bound of the correction for one fill, in mean fill times
 SOURCES_MAX = 1000
-STALE_DEADLINES_MAX = (
-    1000  # entries beyond twice the number of waiting requests, after which stale ones are dropped
-)
+STALE_DEADLINES_MAX = 1000  # entries beyond twice the number of waiting requests
 TENANT_HEADER_BYTES_MAX = 200
 
 
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -1,4 +1,4 @@
-"""Permits, releases and gates as the log makes them; schedules of troubles; checkers that are seen to cry out."""
+"""Permits, releases and gates of the replicated log; simulated fleets with faults; checks of the invariant checkers."""
 
 import itertools
 
@@ -41,7 +41,7 @@
 
 
 class Log:
-    """A machine and the index of its next entry."""
+    """A state machine, with the index of its latest entry."""
 
     def __init__(self, *budgets, caches=6, fronts=("x", "y"), spare=3000):
         self.machine, self.index = RolloutStateMachine(), 0
@@ -52,8 +52,8 @@
 
     def do(self, *command):
         self.index += 1
-        word, self.granted = self.machine.apply(self.index, list(command))
-        return word
+        answer, self.granted = self.machine.apply(self.index, list(command))
+        return answer
 
     def ask(self, box, id=None):
         return self.do("ask", id or f"r-{box}", box, "op", "test")
@@ -99,41 +99,42 @@
     assert log.step("r-c2") is (PermitStep.GRANTED if wait is None else PermitStep.ASKED)
 
 
-def test_the_last_of_a_kind_in_a_location_never_goes_whoever_asks():
+def test_the_last_server_of_a_kind_in_a_location_gets_no_permit():
     log = Log(caches=4)
     log.ask("c0", "one")
     log.ask("c2", "two")
     assert log.why("two")[0] == "last"
     log.do("stands", "c3", "unreachable")
     log.ask("c1")
-    assert log.why("r-c1")[0] == "last"  # the other of its location failed by itself
+    assert log.why("r-c1")[0] == "last"  # the other one in its location has failed
 
 
-def test_a_wave_is_no_wider_than_those_that_stay_can_bear():
+def test_caches_in_service_must_be_able_to_take_the_load_of_those_out():
     log = Log(caches=12, spare=500)
     for at in (0, 2, 4):
         log.ask(f"c{at}")
-    # Six there: two away leave 1.8 parts to four with half a part each, three would leave 2.7 to three.
+    # Six caches: two out leave 1.8 times the load of one to four with half a load to spare each, three would leave 2.7
+    # to three.
     assert log.step("r-c2") is PermitStep.GRANTED and log.why("r-c4") == ("warm", "std in a", 2, 2)
 
 
-def test_what_failed_by_itself_counts_and_may_be_replaced():
+def test_a_failed_server_counts_against_the_budget_and_may_be_replaced():
     log = Log(["fleet", "", "cache", 1, 1000])
     log.do("stands", "c0", "unreachable")
     log.ask("c2")
     assert log.why("r-c2")[0] == "fleet cache"
-    log.ask("c0")  # it takes its place already
-    assert log.step("r-c0") is PermitStep.ASKED  # but never past who asked before for the same place
+    log.ask("c0")  # it counts against the budget already
+    assert log.step("r-c0") is PermitStep.ASKED  # but not before an earlier request of the same budget
     log.do("withdraw", "r-c2")
     assert log.step("r-c0") is PermitStep.GRANTED
 
 
-def test_requests_go_in_one_order_and_none_holds_what_another_waits_for():
+def test_requests_are_granted_in_order_within_a_budget():
     log = Log(["location", "", "cache", 1, 1000])
     for box in ("c0", "c2", "c4", "c1"):
         log.ask(box)
     assert log.why("r-c2")[0] == "location cache" and log.why("r-c4")[0] == "location cache"
-    assert log.step("r-c1") is PermitStep.GRANTED  # no budget binds both
+    assert log.step("r-c1") is PermitStep.GRANTED  # no budget applies to both
     log.back("r-c0")
     assert (
         log.step("r-c0") is PermitStep.BACK
@@ -142,41 +143,41 @@
     )
 
 
-def test_drained_is_the_word_of_all_live_fronts_or_their_fencing():
+def test_a_box_is_drained_once_all_live_fronts_report_it_or_are_fenced():
     log = Log()
     log.ask("c0")
-    log.do("drained", "r-c0", "x", 7)  # another life of x
+    log.do("drained", "r-c0", "x", 7)  # another incarnation of x
     log.do("drained", "r-c0", "x", 1)
     assert log.step("r-c0") is PermitStep.GRANTED and log.do("out", "r-c0", "agent") == "not drained"
-    log.do("front", "z", 1, True)  # one that came meanwhile has to say so too
+    log.do("front", "z", 1, True)  # a front that joined meanwhile has to report it too
     log.do("drained", "r-c0", "y", 1)
     assert log.step("r-c0") is PermitStep.GRANTED
     log.do("front", "z", 1, False)
     assert log.step("r-c0") is PermitStep.DRAINED
 
 
-def test_without_a_front_nothing_is_drained_and_nothing_is_back():
+def test_without_a_front_no_permit_advances():
     log = Log(fronts=())
     log.ask("c0")
     log.do("stands", "c5", "")
     assert log.step("r-c0") is PermitStep.GRANTED
 
 
-def test_back_is_the_word_of_most_fronts_about_that_very_start():
+def test_a_box_is_back_once_a_majority_reports_its_latest_start_as_warm():
     log = Log(fronts=("x", "y", "z"))
     log.ask("c0")
     log.out("r-c0")
     assert log.do("started", "r-c0", "s1") == "cold"
     log.do("warm", "r-c0", "s0", "x", 1)
     log.do("warm", "r-c0", "s1", "x", 1)
-    log.do("started", "r-c0", "s2")  # it fell and was started anew: what it earned is gone
+    log.do("started", "r-c0", "s2")  # it crashed and was started again: earlier reports no longer count
     log.do("warm", "r-c0", "s2", "y", 1)
     assert log.step("r-c0") is PermitStep.COLD
     log.do("warm", "r-c0", "s2", "z", 1)
     assert log.step("r-c0") is PermitStep.BACK
 
 
-def test_a_front_goes_out_by_its_own_word():
+def test_a_front_reports_its_own_drain_and_return():
     log = Log(["fleet", "", "front", 1, 1000])
     log.do("boxes", [["x", "front", "a", "front", "g", 1], ["y", "front", "a", "front", "g", 1]])
     log.ask("x")
@@ -192,21 +193,21 @@
     assert log.step("r-x") is PermitStep.BACK and log.step("r-y") is PermitStep.GRANTED
 
 
-def test_a_front_that_leaves_is_waited_for_no_more_and_counted_without_a_permit():
+def test_nobody_waits_for_a_front_that_left_and_one_without_a_permit_is_counted():
     log = Log(fronts=("x", "y", "z"))
     log.ask("c0")
     for name in "xy":
         log.do("drained", "r-c0", name, 1)
     log.do("left", "z", 1)
-    log.do("front", "z", 1, True)  # it follows on until its end
+    log.do("front", "z", 1, True)  # it still follows the log until it ends
     assert log.step("r-c0") is PermitStep.DRAINED and log.machine.permits.without == 1
-    assert RolloutLeader(log.machine, 0).due(heard(S, "xyz"), S) == []
+    assert RolloutLeader(log.machine, 0).due(contacts(S, "xyz"), S) == []
     log.do("front", "z", 2, True)
     assert log.machine.permits.fronts["z"] == 2
 
 
 @pytest.mark.parametrize("upto", ["granted", "drained", "out", "cold"])
-def test_a_holder_that_is_lost_frees_no_place_at_any_step(upto):
+def test_a_permit_whose_holder_is_lost_still_counts_at_any_step(upto):
     log = Log(["fleet", "", "cache", 1, 1000])
     log.ask("c0")
     log.ask("c2")
@@ -219,28 +220,28 @@
     log.do("late", "r-c0", 0)
     assert log.machine.permits.permits["r-c0"].overdue and log.step("r-c2") is PermitStep.ASKED
     log.do("renew", "r-c0", "another agent")
-    log.do("late", "r-c0", 0)  # the leader's look before that renewal
+    log.do("late", "r-c0", 0)  # based on what the leader saw before that renewal
     assert not log.machine.permits.permits["r-c0"].overdue
     log.do("give-up", "c0")
     assert log.step("r-c0") is PermitStep.GIVEN_UP and log.step("r-c2") is PermitStep.GRANTED
 
 
 @pytest.mark.parametrize(
-    "step, word", [("asked", "withdrawn"), ("drained", "withdrawn"), ("out", "can't be withdrawn")]
+    "step, answer", [("asked", "withdrawn"), ("drained", "withdrawn"), ("out", "can't be withdrawn")]
 )
-def test_a_request_is_withdrawn_only_before_its_box_is_stopped(step, word):
+def test_a_permit_can_be_withdrawn_only_before_its_box_is_stopped(step, answer):
     log = Log()
     log.ask("c0")
     if step != "asked":
         log.drained("r-c0")
     if step == "out":
         log.do("out", "r-c0", "agent")
-    assert log.do("withdraw", "r-c0") == word
+    assert log.do("withdraw", "r-c0") == answer
 
 
-def test_the_same_request_again_has_no_second_effect_also_after_a_later_word():
+def test_a_repeated_request_has_no_second_effect_even_after_a_later_one():
     log = Log()
-    release(log)
+    start_release(log)
     assert log.do("once", "q1", ["halt", "v2", "op", "to look"]) == "halted"
     assert log.do("once", "q2", ["resume", "v2", "op"]) == "resumed"
     assert log.do("once", "q1", ["halt", "v2", "op", "to look"]) == "halted"
@@ -257,9 +258,9 @@
     assert set(log.machine.permits.boxes) == {"c0", "c1"}
 
 
-def test_the_whole_state_survives_being_packed():
+def test_the_state_is_the_same_after_storing_and_loading():
     log = Log()
-    release(log)
+    start_release(log)
     log.do("once", "q1", ["ask", "h", "c5", "op", "by hand"])
     other = RolloutStateMachine()
     assert other.loaded(msgspec.msgpack.decode(msgspec.msgpack.encode(log.machine.told())))
@@ -272,34 +273,34 @@
 # Releases.
 
 
-def release(log, name="v2", waves=(("c0",), ("c1", "c2"), ("c3",)), kind="std"):
+def start_release(log, name="v2", waves=(("c0",), ("c1", "c2"), ("c3",)), kind="std"):
     return log.do("release", [name, kind, "2", "1", [list(w) for w in waves], 10 * S], "op")
 
 
-def through(log, *boxes, turn=0, name="v2"):
+def replace(log, *boxes, turn=0, name="v2"):
     for box in boxes:
         log.back(f"{name}/{turn}/{box}", start=f"{turn}-{box}")
 
 
-def test_a_release_goes_wave_by_wave_each_after_its_gate():
+def test_each_wave_begins_after_the_gate_of_the_one_before():
     log = Log()
-    assert release(log) == "started" and release(log) == "started already"
-    through(log, "c0")
+    assert start_release(log) == "started" and start_release(log) == "started already"
+    replace(log, "c0")
     assert "v2/0/c1" not in log.machine.permits.permits
     log.do("gate", "v2", 0, 0, True, "")
-    through(log, "c1", "c2")
-    log.do("gate", "v2", 0, 0, True, "")  # a look at the wave before
+    replace(log, "c1", "c2")
+    log.do("gate", "v2", 0, 0, True, "")  # a late result, of the previous wave
     assert log.machine.releases.releases["v2"].wave == 1
     log.do("gate", "v2", 0, 1, True, "")
-    through(log, "c3")
+    replace(log, "c3")
     log.do("gate", "v2", 0, 2, True, "")
     assert log.machine.releases.releases["v2"].phase is ReleasePhase.DONE
 
 
-def test_a_gate_that_fails_halts_and_what_was_granted_and_is_not_out_stays():
+def test_a_failed_gate_halts_the_release_and_withdraws_permits_of_boxes_not_yet_out():
     log = Log()
-    release(log)
-    through(log, "c0")
+    start_release(log)
+    replace(log, "c0")
     log.do("gate", "v2", 0, 0, True, "")
     log.out("v2/0/c1")
     log.do("gate", "v2", 0, 1, False, "errors: 0.02 beside 0")
@@ -318,14 +319,14 @@
     assert log.step("v2/1/c2") is PermitStep.GRANTED
 
 
-def test_the_way_back_takes_the_released_under_the_same_budgets():
+def test_a_rollback_replaces_the_released_boxes_under_the_same_budgets():
     log = Log(["fleet", "", "cache", 1, 1000])
-    release(log)
-    through(log, "c0")
+    start_release(log)
+    replace(log, "c0")
     log.do("gate", "v2", 0, 0, True, "")
     log.out("v2/0/c1")
     assert log.do("back", "v2", "op") == "goes back" and log.do("back", "v2", "op") == "goes back"
-    log.do("started", "v2/0/c1", "s")  # it comes back with the new version, and goes out once more
+    log.do("started", "v2/0/c1", "s")  # it returns with the new version, and goes out again
     for name in "xy":
         log.do("warm", "v2/0/c1", "s", name, 1)
     one = log.machine.releases.releases["v2"]
@@ -337,35 +338,36 @@
     assert one.phase is ReleasePhase.RETURNED and versions == {"c0": "1", "c1": "1"} and one.done == []
 
 
-def test_a_halt_holds_on_the_way_back_and_a_release_of_the_same_kind_waits_for_its_end():
+def test_a_rollback_can_be_halted_and_the_next_release_of_the_kind_waits_for_its_end():
     log = Log()
-    release(log)
-    through(log, "c0")
+    start_release(log)
+    replace(log, "c0")
     log.do("back", "v2", "op")
     assert log.do("halt", "v2", "op", "wait") == "halted" and log.step("v2/1/c0") is PermitStep.WITHDRAWN
-    assert release(log, "v3") == "v2 of the same kind is not over"
+    assert start_release(log, "v3") == "v2 of the same kind is not over"
     assert log.do("resume", "v2", "op") == "resumed"
-    through(log, "c0", turn=2)
+    replace(log, "c0", turn=2)
     assert (
-        log.machine.releases.releases["v2"].phase is ReleasePhase.RETURNED and release(log, "v3") == "started"
+        log.machine.releases.releases["v2"].phase is ReleasePhase.RETURNED
+        and start_release(log, "v3") == "started"
     )
 
 
-def test_a_done_release_goes_back_until_another_begins_on_top():
+def test_a_done_release_can_be_rolled_back():
     log = Log()
-    release(log, waves=(("c0",),))
-    through(log, "c0")
+    start_release(log, waves=(("c0",),))
+    replace(log, "c0")
     log.do("gate", "v2", 0, 0, True, "")
     assert log.do("halt", "v2", "op", "late") == "no such release is under way"
     assert log.do("back", "v2", "op") == "goes back"
-    through(log, "c0", turn=1)
+    replace(log, "c0", turn=1)
     assert log.machine.releases.releases["v2"].phase is ReleasePhase.RETURNED
 
 
-def test_a_trouble_makes_releases_wait_and_neither_hand_drains_nor_the_way_back():
+def test_releases_wait_during_a_trouble_but_operators_requests_do_not():
     log = Log()
     log.do("trouble", "origin", "slow at 3 of 3 fronts")
-    release(log)
+    start_release(log)
     assert log.why("v2/0/c0")[:2] == ("trouble", "origin")
     log.ask("c5")
     assert log.step("r-c5") is PermitStep.GRANTED
@@ -373,9 +375,9 @@
     assert log.step("v2/0/c0") is PermitStep.GRANTED
 
 
-def test_a_box_that_is_given_up_holds_up_no_wave():
+def test_a_wave_does_not_wait_for_a_box_that_was_given_up():
     log = Log()
-    release(log)
+    start_release(log)
     log.out("v2/0/c0")
     log.do("give-up", "c0")
     log.do("gate", "v2", 0, 0, True, "")
@@ -383,7 +385,7 @@
 
 
 @pytest.mark.parametrize(
-    "waves, word",
+    "waves, answer",
     [
         ((), "a box stands in two waves, or none is named"),
         ((("c0",), ("c0",)), "a box stands in two waves, or none is named"),
@@ -394,44 +396,38 @@
         ),
     ],
 )
-def test_a_plan_that_can_not_be_is_refused(waves, word):
-    assert release(Log(), waves=waves) == word
+def test_an_invalid_plan_is_refused(waves, answer):
+    assert start_release(Log(), waves=waves) == answer
 
 
 # Gates.
 
 
-def seen(gets, errors=0, sheds=0, late=0, misses=0, crashes=0):
+def sample(gets, errors=0, sheds=0, late=0, misses=0, crashes=0):
     return AnalysisSample(gets, (errors, sheds, late, misses, crashes))
 
 
 @pytest.mark.parametrize(
-    "released, others, starts, baked, said, by",
+    "released, others, starts, baked, verdict, metric",
     [
-        (seen(2000, late=20), seen(20_000, late=200), 1, True, GateVerdict.PASS, ""),
-        (seen(2000, errors=40), seen(20_000), 1, False, GateVerdict.FAIL, "errors"),
-        (seen(2000, late=600), seen(20_000, late=200), 1, False, GateVerdict.FAIL, "late"),
-        (seen(100, late=1), seen(20_000, late=200), 1, True, GateVerdict.INCONCLUSIVE, "gets"),
-        (seen(2000, late=20), seen(20_000, late=200), 1, False, GateVerdict.INCONCLUSIVE, "gets"),
-        (
-            seen(300, errors=3),
-            seen(20_000),
-            1,
-            True,
-            GateVerdict.INCONCLUSIVE,
-            "errors",
-        ),  # may be chance: no pass and no halt
-        (seen(0), seen(20_000), 1, True, GateVerdict.INCONCLUSIVE, "gets"),
-        (seen(2000), seen(20_000), 3, True, GateVerdict.FAIL, "starts"),
-        (seen(2000, crashes=1), seen(20_000), 1, True, GateVerdict.FAIL, "crashes"),
+        (sample(2000, late=20), sample(20_000, late=200), 1, True, GateVerdict.PASS, ""),
+        (sample(2000, errors=40), sample(20_000), 1, False, GateVerdict.FAIL, "errors"),
+        (sample(2000, late=600), sample(20_000, late=200), 1, False, GateVerdict.FAIL, "late"),
+        (sample(100, late=1), sample(20_000, late=200), 1, True, GateVerdict.INCONCLUSIVE, "gets"),
+        (sample(2000, late=20), sample(20_000, late=200), 1, False, GateVerdict.INCONCLUSIVE, "gets"),
+        # This difference may be random: neither a pass nor a failure.
+        (sample(300, errors=3), sample(20_000), 1, True, GateVerdict.INCONCLUSIVE, "errors"),
+        (sample(0), sample(20_000), 1, True, GateVerdict.INCONCLUSIVE, "gets"),
+        (sample(2000), sample(20_000), 3, True, GateVerdict.FAIL, "starts"),
+        (sample(2000, crashes=1), sample(20_000), 1, True, GateVerdict.FAIL, "crashes"),
     ],
 )
-def test_a_gate_by_counts_of_both_sides(released, others, starts, baked, said, by):
-    assert gates.evaluate(released, others, starts, baked, gates.GateLimits())[:2] == (said, by)
+def test_a_gate_compares_the_counts_of_both_groups(released, others, starts, baked, verdict, metric):
+    assert gates.evaluate(released, others, starts, baked, gates.GateLimits())[:2] == (verdict, metric)
 
 
-def test_the_interval_of_a_difference_is_newcombes():
-    # His example (method 10, 95%): 56 of 70 and 48 of 80 differ by 0.0524 to 0.3339.
+def test_the_difference_interval_is_newcombes():
+    # Newcombe's example (method 10, 95%): 56 of 70 and 48 of 80 differ by 0.0524 to 0.3339.
     least, most = gates.difference_interval(56, 70, 48, 80, 0.025)
     assert round(least, 4) == 0.0524 and round(most, 4) == 0.3339
 
@@ -439,72 +435,73 @@
 # The leader.
 
 
-def heard(now, fronts=("x", "y"), rows=(), down=(), troubles=None):
+def contacts(now, fronts=("x", "y"), rows=(), down=(), troubles=None):
     return {name: FrontContact(1, now, [list(rows), list(down), troubles or {}], now) for name in fronts}
 
 
-def test_a_front_is_counted_in_when_heard_and_out_after_its_lease_with_a_halt():
+def test_a_front_counts_from_its_contact_until_its_lease_expires_which_halts_releases():
     log = Log()
-    release(log)
+    start_release(log)
     leading = RolloutLeader(log.machine, 0)
-    assert leading.due(heard(S, "xyz"), S) == [["front", "z", 1, True]]
-    late = leading.due(heard(S, "x") | heard(9 * S, "y"), S + FRONT_LEASE)
-    assert late[0] == ["front", "x", 1, False] and late[1][:2] == ["halt", "v2"] and len(late) == 2
-    # A new leader has heard nobody yet: it counts from its election on.
+    assert leading.due(contacts(S, "xyz"), S) == [["front", "z", 1, True]]
+    expired = leading.due(contacts(S, "x") | contacts(9 * S, "y"), S + FRONT_LEASE)
+    assert expired[0] == ["front", "x", 1, False] and expired[1][:2] == ["halt", "v2"] and len(expired) == 2
+    # A new leader has no contacts yet: it counts leases from its election.
     assert RolloutLeader(log.machine, 100 * S).due({}, 100 * S + FRONT_LEASE - 1) == []
 
 
-def test_a_permit_that_is_not_renewed_is_late_and_halts_its_release():
+def test_a_permit_that_is_not_renewed_is_overdue_and_halts_its_release():
     log = Log()
-    release(log)
+    start_release(log)
     leading = RolloutLeader(log.machine, 0)
-    leading.due(heard(0), 0)
-    assert leading.due(heard(PERMIT_LEASE), PERMIT_LEASE) == [
+    leading.due(contacts(0), 0)
+    assert leading.due(contacts(PERMIT_LEASE), PERMIT_LEASE) == [
         ["late", "v2/0/c0", 0],
         ["halt", "v2", "fleet", "whoever replaces c0 is lost"],
     ]
 
 
-def test_a_released_box_that_does_not_come_back_halts_its_release():
+def test_a_released_box_that_does_not_return_in_time_halts_its_release():
     log = Log()
-    release(log)
+    start_release(log)
     log.out("v2/0/c0")
     leading = RolloutLeader(log.machine, 0)
     for at in range(0, RETURN_TIMEOUT, 10 * S):
-        assert leading.due(heard(at), at) == []
+        assert leading.due(contacts(at), at) == []
         log.do("renew", "v2/0/c0", "agent")
-    assert leading.due(heard(RETURN_TIMEOUT), RETURN_TIMEOUT) == [
+    assert leading.due(contacts(RETURN_TIMEOUT), RETURN_TIMEOUT) == [
         ["halt", "v2", "fleet", "c0 does not come back"]
     ]
 
 
-def test_what_most_fronts_miss_is_out_by_itself_and_comes_back_by_them():
+def test_a_box_that_most_fronts_cannot_reach_has_failed_until_most_reach_it_again():
     log, now = Log(), S
     leading = RolloutLeader(log.machine, 0)
-    assert leading.due(heard(now, "x", down=["c3"]) | heard(now, "y"), now) == []
-    assert leading.due(heard(now, down=["c3"]), now) == [["stands", "c3", "unreachable"]]
+    assert leading.due(contacts(now, "x", down=["c3"]) | contacts(now, "y"), now) == []
+    assert leading.due(contacts(now, down=["c3"]), now) == [["stands", "c3", "unreachable"]]
     log.do("stands", "c3", "unreachable")
-    assert leading.due(heard(now), now) == [["stands", "c3", ""]]
+    assert leading.due(contacts(now), now) == [["stands", "c3", ""]]
 
 
-def test_a_box_fails_and_comes_back_by_most_of_all_fronts_heard_since_the_election_alone():
-    """A new leader that has heard few fronts, or has their words of before, knows nothing of a box."""
+def test_failures_need_a_majority_of_all_fronts_by_reports_since_the_election():
+    """A new leader with few contacts, or with reports from before its election, can't judge a box."""
     log, now = Log(fronts="vwxyz"), 10 * S
     leading = RolloutLeader(log.machine, now)
-    assert leading.due(heard(now, "v", down=["c3"]), now) == []  # one of five
+    assert leading.due(contacts(now, "v", down=["c3"]), now) == []  # one of five
     old = {
         name: row._replace(at=now + S, reported_at=now - S)
-        for name, row in heard(now, "vwxyz", down=["c3"]).items()
+        for name, row in contacts(now, "vwxyz", down=["c3"]).items()
     }
-    assert leading.due(old, now + S) == []  # heard anew, but not of the boxes
-    said = leading.due(heard(now + S, "vwx", down=["c3"]) | heard(now, "yz"), now + S)
-    assert said == [["stands", "c3", "unreachable"]]
-    log.do(*said[0])
-    assert leading.due(heard(now + 2 * S, "vw"), now + 2 * S) == []  # nor that it is back
-    assert leading.due(heard(now + 2 * S, "vwx"), now + 2 * S) == [["stands", "c3", ""]]
+    assert leading.due(old, now + S) == []  # the contacts are new, their reports are not
+    commands = leading.due(contacts(now + S, "vwx", down=["c3"]) | contacts(now, "yz"), now + S)
+    assert commands == [["stands", "c3", "unreachable"]]
+    log.do(*commands[0])
+    # Two of five don't decide that it is back.
+    assert leading.due(contacts(now + 2 * S, "vw"), now + 2 * S) == []
+    assert leading.due(contacts(now + 2 * S, "vwx"), now + 2 * S) == [["stands", "c3", ""]]
 
 
-def test_a_permit_that_was_free_is_charged_once_its_box_is_back():
+def test_a_permit_granted_to_a_failed_box_needs_budget_once_the_box_recovers():
     budgets = (
         ["fleet", "", "cache", 1, 1000],
         ["location", "", "cache", 1, 1000],
@@ -514,7 +511,7 @@
         log = Log(budget)
         log.ask("c0")
         log.do("stands", "c2", "unreachable")
-        log.ask("c2")  # it takes its place already, as it failed by itself
+        log.ask("c2")  # it counts as out already, as it has failed
         assert log.step("r-c2") is PermitStep.GRANTED
         if upto == "drained":
             log.drained("r-c2")
@@ -522,10 +519,10 @@
         assert log.step("r-c2") is PermitStep.ASKED and log.do("out", "r-c2", "agent") == "not drained"
         assert log.machine.drained().keys() == {"c0"}
         log.back("r-c0")
-        assert log.step("r-c2") is PermitStep.GRANTED  # it was held back, not refused
+        assert log.step("r-c2") is PermitStep.GRANTED  # it had to wait, and was not refused
 
 
-def test_a_free_permit_stays_where_there_is_room_or_its_box_has_gone_out():
+def test_a_permit_of_a_recovered_box_stays_if_the_budget_allows_or_the_box_is_out():
     log = Log(["fleet", "", "cache", 2, 1000])
     for box in ("c0", "c2"):
         log.do("stands", box, "unreachable")
@@ -536,7 +533,7 @@
     assert (log.step("r-c0"), log.step("r-c2")) == (PermitStep.GRANTED, PermitStep.OUT)
 
 
-def test_a_free_permit_goes_out_only_where_those_out_by_permit_leave_it_a_place():
+def test_a_failed_box_may_be_stopped_only_if_the_boxes_out_by_permit_leave_budget():
     log = Log(["fleet", "", "cache", 1, 1000])
     log.ask("c0")
     log.do("stands", "c2", "unreachable")
@@ -550,7 +547,7 @@
     assert log.do("out", "r-c2", "agent") == "out"
 
 
-def test_boxes_that_all_failed_by_themselves_go_out_in_turn():
+def test_boxes_that_have_all_failed_are_replaced_one_after_another():
     log = Log(["fleet", "", "cache", 1, 1000])
     for box in ("c0", "c2"):
         log.do("stands", box, "unreachable")
@@ -565,12 +562,12 @@
 
 
 @pytest.mark.parametrize("seed", [26, 368])
-def test_a_box_that_comes_back_by_itself_goes_out_within_the_budget(seed):
+def test_a_box_that_recovers_goes_out_within_the_budget(seed):
     world = rollouts.played(seed, 5, 4, 9, loss=0.1)
     assert rollouts.broken(world.trace, 9) == []
 
 
-def test_a_fronts_free_permit_is_charged_once_it_follows_again():
+def test_a_permit_of_a_lost_front_needs_budget_once_the_front_follows_again():
     log = Log(["fleet", "", "front", 1, 1000], fronts=("x", "y", "z"))
     log.do("boxes", [[name, "front", "a", "front", "g", 1] for name in "xyz"])
     log.do("front", "x", 1, False)  # its lease ended
@@ -579,11 +576,11 @@
     log.ask("y")
     assert log.step("r-y") is PermitStep.ASKED
     log.do("front", "x", 2, True)
-    assert log.step("r-x") in (PermitStep.GRANTED, PermitStep.DRAINED)  # the one place there is
+    assert log.step("r-x") in (PermitStep.GRANTED, PermitStep.DRAINED)  # the budget allows one
     log.do("front", "z", 1, False)
     log.do("front", "x", 2, False)
     log.do("front", "x", 3, True)
-    assert log.step("r-x") is PermitStep.ASKED  # the lost one takes it
+    assert log.step("r-x") is PermitStep.ASKED  # the lost front uses up the budget
 
 
 def test_seed_133_no_more_boxes_go_out_than_the_budgets_allow():
@@ -591,51 +588,53 @@
     assert rollouts.over_budget(world.trace) == []
 
 
-def test_a_trouble_that_most_fronts_tell_is_one():
+def test_a_trouble_is_one_that_a_majority_of_the_fronts_reports():
     log = Log()
     leading = RolloutLeader(log.machine, 0)
-    assert leading.due(heard(0, troubles={"origin": "slow"}), 0) == [["trouble", "origin", "2 of 2 fronts"]]
+    assert leading.due(contacts(0, troubles={"origin": "slow"}), 0) == [
+        ["trouble", "origin", "2 of 2 fronts"]
+    ]
     log.do("trouble", "origin", "2 of 2 fronts")
-    assert leading.due(heard(0), 0) == [["trouble", "origin", ""]]
+    assert leading.due(contacts(0), 0) == [["trouble", "origin", ""]]
 
 
 @pytest.mark.parametrize("late, passed", [(1, True), (40, False)])
-def test_the_leader_holds_the_released_against_the_others_since_the_wave_began(late, passed):
+def test_the_gate_compares_released_boxes_with_the_others_since_the_wave_began(late, passed):
     log = Log()
-    release(log)
+    start_release(log)
     leading = RolloutLeader(log.machine, 0)
 
     def rows(gets, bad):
         return [[f"c{at}", gets, 0, 0, bad if at == 0 else 1 * gets // 100, 0, 1] for at in range(6)]
 
-    leading.due(heard(0, rows=rows(50_000, 9000)), 0)  # what was before the release is nobody's here
-    through(log, "c0")
-    assert leading.due(heard(S, rows=rows(50_000, 9000)), S) == []
-    early = leading.due(heard(9 * S, rows=rows(50_100, 9000 + late)), 9 * S)
-    done = early or leading.due(heard(12 * S, rows=rows(51_000, 9000 + late * 10)), 12 * S)
-    assert bool(early) is not passed  # a fail needs no bake, a pass does
+    leading.due(contacts(0, rows=rows(50_000, 9000)), 0)  # counts from before the release are left out
+    replace(log, "c0")
+    assert leading.due(contacts(S, rows=rows(50_000, 9000)), S) == []
+    early = leading.due(contacts(9 * S, rows=rows(50_100, 9000 + late)), 9 * S)
+    done = early or leading.due(contacts(12 * S, rows=rows(51_000, 9000 + late * 10)), 12 * S)
+    assert bool(early) is not passed  # a failure does not wait for the bake time, a pass does
     assert [c[:5] for c in done] == [["gate", "v2", 0, 0, passed]]
 
 
 # Fronts and keepers.
 
 
-def test_a_front_says_that_it_is_drained_once_it_is_and_again_until_it_stands_in_the_log():
+def test_a_front_repeats_its_report_of_a_drain_until_it_is_in_the_log():
     log = Log()
     log.ask("c0")
-    words = FrontReporter("x", 1)
-    assert words.due(log.machine, {}, None, 0) == []
-    assert words.due(log.machine, {"c0": 1}, None, 0) == [["drained", "r-c0", "x", 1]]
-    assert words.due(log.machine, {"c0": 1}, None, S // 2) == []
-    assert words.due(log.machine, {"c0": 1}, None, 2 * S) == [["drained", "r-c0", "x", 1]]
+    reporter = FrontReporter("x", 1)
+    assert reporter.due(log.machine, {}, None, 0) == []
+    assert reporter.due(log.machine, {"c0": 1}, None, 0) == [["drained", "r-c0", "x", 1]]
+    assert reporter.due(log.machine, {"c0": 1}, None, S // 2) == []
+    assert reporter.due(log.machine, {"c0": 1}, None, 2 * S) == [["drained", "r-c0", "x", 1]]
     log.out("r-c0")
     log.do("started", "r-c0", "s")
-    assert words.due(log.machine, {}, lambda box, start: start == "s", 3 * S) == [
+    assert reporter.due(log.machine, {}, lambda box, start: start == "s", 3 * S) == [
         ["warm", "r-c0", "s", "x", 1]
     ]
 
 
-def test_a_follower_finds_the_leader_and_its_lease_counts_from_its_question():
+def test_a_follower_finds_the_leader_and_its_lease_counts_from_its_request():
     one = LogFollower(["k0", "k1", "k2"], 1, RandomSource("x", 1), 0, 5 * S)
     asked = one.on_timer(0)[0]
     other = next(k for k in one.voters if k != asked.to)
@@ -652,7 +651,7 @@
     assert one.on_message(other, again, 9 * S) == []
 
 
-def test_a_request_ends_with_a_word_or_without_one_in_its_time():
+def test_a_proposal_ends_with_an_answer_or_without_one_at_its_timeout():
     one = LogFollower(["k0"], 1, RandomSource("x", 1), 0, 5 * S)
     one.on_timer(0)
     sent = one.propose(["ask"], "t1", S, 2 * S)
@@ -664,13 +663,13 @@
     assert ProposalCompleted("t2", "", 0) in one.on_timer(3 * S)
 
 
-def serving(now=0):
+def log_server_of_one(now=0):
     keeper = RaftNode("k0", ClusterConfiguration(("k0",), ()), RandomSource("k0", 1), now)
     return keeper, LogServer(keeper, RolloutStateMachine())
 
 
-def test_a_keeper_answers_with_entries_or_its_whole_state_and_leads_only_in_touch():
-    keeper, one = serving()
+def test_a_voter_answers_with_entries_or_its_state_and_is_leader_only_in_contact_with_its_quorum():
+    keeper, one = log_server_of_one()
     one.on_committed([LogEntry(n, 1, "data", ["front", f"f{n}", 1, True]) for n in range(1, 1500)])
     near = one.on_message("x", FollowRequest(1400, 1, 5, []), S)[0].message
     assert [e[0] for e in near.entries] == list(range(1401, 1500)) and not near.is_leader
@@ -681,13 +680,13 @@
         set(one.contacts) == {"x"}
         and not one.on_message("agent", FollowRequest(1499, 0, 1, []), S)[0].message.is_leader
     )
-    assert set(one.contacts) == {"x"}  # an agent is no front: nobody waits for its word
+    assert set(one.contacts) == {"x"}  # an agent is no front: nobody waits for its reports
 
 
-# On the way.
+# Encoding of messages.
 
 CONFIG = ClusterConfiguration(("k0", "k1"), ())
-SAID = [
+MESSAGES = [
     RequestVote(1, 2, 1, True, False),
     RequestVoteResponse(2, True, False),
     AppendEntries(3, 4, 2, [LogEntry(5, 3, "data", ["ask", "h"]), LogEntry(6, 3, "config", CONFIG)], 4, 9),
@@ -704,63 +703,61 @@
 ]
 
 
-def test_each_word_of_the_log_comes_as_it_went():
-    assert [codec.decode(*codec.encode(said)) for said in SAID] == SAID
-    assert {type(said) for said in SAID} == {kind.message for kind in codec.KIND_BY_NUMBER.values()}
+def test_each_message_is_the_same_after_encoding_and_decoding():
+    assert [codec.decode(*codec.encode(one)) for one in MESSAGES] == MESSAGES
+    assert {type(one) for one in MESSAGES} == {kind.message for kind in codec.KIND_BY_NUMBER.values()}
 
 
 @pytest.mark.parametrize(
-    "said",
+    "message",
     [
         ProposeRequest(1, ["grant", "h"]),
         ProposeRequest(1, ["ask", "h"]),
         ProposeRequest(1, ["ask", "h", "c0", "op", "x" * 201]),
         ProposeRequest(1, ["once", "q", ["once", "r", ["withdraw", "h"]]]),
         ProposeRequest(1, ["once", "", ["withdraw", "h"]]),
-        ProposeRequest(
-            1, ["ask", "h", "c0", "op", "why", "v2", "2"]
-        ),  # a release's own request is no operator's
+        ProposeRequest(1, ["ask", "h", "c0", "op", "why", "v2", "2"]),  # only a release may ask for a version
         AppendEntries(3, 4, 2, [LogEntry(6, 3, "data", None)], 4, 9),
         InstallSnapshot(1, 2, 3, (1, 2), b"", 4),
     ],
 )
-def test_a_word_that_would_trip_all_is_refused_at_the_door(said):
+def test_an_invalid_command_is_refused_before_it_is_proposed(message):
     with pytest.raises(codec.ConsensusMessageError):
-        codec.decode(*codec.encode(said))
+        codec.decode(*codec.encode(message))
 
 
 @pytest.mark.parametrize("number, data", [(0, b""), (99, b""), (1, b"\xc1"), (1, b"\x90")])
-def test_bytes_that_are_no_word_are_refused(number, data):
+def test_bytes_that_are_no_message_are_refused(number, data):
     with pytest.raises(codec.ConsensusMessageError):
         codec.decode(number, data)
 
 
-def test_who_reports_of_boxes_that_are_none_or_under_many_names_fills_no_memory(monkeypatch):
+def test_reports_of_unknown_boxes_and_from_many_names_do_not_grow_the_tables(monkeypatch):
     log = Log()
-    release(log)
+    start_release(log)
     leading = RolloutLeader(log.machine, 0)
     for at in range(50):
-        leading.due(heard(at * S, rows=[[f"none-{at}-{n}", at, 0, 0, 0, 0, 1] for n in range(20)]), at * S)
+        leading.due(contacts(at * S, rows=[[f"none-{at}-{n}", at, 0, 0, 0, 0, 1] for n in range(20)]), at * S)
     assert (
         not leading.totals and not leading.starts and all(not rows for *_, rows in leading.reports.values())
     )
     monkeypatch.setattr(log_server, "FOLLOWERS_MAX", 5)
-    _, one = serving()
+    _, one = log_server_of_one()
     for at in range(50):
         one.on_message(f"n{at}", FollowRequest(0, 1, at, []), at)
     assert list(one.contacts) == [f"n{at}" for at in range(45, 50)]
 
 
-# Whole fleets under troubles.
+# Simulated fleets with faults.
 
 
 @pytest.mark.parametrize("seed", [1, 2, 5, 20])
-def test_no_promise_breaks_under_troubles(seed):
+def test_no_invariant_is_violated_under_faults(seed):
     assert rollouts.broken(rollouts.played(seed, (3, 5)[seed % 2], loss=(0, 0.1, 0.3)[seed % 3]).trace) == []
 
 
 @pytest.mark.parametrize("seed", [1040, 1840])
-def test_a_halt_that_comes_before_its_release_is_refused_and_is_no_halt(seed):
+def test_a_halt_before_its_release_has_started_is_refused(seed):
     world = rollouts.played(seed, 3, 4, 9, loss=(0, 0.1, 0.3)[seed % 3], span=25 * S)
     assert rollouts.broken(world.trace, 9) == []
 
@@ -770,7 +767,7 @@
 
 
 def small(*commands, until=25, waves=None):
-    """Six caches; commands by an operator half a second apart, and time to settle."""
+    """Return a function that runs six caches with an operator's commands, half a second apart, and lets them settle."""
 
     def made(seed):
         world = rollouts.Fleet(3, 3, 6, seed)
@@ -785,18 +782,23 @@
     return made
 
 
-EARLY = (
+REPORTS_ALL_DRAINED = (
     "due",
     lambda self, machine, drained, warm, now, real=FrontReporter.due: real(
         self, machine, {p.box: 1 for p in machine.permits.of_box.values()}, warm, now
     ),
 )
-ANY = ("blocked_by", lambda self, permit, out=None: None)
-SOWN = [
-    ("over_budget", PermitTable, *ANY, small(waves=[["c0", "c1", "c2", "c3", "c4"]])),
-    ("last_gone", PermitTable, *ANY, small(("ask", "h", "c0", "op", ""), ("ask", "i", "c3", "op", ""))),
-    # A front that looks for its drains every three seconds, and says at once that it has them.
-    ("sent_to_drained", FrontReporter, *EARLY, small(("ask", "h", "c0", "op", ""))),
+NEVER_BLOCKED = ("blocked_by", lambda self, permit, out=None: None)
+DEFECTS = [
+    ("over_budget", PermitTable, *NEVER_BLOCKED, small(waves=[["c0", "c1", "c2", "c3", "c4"]])),
+    (
+        "last_gone",
+        PermitTable,
+        *NEVER_BLOCKED,
+        small(("ask", "h", "c0", "op", ""), ("ask", "i", "c3", "op", "")),
+    ),
+    # A front that reports a drain at once, and applies it up to three seconds later.
+    ("sent_to_drained", FrontReporter, *REPORTS_ALL_DRAINED, small(("ask", "h", "c0", "op", ""))),
     (
         "granted_halted",
         ReleaseTable,
@@ -814,19 +816,19 @@
 ]
 
 
-@pytest.mark.parametrize("check, of, name, defect, world", SOWN, ids=[s[0] for s in SOWN])
-def test_each_checker_cries_out_at_a_sown_defect(check, of, name, defect, world, monkeypatch):
+@pytest.mark.parametrize("check, of, name, defect, world", DEFECTS, ids=[s[0] for s in DEFECTS])
+def test_each_checker_finds_its_injected_defect(check, of, name, defect, world, monkeypatch):
     assert rollouts.broken(world(1).trace, 6) == [] or check == "granted_halted"
     monkeypatch.setattr(of, name, defect)
     if check == "granted_halted":
         monkeypatch.setattr(ReleaseTable, "_withdraw_permits", lambda self, release: None)
     if check == "sent_to_drained":
-        monkeypatch.setattr(rollouts.Front, "turn", _late_turn)
+        monkeypatch.setattr(rollouts.Front, "turn", _turn_with_late_drains)
     assert check in {name for name, _ in rollouts.broken(world(1).trace, 6)}
 
 
-def _late_turn(self, now, turn=rollouts.Front.turn):
-    """A front that looks at the log for its drains every three seconds only."""
+def _turn_with_late_drains(self, now, turn=rollouts.Front.turn):
+    """A front that takes its drains from the log only every three seconds."""
     if now - getattr(self, "looked", 0) > 3 * S or not hasattr(self, "drained_then"):
         self.looked, self.drained_then = now, self.machine.drained()
     real, self.machine.drained = self.machine.drained, lambda: self.drained_then
@@ -836,22 +838,20 @@
         self.machine.drained = real
 
 
-def test_the_checker_of_machines_cries_out():
+def test_the_checker_of_state_machines_finds_a_difference():
     assert rollouts.machines_apart([(1, "k0", "dump-machine", 5, "a"), (1, "k1", "dump-machine", 5, "b")])
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_no_promise_breaks_where_clocks_go_apart(seed):
+def test_no_invariant_is_violated_with_clock_drift(seed):
     assert rollouts.broken(rollouts.played(seed, 3, 6, 12, 0.1, apart=0.001).trace) == []
 
 
-@pytest.mark.parametrize("fast, slow, cries", [(1.001, 0.999, False), (2.0, 0.3, True)])
-def test_a_lease_holds_under_the_drift_that_is_stated_and_its_checker_under_none_that_is_not(
-    fast, slow, cries
-):
-    """A front with a slow clock is cut off from keepers with fast ones while a box is drained."""
+@pytest.mark.parametrize("fast, slow, violated", [(1.001, 0.999, False), (2.0, 0.3, True)])
+def test_leases_hold_within_the_stated_clock_drift_and_the_checker_finds_a_larger_one(fast, slow, violated):
+    """A front with a slow clock is disconnected from voters with fast clocks while a box is drained."""
 
-    class Apart(rollouts.Fleet):
+    class DriftingFleet(rollouts.Fleet):
         def clock(self, name):
             return int(self.now * (fast if name in self.keepers else slow if name == "n0" else 1))
 
@@ -865,10 +865,10 @@
                 + 1
             )
 
-    world = Apart(3, 2, 4, 5)
+    world = DriftingFleet(3, 2, 4, 5)
     keepers = [f"k{at}" for at in range(3)]
     world.at(6 * S, world.cut.update, {pair for k in keepers for pair in (("n0", k), (k, "n0"))})
     world.at(6 * S + S // 5, world.operator, "n1", "ask", "h", "c0", "op", "")
     world.run(25 * S)
     assert any(what == "down" and name == "c0" for _, name, what, *_ in world.trace)
-    assert bool(rollouts.sent_to_drained(world.trace)) is cries
+    assert bool(rollouts.sent_to_drained(world.trace)) is violated
