--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -472,7 +472,7 @@
 def test_without_their_nodes_quotas_and_the_log_are_not_imported():
     code = (
         "import sys, sprucegate.assembly.run, sprucegate.fleet.service\n"
-        "print([m for m in sys.modules if 'fleet.shares' in m or 'fleet.agree' in m])"
+        "print([m for m in sys.modules if 'fleet.quotas' in m or 'fleet.consensus' in m])"
     )
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout.strip() == "[]"
 
