--- a/sprucegate/fleet/rollout/follower.py
+++ b/sprucegate/fleet/rollout/follower.py
@@ -13,9 +13,9 @@
     :ivar same: whether the log has this front's boxes and limits.
     """
 
-    def __init__(self, name, life):
+    def __init__(self, name, incarnation):
         self.name = name
-        self.life = life
+        self.incarnation = incarnation
         self.proposed = {}
         self.same = False
 
@@ -32,13 +32,13 @@
                 and permit.box in drained
                 and self.name not in permit.drained
             ):
-                found.append(["drained", permit.id, self.name, self.life])
+                found.append(["drained", permit.id, self.name, self.incarnation])
             elif (
                 permit.step is PermitStep.COLD
                 and self.name not in permit.warm
                 and warm(permit.box, permit.start)
             ):
-                found.append(["warm", permit.id, permit.start, self.name, self.life])
+                found.append(["warm", permit.id, permit.start, self.name, self.incarnation])
         return self._not_pending(found, now)
 
     def view(self, machine, boxes, limits, now):
--- a/sprucegate/fleet/rollout/leader.py
+++ b/sprucegate/fleet/rollout/leader.py
@@ -68,15 +68,15 @@
 
     def _front_commands(self, contacts, now):
         known, found = self.machine.permits.fronts, []
-        for name, (life, at, _, _) in sorted(contacts.items()):
-            left = self.machine.permits.departed.get(name) == life
-            if now - at < FRONT_LEASE and known.get(name) != life and not left:
-                found.append(["front", name, life, True])
-        for name, life in sorted(known.items()):
-            last = contacts[name].at if name in contacts and contacts[name].incarnation == life else 0
+        for name, (incarnation, at, _, _) in sorted(contacts.items()):
+            left = self.machine.permits.departed.get(name) == incarnation
+            if now - at < FRONT_LEASE and known.get(name) != incarnation and not left:
+                found.append(["front", name, incarnation, True])
+        for name, incarnation in sorted(known.items()):
+            last = contacts[name].at if name in contacts and contacts[name].incarnation == incarnation else 0
             # From the election at the earliest, as the former leader may have answered it until then.
             if now - max(last, self.elected_at) >= FRONT_LEASE:
-                found.append(["front", name, life, False])
+                found.append(["front", name, incarnation, False])
                 # It goes on serving by its last known state, and a release must not go on without it.
                 found += self._halt_commands(f"front {name} has lost the keepers")
         return found
@@ -172,10 +172,10 @@
             self.starts = {box: seen for box, seen in self.starts.items() if box in boxes}
             self.reports = {name: one for name, one in self.reports.items() if name in contacts}
         for name, report in self._live_reports(contacts).items():
-            life, before, rows = self.reports.get(name, (None, None, {}))
+            incarnation, before, rows = self.reports.get(name, (None, None, {}))
             if report is before:
                 continue
-            rows = rows if life == contacts[name].incarnation else {}
+            rows = rows if incarnation == contacts[name].incarnation else {}
             for box, *row in report[0]:
                 if box not in boxes:
                     continue  # unknown to the log, so its counts would never be removed
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -326,10 +326,10 @@
             permit.step, permit.index = PermitStep.GRANTED, index
             granted.append(permit)
 
-    def report_drained(self, id, front, life):
+    def report_drained(self, id, front, incarnation):
         """A front sends the server nothing new and no longer names it as a source. All live fronts have to say so."""
         permit = self.permits.get(id)
-        if permit is None or permit.step is not PermitStep.GRANTED or self.fronts.get(front) != life:
+        if permit is None or permit.step is not PermitStep.GRANTED or self.fronts.get(front) != incarnation:
             return
         if front not in permit.drained:
             permit.drained.append(front)
@@ -401,7 +401,7 @@
             permit.step, permit.start, permit.warm = PermitStep.COLD, start, []
         return "cold"
 
-    def report_warm(self, id, start, front, life):
+    def report_warm(self, id, start, front, incarnation):
         """A front sees this start answer at its full share of the load; the holder's word alone is not enough."""
         permit = self.permits.get(id)
         if (
@@ -409,7 +409,7 @@
             or permit.step is not PermitStep.COLD
             or permit.start != start
             or not start
-            or self.fronts.get(front) != life
+            or self.fronts.get(front) != incarnation
         ):
             return
         if front not in permit.warm:
@@ -450,15 +450,16 @@
         elif self.failed.pop(box, None) is not None:
             self._on_recovered(box)
 
-    def set_front(self, name, life, on):
+    def set_front(self, name, incarnation, on):
         """A front that follows the log (`on`), or one whose lease expired: nobody waits for its reports any more."""
-        if on and self.departed.get(name) != life:  # one that has left still follows the log until it ends
+        # An incarnation that has left still follows the log until it ends.
+        if on and self.departed.get(name) != incarnation:
             lost = name not in self.fronts
-            self.fronts[name] = life
+            self.fronts[name] = incarnation
             self.departed.pop(name, None)
             if lost:
                 self._on_recovered(name)
-        elif not on and self.fronts.get(name) == life:
+        elif not on and self.fronts.get(name) == incarnation:
             del self.fronts[name]
 
     def _has_failed(self, name):
@@ -491,13 +492,13 @@
         if self.blocked_by(permit, others) is not None:
             permit.step, permit.index, permit.drained = PermitStep.ASKED, 0, []
 
-    def front_left(self, name, life):
+    def front_left(self, name, incarnation):
         """A front ends by SIGTERM, so nobody has to wait for its lease; one without a permit is counted."""
-        if self.fronts.get(name) == life:
+        if self.fronts.get(name) == incarnation:
             permit = self.of_box.get(name)
             self.without += permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT)
             del self.fronts[name]
-            self.departed[name] = life
+            self.departed[name] = incarnation
             while len(self.departed) > ENDED_MAX:
                 del self.departed[next(iter(self.departed))]
 
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -810,7 +810,7 @@
         "without_end",
         PermitTable,
         "report_warm",
-        lambda self, id, start, front, life: None,
+        lambda self, id, start, front, incarnation: None,
         small(("ask", "h", "c0", "op", ""), until=10),
     ),
 ]
