--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -167,7 +167,7 @@
 
     # Reports.
 
-    def forwarded(self, cache, outcome, found, took, objective):
+    def forwarded(self, cache, outcome, cache_status, duration, objective):
         """Count an attempt that ended at a box, for the gates of releases."""
         upstream = self.driver.servers.places.get(cache)
         if upstream is None or outcome is AttemptOutcome.CANCELLED:
@@ -180,8 +180,8 @@
         row[0] += 1
         row[1] += outcome in (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT)
         row[2] += outcome is AttemptOutcome.FULL
-        row[3] += outcome is AttemptOutcome.RETURNED and took > objective
-        row[4] += outcome is AttemptOutcome.RETURNED and found not in CACHE_HITS
+        row[3] += outcome is AttemptOutcome.RETURNED and duration > objective
+        row[4] += outcome is AttemptOutcome.RETURNED and cache_status not in CACHE_HITS
         while len(self.counts) > BOXES_COUNTED_MAX:
             del self.counts[next(iter(self.counts))]
 
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -157,50 +157,50 @@
             self.driver.book.count("tenants_unlisted")
         return index
 
-    def waits(self, get, source, now):
+    def waits(self, request, source, now):
         """A request needs a slot. No attempt was sent for this fill; it is routed again once it has the slot."""
-        wait = SlotWait(get, source)
-        self.waits_by_request[get] = wait
+        wait = SlotWait(request, source)
+        self.waits_by_request[request] = wait
         self.driver.book.count("gets_slow")
         # The driver's clock is another one than the fleet's: only durations can be taken over.
         monotonic = time.monotonic_ns()
-        deadline = monotonic + get.handle.deadline - now
-        self._perform(self.quotas.request_arrived(wait, source, get.tenant, deadline, monotonic))
+        deadline = monotonic + request.handle.deadline - now
+        self._perform(self.quotas.request_arrived(wait, source, request.tenant, deadline, monotonic))
 
-    def sent(self, get, out, forward, now):
+    def sent(self, request, attempt, action, now):
         """An attempt is sent: it uses the request's slot, if it is the fill that the slot was granted for."""
-        wait = self.waits_by_request.get(get)
+        wait = self.waits_by_request.get(request)
         if wait is None or not wait.granted or wait.attempt is not None:
             return
-        if forward.fill_source == wait.source and not forward.only_if_cached:
-            wait.attempt = out
-            out.place = wait
-            out.limit = min(out.limit, now + self.settings.fill_time_max)
-
-    def ended(self, out, outcome, found, waited, now):
-        """An attempt ended; `found`: the server's cache status, `waited`: ns of the fill as its answer says, or 0."""
-        wait = out.place
+        if action.fill_source == wait.source and not action.only_if_cached:
+            wait.attempt = attempt
+            attempt.place = wait
+            attempt.limit = min(attempt.limit, now + self.settings.fill_time_max)
+
+    def ended(self, attempt, outcome, cache_status, fill_duration, now):
+        """An attempt ended; `cache_status` and `fill_duration` (ns, or 0) are those of its answer."""
+        wait = attempt.place
         if wait is None:
             return
-        out.place = None
+        attempt.place = None
         if self.waits_by_request.get(wait.request) is wait:
             del self.waits_by_request[wait.request]
         monotonic = time.monotonic_ns()
         if outcome in DETACHED_OUTCOMES:
             self.quotas.fill_detached(wait, monotonic)
             self._set_timer()
-        elif outcome.never_executed or found in CACHE_HITS:
+        elif outcome.never_executed or cache_status in CACHE_HITS:
             self._perform(self.quotas.slot_unused(wait, monotonic))
         else:
-            duration = now - out.at
+            duration = now - attempt.at
             on_time = outcome is AttemptOutcome.RETURNED and duration <= self.driver.router.latency_objective(
                 wait.request.asked
             )
-            self._perform(self.quotas.fill_ended(wait, waited or duration, on_time, monotonic))
+            self._perform(self.quotas.fill_ended(wait, fill_duration or duration, on_time, monotonic))
 
-    def left(self, get):
+    def left(self, request):
         """A request is finished or its client has left, so it no longer waits."""
-        wait = self.waits_by_request.pop(get, None)
+        wait = self.waits_by_request.pop(request, None)
         if wait is None:
             return
         if not wait.granted:
@@ -233,26 +233,26 @@
         if self.waits_by_request.get(wait.request) is wait:
             del self.waits_by_request[wait.request]
 
-    def _give_up(self, get, now):
-        self.driver.say(get, get.handle.give_up(now), now)
+    def _give_up(self, request, now):
+        self.driver.say(request, request.handle.give_up(now), now)
 
     def _start_fill(self, wait, source):
-        get = wait.request
+        request = wait.request
         now = self.driver.clock()
-        if self.waits_by_request.get(get) is not wait or get.handle.finished:
+        if self.waits_by_request.get(request) is not wait or request.handle.finished:
             self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
             return
         wait.granted = True
-        get.handle.slot_source = source
-        self.driver.guarded(get, self._route, get, now)
+        request.handle.slot_source = source
+        self.driver.guarded(request, self._route, request, now)
         if wait.attempt is None:  # a cache has the object by now, or another source was chosen
             self._forget(wait)
             self._perform(self.quotas.slot_unused(wait, time.monotonic_ns()))
 
-    def _route(self, get, now):
-        actions = get.handle.route(now)
-        get.handle.slot_source = None  # the slot was for this attempt only
-        self.driver.say(get, actions, now)
+    def _route(self, request, now):
+        actions = request.handle.route(now)
+        request.handle.slot_source = None  # the slot was for this attempt only
+        self.driver.say(request, actions, now)
         self.driver.arm(now)
 
     def _send(self, to, message):
