--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -195,7 +195,7 @@
                     self.face.holds(self.machine)
                 case ReplaceState():
                     machine = RolloutStateMachine()
-                    self.stale = not machine.loaded(action.state)
+                    self.stale = not machine.restore(action.state)
                     self.machine = machine if not self.stale else self.machine
                     self.face.holds(self.machine)
                 case ProposalCompleted():
--- a/sprucegate/fleet/consensus/log_server.py
+++ b/sprucegate/fleet/consensus/log_server.py
@@ -28,10 +28,10 @@
     def apply(self, index: int, command: object) -> tuple[str, list[object]]:
         """Apply an entry. Returns the result for its proposer, and the permits that it granted."""
 
-    def told(self) -> object:
+    def snapshot(self) -> object:
         """Return the whole state."""
 
-    def loaded(self, state: object) -> bool:
+    def restore(self, state: object) -> bool:
         """Replace the state. Returns whether it could be read."""
 
 
@@ -82,7 +82,7 @@
 
     def on_snapshot_restored(self, index: int, state: object) -> None:
         """Replace the machine's state by a leader's snapshot up to `index`."""
-        self.machine.loaded(state)
+        self.machine.restore(state)
         self.machine.index = index
         self.recent_entries = []
 
@@ -150,7 +150,7 @@
         is_leader = self.node.in_contact_with_quorum(now)
         first = self.recent_entries[0][0] if self.recent_entries else machine.index + 1
         if request.applied_index + 1 < first and request.applied_index < machine.index:
-            state = machine.told()
+            state = machine.snapshot()
             return StateResponse(request.number, machine.index, state, is_leader, self._leader())
         begin = request.applied_index + 1 - first
         entries = self.recent_entries[begin : begin + ENTRIES_PER_ANSWER]
--- a/sprucegate/fleet/consensus/voter_driver.py
+++ b/sprucegate/fleet/consensus/voter_driver.py
@@ -97,7 +97,7 @@
         )
         self.raft_node = RaftNode(name, first, RandomSource(name, self.seed ^ incarnation), now)
         machine = RolloutStateMachine()
-        if stored.snapshot is not None and not machine.loaded(msgspec.msgpack.decode(stored.snapshot[3])):
+        if stored.snapshot is not None and not machine.restore(msgspec.msgpack.decode(stored.snapshot[3])):
             self.log("keeper_off", error="the state is of another format")
             self.raft_node = None
             return
@@ -185,7 +185,7 @@
                             )
                     todo.extend(sends)
                     if self.raft_node.last_applied - self.raft_node.log.base_index >= COMPACTION_ENTRIES:
-                        state = msgspec.msgpack.encode(self.serving.machine.told())
+                        state = msgspec.msgpack.encode(self.serving.machine.snapshot())
                         todo.extend(self.raft_node.compact_log(self.raft_node.last_applied, state))
                 case RestoreSnapshot():
                     self.serving.on_snapshot_restored(action.index, msgspec.msgpack.decode(action.state))
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -45,11 +45,11 @@
             "trouble": releases.set_trouble,
         }
 
-    def told(self):
+    def snapshot(self):
         """Return the state in its stored form."""
         return [STATE_FORMAT, self.index, self.permits.snapshot(), self.releases.snapshot(), self.answers]
 
-    def loaded(self, state):
+    def restore(self, state):
         """Replace the state by a stored one; return False for another format."""
         if state[0] != STATE_FORMAT:
             return False
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -39,13 +39,13 @@
     def installs(self, index, state):
         machine = RolloutStateMachine()
         if state:
-            machine.loaded(msgspec.msgpack.decode(state))
+            machine.restore(msgspec.msgpack.decode(state))
         self.serving = LogServer(self.keeper, machine)
         self.leading = None
 
     def whole(self):
         # Packed as on the way: a state that two machines share would be changed by both.
-        return msgspec.msgpack.encode(self.serving.machine.told())
+        return msgspec.msgpack.encode(self.serving.machine.snapshot())
 
     def applies(self, entries):
         machine = self.serving.machine
@@ -141,7 +141,7 @@
                     self.machine.apply(index, command)
             elif isinstance(action, ReplaceState):
                 self.machine = RolloutStateMachine()
-                self.machine.loaded(msgspec.msgpack.decode(action.state))
+                self.machine.restore(msgspec.msgpack.decode(action.state))
 
     def _due(self, generation):
         if generation != self.generation:
@@ -453,7 +453,7 @@
                 name,
                 "dump-machine",
                 world.boxes[name].serving.machine.index,
-                repr(world.boxes[name].serving.machine.told()[2:]),
+                repr(world.boxes[name].serving.machine.snapshot()[2:]),
             )
 
 
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -263,11 +263,11 @@
     start_release(log)
     log.do("once", "q1", ["ask", "h", "c5", "op", "by hand"])
     other = RolloutStateMachine()
-    assert other.loaded(msgspec.msgpack.decode(msgspec.msgpack.encode(log.machine.told())))
-    assert msgspec.msgpack.encode(other.told()) == msgspec.msgpack.encode(log.machine.told())
+    assert other.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(log.machine.snapshot())))
+    assert msgspec.msgpack.encode(other.snapshot()) == msgspec.msgpack.encode(log.machine.snapshot())
     assert other.apply(99, ["drained", "h", "x", 1]) == log.machine.apply(99, ["drained", "h", "x", 1])
-    assert other.told() == log.machine.told()
-    assert not RolloutStateMachine().loaded([2])
+    assert other.snapshot() == log.machine.snapshot()
+    assert not RolloutStateMachine().restore([2])
 
 
 # Releases.
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -267,7 +267,7 @@
     def of_state(cls, encoded):
         """The machine that a snapshot holds; None where the code refuses its format."""
         made = cls()
-        return made if made.rollout.loaded(msgspec.msgpack.decode(encoded)) else None
+        return made if made.rollout.restore(msgspec.msgpack.decode(encoded)) else None
 
     def apply(self, index, command):
         """(the word for whoever proposed it, ids of the permits that it grants)."""
@@ -275,10 +275,10 @@
         return word, [permit.id for permit in granted]
 
     def state(self):
-        return plain(self.rollout.told())
+        return plain(self.rollout.snapshot())
 
     def encoded(self):
-        return msgspec.msgpack.encode(self.rollout.told())
+        return msgspec.msgpack.encode(self.rollout.snapshot())
 
     def steps(self):
         return {int(permit.step) for permit in self.rollout.permits.permits.values()}
