--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -124,7 +124,7 @@
         release = world.machine().releases.releases.get("v2")
         if release is None:
             continue
-        out = [p.box for p in world.machine().permits.of_box.values() if p.version == version]
+        out = [p.box for p in world.machine().permits.open_by_box.values() if p.version == version]
         worst = max(worst, len({*release.done, *out}))
         if release.phase.name != "RUNNING":
             halted = release.phase.name == "HALTED"
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -92,7 +92,7 @@
 
     def leaves(self):
         """SIGTERM at a front: obeyed with or without a permit; nobody waits for its lease."""
-        permit = self.machine.permits.of_box.get(self.name)
+        permit = self.machine.permits.open_by_box.get(self.name)
         if permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT):
             self.log("left_without_permit")
         self._do(self.follower.propose(["left", self.name, self.life], None, time.monotonic_ns(), PATIENCE))
--- a/sprucegate/fleet/consensus/status.py
+++ b/sprucegate/fleet/consensus/status.py
@@ -45,7 +45,7 @@
         "troubles": machine.releases.troubles,
         "permits": [_permit_status(permit, waits.get(permit.id)) for permit in open_permits[:PERMITS_MAX]],
         "history": machine.releases.history,
-        "left_without_permit": permits.without,
+        "left_without_permit": permits.left_without_permit,
         "ended": {id: STEP_WORDS[permits.permits[id].step] for id in permits.ended[-PERMITS_MAX:]},
         "releases": [_release_status(name, release) for name, release in machine.releases.releases.items()],
     }
@@ -79,7 +79,7 @@
         "why": release.why,
         "waves": [list(wave) for wave in release.plan.waves],
         "done": release.done,
-        "ahead": release.ahead,
+        "ahead": release.to_roll_back,
         "version": release.plan.version,
         "former": release.plan.former,
     }
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -137,7 +137,7 @@
                 # For each start that is listed: one that comes back while its permit is still out is not used either.
                 self.applied_drains[box] = server
                 self.merged.word(*server, DRAIN_SOURCE, True, now)
-        for permit in machine.permits.of_box.values():
+        for permit in machine.permits.open_by_box.values():
             if permit.step is PermitStep.COLD and self.cold.get(permit.box, ("",))[0] != permit.start:
                 self.cold[permit.box] = permit.start, now, self.counts.get(permit.box, [0])[0]
                 upstream = self._upstream(permit.box, rows)
@@ -146,7 +146,7 @@
                     # Connections to the former start prove nothing of this one.
                     upstream.transport.leave(upstream)
                     self.driver.servers.warm(upstream, now)
-        open_permits = machine.permits.of_box
+        open_permits = machine.permits.open_by_box
         self.cold = {box: one for box, one in self.cold.items() if box in open_permits}
 
     def _upstream(self, box, rows):
--- a/sprucegate/fleet/rollout/follower.py
+++ b/sprucegate/fleet/rollout/follower.py
@@ -26,7 +26,7 @@
         `warm(box, start)`: whether that start answers this front at its full share of the load.
         """
         found = []
-        for permit in machine.permits.of_box.values():
+        for permit in machine.permits.open_by_box.values():
             if (
                 permit.step is PermitStep.GRANTED
                 and permit.box in drained
--- a/sprucegate/fleet/rollout/leader.py
+++ b/sprucegate/fleet/rollout/leader.py
@@ -89,7 +89,7 @@
         ]
 
     def _permit_commands(self, now):
-        found, permits = [], self.machine.permits.of_box.values()
+        found, permits = [], self.machine.permits.open_by_box.values()
         self.out_since = {id: at for id, at in self.out_since.items() if id in self.renewals}
         self.renewals = {p.id: self.renewals.get(p.id) for p in permits if p.step in COUNTED_STEPS}
         for permit in [p for p in permits if p.step in COUNTED_STEPS]:
@@ -136,7 +136,7 @@
         for box in permits.boxes:
             lost = self._is_majority(missed.get(box, 0))
             reached = self._is_majority(len(reports) - missed.get(box, 0))
-            permit = permits.of_box.get(box)
+            permit = permits.open_by_box.get(box)
             counted = permit is not None and permit.step in COUNTED_STEPS
             if lost and not counted and box not in permits.failed:
                 found.append(["stands", box, "unreachable"])
@@ -223,7 +223,7 @@
                 for b in self.machine.permits.boxes.values()
                 if b.kind == release.plan.kind
                 and b.name not in release.done
-                and b.name not in self.machine.permits.of_box
+                and b.name not in self.machine.permits.open_by_box
             ]
             control = self._sample(others, base)
             starts = max([self._totals_of(b)[5] - returned[b][5] + 1 for b in release.done], default=0)
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -172,9 +172,9 @@
     :ivar boxes: {name: ManagedServer}; `failed`: {name: reason} of those that are out without a permit.
     :ivar fronts: {name: incarnation} of the live fronts according to the log.
     :ivar departed: {name: incarnation that left last} of fronts.
-    :ivar permits: by id, in the order of asking; `of_box`: {box: its open permit}.
+    :ivar permits: by id, in the order of asking; `open_by_box`: {box: its open permit}.
     :ivar ended: ids of ended permits that are kept; `just_ended`: permits that the present command has ended.
-    :ivar without: how many fronts left without a permit.
+    :ivar left_without_permit: how many fronts left without a permit.
     """
 
     def __init__(self):
@@ -184,10 +184,10 @@
         self.failed = {}
         self.fronts = {}
         self.permits = {}
-        self.of_box = {}
+        self.open_by_box = {}
         self.ended = []
         self.just_ended = []
-        self.without = 0
+        self.left_without_permit = 0
         self.departed = {}
 
     def snapshot(self):
@@ -200,13 +200,13 @@
             self.fronts,
             [p.to_record() for p in self.permits.values()],
             self.ended,
-            self.without,
+            self.left_without_permit,
             self.departed,
         ]
 
     def restore(self, state):
         """Replace the state by a stored one."""
-        budgets, warmth, boxes, failed, fronts, permits, ended, self.without, departed = state
+        budgets, warmth, boxes, failed, fronts, permits, ended, self.left_without_permit, departed = state
         self.budgets = [DisruptionBudget(*b) for b in budgets]
         self.warmth = Warmth(*warmth)
         self.boxes = {b[0]: ManagedServer(*b) for b in boxes}
@@ -215,7 +215,7 @@
         self.ended = list(ended)
         self.departed = dict(departed)
         self.permits = {p[0]: MaintenancePermit(*p) for p in permits}
-        self.of_box = {p.box: p for p in self.permits.values() if p.step in OPEN_STEPS}
+        self.open_by_box = {p.box: p for p in self.permits.values() if p.step in OPEN_STEPS}
 
     # Queries.
 
@@ -225,7 +225,9 @@
         reasons.update(
             {b.name: "lost" for b in self.boxes.values() if b.role == "front" and b.name not in self.fronts}
         )
-        reasons.update({p.box: STEP_WORDS[p.step] for p in self.of_box.values() if p.step in COUNTED_STEPS})
+        reasons.update(
+            {p.box: STEP_WORDS[p.step] for p in self.open_by_box.values() if p.step in COUNTED_STEPS}
+        )
         return {name: why for name, why in reasons.items() if name in self.boxes}
 
     def blocked_by(self, permit, out=None):
@@ -271,7 +273,7 @@
         A request that is not allowed at all (its release is halted) makes no other one wait.
         """
         found, claimed = {}, []
-        asked = [p for p in self.of_box.values() if p.step is PermitStep.ASKED and is_allowed(p)]
+        asked = [p for p in self.open_by_box.values() if p.step is PermitStep.ASKED and is_allowed(p)]
         out = self.out() if asked else {}
         for permit in asked:
             why, box = self.blocked_by(permit, out), self.boxes.get(permit.box)
@@ -300,11 +302,13 @@
             return STEP_WORDS[self.permits[id].step]
         if box not in self.boxes:
             return "no such box"
-        if (other := self.of_box.get(box)) is not None:
+        if (other := self.open_by_box.get(box)) is not None:
             return f"asked for already, as {other.id}"
-        if len(self.of_box) >= OPEN_PERMITS_MAX:
+        if len(self.open_by_box) >= OPEN_PERMITS_MAX:
             return "too many requests"
-        permit = self.permits[id] = self.of_box[box] = MaintenancePermit(id, box, by, why, release, version)
+        permit = self.permits[id] = self.open_by_box[box] = MaintenancePermit(
+            id, box, by, why, release, version
+        )
         return STEP_WORDS[permit.step]
 
     def grant_available(self, index, is_allowed=lambda permit: True):
@@ -316,7 +320,7 @@
             permit = next(
                 (
                     p
-                    for p in self.of_box.values()
+                    for p in self.open_by_box.values()
                     if p.step is PermitStep.ASKED and p.id not in blocked and is_allowed(p)
                 ),
                 None,
@@ -359,7 +363,7 @@
 
         Without any live front nothing advances: that nobody is there to object proves nothing.
         """
-        for permit in list(self.of_box.values()):
+        for permit in list(self.open_by_box.values()):
             self._advance(permit)
 
     def mark_out(self, id, holder):
@@ -426,7 +430,7 @@
 
     def give_up(self, box):
         """An operator says that the server won't come back: it no longer counts, neither as out nor as in service."""
-        permit = self.of_box.get(box)
+        permit = self.open_by_box.get(box)
         if box not in self.boxes:
             return "no such box"
         del self.boxes[box]
@@ -438,7 +442,7 @@
     def set_boxes(self, boxes):
         """Replace the servers by those of a front's view. One that is out stays until it is back or given up."""
         listed = {box.name: box for box in boxes}
-        out = {*self.failed, *[p.box for p in self.of_box.values() if p.step in COUNTED_STEPS]}
+        out = {*self.failed, *[p.box for p in self.open_by_box.values() if p.step in COUNTED_STEPS]}
         kept = {name: box for name, box in self.boxes.items() if name in out and name not in listed}
         self.boxes = listed | kept
         self.failed = {name: why for name, why in self.failed.items() if name in self.boxes}
@@ -471,7 +475,7 @@
         """Return {box: step} of servers out by a permit, or with one granted while they were in service."""
         return {
             p.box: STEP_WORDS[p.step]
-            for p in self.of_box.values()
+            for p in self.open_by_box.values()
             if p is not excluded
             and (
                 p.step in (PermitStep.OUT, PermitStep.COLD)
@@ -485,7 +489,7 @@
 
         Where the budgets have no room for it now the permit waits again like any other; one that is out stays out.
         """
-        permit = self.of_box.get(name)
+        permit = self.open_by_box.get(name)
         if permit is None or permit.step not in (PermitStep.GRANTED, PermitStep.DRAINED):
             return
         others = {box: why for box, why in self.out().items() if box != name}
@@ -495,8 +499,11 @@
     def front_left(self, name, incarnation):
         """A front ends by SIGTERM, so nobody has to wait for its lease; one without a permit is counted."""
         if self.fronts.get(name) == incarnation:
-            permit = self.of_box.get(name)
-            self.without += permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT)
+            permit = self.open_by_box.get(name)
+            self.left_without_permit += permit is None or permit.step not in (
+                PermitStep.DRAINED,
+                PermitStep.OUT,
+            )
             del self.fronts[name]
             self.departed[name] = incarnation
             while len(self.departed) > ENDED_MAX:
@@ -505,7 +512,7 @@
     def _end(self, permit, step):
         permit.step = step
         self.just_ended.append(permit)
-        self.of_box.pop(permit.box, None)
+        self.open_by_box.pop(permit.box, None)
         self.ended.append(permit.id)
         while len(self.ended) > ENDED_MAX:
             del self.permits[self.ended.pop(0)]
--- a/sprucegate/fleet/rollout/releases.py
+++ b/sprucegate/fleet/rollout/releases.py
@@ -46,7 +46,7 @@
 class Release:
     """One release: its plan, its present wave and what is done.
 
-    :ivar done: boxes that have the new version; `ahead`: in a rollback, the boxes that still have it.
+    :ivar done: boxes that have the new version; `to_roll_back`: in a rollback, the boxes that still have it.
     :ivar run: raised by each resume and rollback, so that permits are requested under new ids.
     :ivar gate_passed: whether the gate of the present wave has passed.
     """
@@ -61,7 +61,7 @@
         done=(),
         run=0,
         gate_passed=False,
-        ahead=(),
+        to_roll_back=(),
     ):
         self.plan = plan
         self.by = by
@@ -71,7 +71,7 @@
         self.done = list(done)
         self.run = run
         self.gate_passed = gate_passed
-        self.ahead = list(ahead)
+        self.to_roll_back = list(to_roll_back)
 
     def to_record(self):
         """Return the release in its stored form."""
@@ -85,7 +85,7 @@
             self.done,
             self.run,
             self.gate_passed,
-            self.ahead,
+            self.to_roll_back,
         ]
 
     @classmethod
@@ -178,7 +178,7 @@
         release = self.releases.get(name)
         if release is None or release.phase is not ReleasePhase.HALTED:
             return "is not halted"
-        release.phase = ReleasePhase.BACK if release.ahead else ReleasePhase.RUNNING
+        release.phase = ReleasePhase.BACK if release.to_roll_back else ReleasePhase.RUNNING
         release.why = ""
         release.gate_passed = False
         self._record(name, "resumed", by)
@@ -196,10 +196,10 @@
         # A box that is out for this release has the new version, or may have: it is rolled back once it has returned.
         out = [
             p.box
-            for p in self.permits.of_box.values()
+            for p in self.permits.open_by_box.values()
             if p.release == name and p.version == release.plan.version
         ]
-        release.ahead = [*reversed(release.done), *[box for box in out if box not in release.done]]
+        release.to_roll_back = [*reversed(release.done), *[box for box in out if box not in release.done]]
         release.phase, release.why = ReleasePhase.BACK, f"{by} turned it back"
         self._record(name, "goes back", by)
         release.run += 1
@@ -264,14 +264,14 @@
                         for box in release.plan.waves[release.wave]:
                             self._request_permit(release, box)
             elif release.phase is ReleasePhase.BACK:
-                for box in release.ahead:
+                for box in release.to_roll_back:
                     self._request_permit(release, box)
-                if not release.ahead:
+                if not release.to_roll_back:
                     release.phase = ReleasePhase.RETURNED
                     self._record(release.plan.name, "returned")
 
     def _request_permit(self, release, box):
-        if box in self.permits.boxes and box not in self.permits.of_box:
+        if box in self.permits.boxes and box not in self.permits.open_by_box:
             self.permits.ask(
                 release.permit_id(box),
                 box,
@@ -287,10 +287,10 @@
                 release.done.append(permit.box)
             elif permit.version == release.plan.former:
                 release.done = [box for box in release.done if box != permit.box]
-                release.ahead = [box for box in release.ahead if box != permit.box]
-        release.ahead = [box for box in release.ahead if box in self.permits.boxes]
+                release.to_roll_back = [box for box in release.to_roll_back if box != permit.box]
+        release.to_roll_back = [box for box in release.to_roll_back if box in self.permits.boxes]
 
     def _withdraw_permits(self, release):
-        for permit in list(self.permits.of_box.values()):
+        for permit in list(self.permits.open_by_box.values()):
             if permit.release == release.plan.name:
                 self.permits.withdraw(permit.id)
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -91,14 +91,14 @@
         """Return {box: index of its permit} of boxes that get nothing new and are not named as sources."""
         return {
             p.box: p.index
-            for p in self.permits.of_box.values()
+            for p in self.permits.open_by_box.values()
             if PermitStep.GRANTED <= p.step <= PermitStep.OUT
         }
 
     def waits(self):
         """Return {id: reason} of all requests that wait."""
         found = self.permits.blocked(self.releases.allows)
-        for permit in self.permits.of_box.values():
+        for permit in self.permits.open_by_box.values():
             if permit.step is PermitStep.ASKED and not self.releases.allows(permit):
                 release = self.releases.releases[permit.release]
                 found[permit.id] = (
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -193,7 +193,7 @@
 
     def turn(self, now):
         found, world = [], self.world
-        for permit in [p for p in self.machine.permits.of_box.values() if p.box in self.boxes]:
+        for permit in [p for p in self.machine.permits.open_by_box.values() if p.box in self.boxes]:
             cache, id = world.caches[permit.box], permit.id
             if now - self.renewed.get(id, -10 * S) > 5 * S and permit.step in (
                 PermitStep.GRANTED,
@@ -440,10 +440,10 @@
         halted = [n for n, r in machine.releases.releases.items() if r.phase.name == "HALTED"]
         if halted:
             world.operator(next(iter(world.fronts)), "back", halted[0], "op")
-        elif not machine.permits.of_box and all(r.over() for r in machine.releases.releases.values()):
+        elif not machine.permits.open_by_box and all(r.over() for r in machine.releases.releases.values()):
             break
     machine = world.machine()
-    for permit in machine.permits.of_box.values():
+    for permit in machine.permits.open_by_box.values():
         world.note("", "open", permit.id, permit.step.name, permit.box)
     for name, release in machine.releases.releases.items():
         world.note("", "release", name, release.phase.name)
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -200,7 +200,7 @@
         log.do("drained", "r-c0", name, 1)
     log.do("left", "z", 1)
     log.do("front", "z", 1, True)  # it still follows the log until it ends
-    assert log.step("r-c0") is PermitStep.DRAINED and log.machine.permits.without == 1
+    assert log.step("r-c0") is PermitStep.DRAINED and log.machine.permits.left_without_permit == 1
     assert RolloutLeader(log.machine, 0).due(contacts(S, "xyz"), S) == []
     log.do("front", "z", 2, True)
     assert log.machine.permits.fronts["z"] == 2
@@ -331,8 +331,8 @@
         log.do("warm", "v2/0/c1", "s", name, 1)
     one = log.machine.releases.releases["v2"]
     versions = {}
-    while one.ahead:
-        permit = next(p for p in log.machine.permits.of_box.values() if p.step is PermitStep.GRANTED)
+    while one.to_roll_back:
+        permit = next(p for p in log.machine.permits.open_by_box.values() if p.step is PermitStep.GRANTED)
         versions[permit.box] = permit.version
         log.back(permit.id, start=f"back-{permit.box}")
     assert one.phase is ReleasePhase.RETURNED and versions == {"c0": "1", "c1": "1"} and one.done == []
@@ -785,7 +785,7 @@
 REPORTS_ALL_DRAINED = (
     "due",
     lambda self, machine, drained, warm, now, real=FrontReporter.due: real(
-        self, machine, {p.box: 1 for p in machine.permits.of_box.values()}, warm, now
+        self, machine, {p.box: 1 for p in machine.permits.open_by_box.values()}, warm, now
     ),
 )
 NEVER_BLOCKED = ("blocked_by", lambda self, permit, out=None: None)
