--- a/sprucegate/fleet/rollout/follower.py
+++ b/sprucegate/fleet/rollout/follower.py
@@ -49,7 +49,7 @@
         permits, found, self.same = machine.permits, [], True
         if not permits.fronts or min(permits.fronts) != self.name:
             return []
-        if limits != [[list(b) for b in permits.budgets], list(permits.warmth)]:
+        if limits != [[list(b) for b in permits.budgets], list(permits.capacity)]:
             found.append(["limits", *limits])
         out = permits.out()
         known = [list(b) for b in permits.boxes.values() if b.name not in out or b.name in boxes]
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -94,14 +94,14 @@
         return _SCOPE_VALUES[self.scope](box)
 
 
-class Warmth(NamedTuple):
+class CapacityLimits(NamedTuple):
     """Load that caches can take, in thousandths of their usual load.
 
-    `floor`: what a cold cache takes (the cold share of the settings); `spare`: how much a cache in service may take in
+    `cold_share`: what a cold cache takes, by the settings; `spare`: how much a cache in service may take in
     addition to its own load.
     """
 
-    floor: int
+    cold_share: int
     spare: int
 
 
@@ -179,7 +179,7 @@
 
     def __init__(self):
         self.budgets = []
-        self.warmth = Warmth(0, 1000)
+        self.capacity = CapacityLimits(0, 1000)
         self.boxes = {}
         self.failed = {}
         self.fronts = {}
@@ -194,7 +194,7 @@
         """Return the state in its stored form."""
         return [
             [list(b) for b in self.budgets],
-            list(self.warmth),
+            list(self.capacity),
             [list(b) for b in self.boxes.values()],
             self.failed,
             self.fronts,
@@ -206,9 +206,9 @@
 
     def restore(self, state):
         """Replace the state by a stored one."""
-        budgets, warmth, boxes, failed, fronts, permits, ended, self.left_without_permit, departed = state
+        budgets, capacity, boxes, failed, fronts, permits, ended, self.left_without_permit, departed = state
         self.budgets = [DisruptionBudget(*b) for b in budgets]
-        self.warmth = Warmth(*warmth)
+        self.capacity = CapacityLimits(*capacity)
         self.boxes = {b[0]: ManagedServer(*b) for b in boxes}
         self.failed = dict(failed)
         self.fronts = dict(fronts)
@@ -251,7 +251,9 @@
         away = sum(b.name in out for b in same) + 1
         # Load that cold caches can't take goes to the caches in service, and to the parents what exceeds their spare
         # capacity.
-        if box.role == "cache" and away * (1000 - self.warmth.floor) > (len(same) - away) * self.warmth.spare:
+        if box.role == "cache" and (
+            away * (1000 - self.capacity.cold_share) > (len(same) - away) * self.capacity.spare
+        ):
             return "warm", f"{box.kind} in {box.location}", away - 1, away - 1
         for budget in self.budgets:
             if budget.applies_to(box):
--- a/sprucegate/fleet/rollout/rollout.py
+++ b/sprucegate/fleet/rollout/rollout.py
@@ -4,7 +4,13 @@
 unknown command, of a newer build, changes nothing, and the answer says so.
 """
 
-from sprucegate.fleet.rollout.permits import DisruptionBudget, ManagedServer, PermitStep, PermitTable, Warmth
+from sprucegate.fleet.rollout.permits import (
+    CapacityLimits,
+    DisruptionBudget,
+    ManagedServer,
+    PermitStep,
+    PermitTable,
+)
 from sprucegate.fleet.rollout.releases import PHASE_WORDS, ReleasePlan, ReleaseTable
 
 STATE_FORMAT = 1
@@ -83,9 +89,9 @@
         self.releases.advance()
         return answer, self.permits.grant_available(index, self.releases.allows)
 
-    def _set_limits(self, budgets, warmth):
+    def _set_limits(self, budgets, capacity):
         self.permits.budgets = [DisruptionBudget(*one) for one in budgets]
-        self.permits.warmth = Warmth(*warmth)
+        self.permits.capacity = CapacityLimits(*capacity)
 
     def drained(self):
         """Return {box: index of its permit} of boxes that get nothing new and are not named as sources."""
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -150,7 +150,7 @@
     events.EjectionGossip: "cache started as_source remaining slowness age",
     permits.ManagedServer: "name role location kind group weight",
     permits.DisruptionBudget: "scope of role count share",
-    permits.Warmth: "floor spare",
+    permits.CapacityLimits: "cold_share spare",
     releases.ReleasePlan: "name kind version former waves bake",
 }
 
