--- a/sprucegate/fleet/consensus/codec.py
+++ b/sprucegate/fleet/consensus/codec.py
@@ -84,13 +84,13 @@
 
 
 def _checked_propose_request(message):
-    if fault := commands.fault(message.command):
+    if fault := commands.validation_error(message.command):
         raise ConsensusMessageError(fault)
     return message
 
 
 def _checked_follow_request(message):
-    return message._replace(report=commands.report(message.report))
+    return message._replace(report=commands.parse_report(message.report))
 
 
 _CHECKS = {
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -206,10 +206,10 @@
 
     async def propose(self, command):
         """The word for an operator's request, or an error, within PATIENCE; given again it has no second effect."""
-        if fault := commands.fault(command):
+        if fault := commands.validation_error(command):
             return {"ok": False, "error": fault}
         inner = command[2] if command[0] == "once" else command
-        if inner[0] not in commands.BY_OPERATORS:
+        if inner[0] not in commands.OPERATOR_COMMANDS:
             return {"ok": False, "error": f"{inner[0]} is not an operator's to say"}
         if self.follower is None:
             return {"ok": False, "error": "a keeper takes no requests; ask a front"}
--- a/sprucegate/fleet/rollout/commands.py
+++ b/sprucegate/fleet/rollout/commands.py
@@ -9,7 +9,7 @@
 
 TEXT_LENGTH_MAX = 200  # characters of a name or a reason
 BOXES_MAX = 5000
-SHAPES = {
+ARGUMENT_TYPES = {
     "ask": tuple[str, str, str, str],
     "withdraw": tuple[str],
     "drained": tuple[str, str, int],
@@ -31,13 +31,24 @@
     "gate": tuple[str, int, int, bool, str],
     "trouble": tuple[str, str],
 }
-BY_OPERATORS = ("ask", "withdraw", "give-up", "release", "halt", "resume", "back", "out", "renew", "started")
-REPORT = tuple[list[tuple[str, int, int, int, int, int, int]], list[str], dict[str, str]]
+OPERATOR_COMMANDS = (
+    "ask",
+    "withdraw",
+    "give-up",
+    "release",
+    "halt",
+    "resume",
+    "back",
+    "out",
+    "renew",
+    "started",
+)
+REPORT_TYPE = tuple[list[tuple[str, int, int, int, int, int, int]], list[str], dict[str, str]]
 # A report has a column for each metric after the count of GETs, with starts in the place of crashes.
 assert len(METRICS) == 5
 
 
-def fault(command):
+def validation_error(command):
     """Return why this is not a valid command, or ""."""
     if not isinstance(command, list) or not command or not isinstance(command[0], str):
         return "no command"
@@ -46,8 +57,8 @@
             return "once wants an id and a command"
         if not isinstance(command[2], list) or command[2][:1] == ["once"]:
             return "no command"
-        return fault(command[2])
-    fields = SHAPES.get(command[0])
+        return validation_error(command[2])
+    fields = ARGUMENT_TYPES.get(command[0])
     if fields is None:
         return f"{command[0][:60]} is not known"
     try:
@@ -61,9 +72,9 @@
     return ""
 
 
-def report(received):
+def parse_report(received):
     """Return a front's report, or an empty one if it is not valid."""
     try:
-        return msgspec.convert(received, REPORT)
+        return msgspec.convert(received, REPORT_TYPE)
     except msgspec.ValidationError:
         return []
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -154,7 +154,7 @@
     releases.ReleasePlan: "name kind version former waves bake",
 }
 
-COMMAND_NAMES = set(commands.SHAPES)
+COMMAND_NAMES = set(commands.ARGUMENT_TYPES)
 
 
 def plain(value):
@@ -289,7 +289,7 @@
 
 def fault_of_command(command):
     """Why the code would refuse that command at the door, or ""."""
-    return commands.fault(command)
+    return commands.validation_error(command)
 
 
 # Folders.
