--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -172,10 +172,10 @@
                 min(self.machine.permits.fronts, default=""),
             )
             if key != self.compared and self.speaks:
-                said = self.words.view(
+                said = self.words.list_changes(
                     self.machine, self.face.boxes(), self.node.limits(self.face.floor()), now
                 )
-                self.compared = key if self.words.same else None
+                self.compared = key if self.words.matches_log else None
                 wanted += said
             for command in wanted:
                 self._do(self.follower.propose(command, None, now, PATIENCE))
--- a/sprucegate/fleet/rollout/follower.py
+++ b/sprucegate/fleet/rollout/follower.py
@@ -10,14 +10,14 @@
     """What a front reports to the replicated log: that it drained a server, and that one is warm again.
 
     :ivar proposed: {command as text: when it was proposed}.
-    :ivar same: whether the log has this front's boxes and limits.
+    :ivar matches_log: whether the log has this front's boxes and limits.
     """
 
     def __init__(self, name, incarnation):
         self.name = name
         self.incarnation = incarnation
         self.proposed = {}
-        self.same = False
+        self.matches_log = False
 
     def due(self, machine, drained, warm, now):
         """Return reports to propose.
@@ -41,12 +41,12 @@
                 found.append(["warm", permit.id, permit.start, self.name, self.incarnation])
         return self._not_pending(found, now)
 
-    def view(self, machine, boxes, limits, now):
+    def list_changes(self, machine, boxes, limits, now):
         """Return commands that bring the log's boxes and limits up to date with this front's lists and file.
 
         Only the first live front by name proposes them.
         """
-        permits, found, self.same = machine.permits, [], True
+        permits, found, self.matches_log = machine.permits, [], True
         if not permits.fronts or min(permits.fronts) != self.name:
             return []
         if limits != [[list(b) for b in permits.budgets], list(permits.capacity)]:
@@ -55,7 +55,7 @@
         known = [list(b) for b in permits.boxes.values() if b.name not in out or b.name in boxes]
         if sorted(known) != sorted(map(list, boxes.values())):
             found.append(["boxes", [list(b) for b in boxes.values()]])
-        self.same = not found  # by what is committed, not by what is proposed
+        self.matches_log = not found  # by what is committed, not by what is proposed
         return self._not_pending(found, now)
 
     def _not_pending(self, commands, now):
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -172,7 +172,7 @@
                 [name, *cache.served(self.name), cache.starts] for name, cache in self.world.caches.items()
             ]
             self.follower.report = [rows, down, {}]
-        return self.words.view(self.machine, self.world.listed, LIMITS, now) + self.words.due(
+        return self.words.list_changes(self.machine, self.world.listed, LIMITS, now) + self.words.due(
             self.machine, self.drained, self._warm, now
         )
 
