--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -48,7 +48,7 @@
     def on_attempt_ended(self, cache, outcome, found, took, asked):
         """Count the end of an attempt for the report that analysis gates rest on."""
         if self.face is not None:
-            self.face.forwarded(
+            self.face.attempt_ended(
                 cache, outcome, found, took, self.fleet.driver.router.latency_objective(asked)
             )
 
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -153,7 +153,7 @@
 
     def _follows(self, now):
         fenced = self.follower.is_fenced(now)
-        self.face.follows(self.machine, fenced, now)
+        self.face.on_log_applied(self.machine, fenced, now)
         if fenced != self.fenced:
             self.fenced = fenced
             self.log("keepers_lost" if fenced else "keepers_found", index=self.follower.applied_index)
@@ -163,17 +163,17 @@
         self._do(self.follower.on_timer(now))
         if now - self.words_at >= DUTIES * S and not self.stale:
             self.words_at = now
-            wanted = self.words.due(self.machine, self.face.drained, self.face.warm, now)
+            wanted = self.words.due(self.machine, self.face.drained_boxes, self.face.is_warm, now)
             # Where nothing changed on either side there is nothing to compare: boxes may be thousands.
             key = (
-                self.face.changed(),
+                self.face.boxes_key(),
                 id(self.machine.permits.boxes),
                 len(self.machine.permits.boxes),
                 min(self.machine.permits.fronts, default=""),
             )
             if key != self.compared and self.speaks:
                 said = self.words.list_changes(
-                    self.machine, self.face.boxes(), self.node.limits(self.face.floor()), now
+                    self.machine, self.face.boxes(), self.node.limits(self.face.cold_share()), now
                 )
                 self.compared = key if self.words.matches_log else None
                 wanted += said
@@ -192,12 +192,12 @@
                             # A newer build's: what it says of boxes is no longer known, so nothing is said to it.
                             self.stale = True
                             self.log("agreed_newer", error=word)
-                    self.face.holds(self.machine)
+                    self.face.apply_drains(self.machine)
                 case ReplaceState():
                     machine = RolloutStateMachine()
                     self.stale = not machine.restore(action.state)
                     self.machine = machine if not self.stale else self.machine
-                    self.face.holds(self.machine)
+                    self.face.apply_drains(self.machine)
                 case ProposalCompleted():
                     if (waiter := self.waiting.pop(action.token, None)) is not None and not waiter.done():
                         waiter.set_result((action.result, action.index))
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -38,9 +38,9 @@
     :ivar views: tracker that is told which fronts the log counts as live, or None.
     :ivar applied_drains: {box: (id, start) of the drained server}; `log_drains`: {box: index of its permit}.
     :ivar counts: {box: [GETs, errors, sheds, late answers, misses]}.
-    :ivar missed: {box: attempts in a row that did not reach it}.
+    :ivar unreached: {box: attempts in a row that did not reach it}.
     :ivar own_drain: whether this front's own permit keeps clients away.
-    :ivar seen: (generation of the endpoint view, its rows by name).
+    :ivar rows_cache: (generation of the endpoint view, its rows by name).
     :ivar reported: {box: its row in the latest report that had one}.
     :ivar cold: {box: (start, since when it is cold, GETs before that)}; `starts`: {box: (start time, starts)}.
     """
@@ -53,17 +53,17 @@
         self.applied_drains = {}
         self.log_drains = {}
         self.counts = {}
-        self.missed = {}
+        self.unreached = {}
         self.name = driver.wanted.name
         self.own_drain = False
-        self.seen = (-1, {})
+        self.rows_cache = (-1, {})
         self.reported = {}
         self.cold = {}
         self.starts = {}
         self.location_names = {value: name for name, value in driver.wanted.locations.items()}
         self.kind_names = {value: name for name, value in driver.wanted.kinds.items()}
 
-    def floor(self):
+    def cold_share(self):
         """Return the share of its full rate that a cold cache can take, by the settings."""
         return self.driver.router.settings.cold_share
 
@@ -71,8 +71,8 @@
         """Return the view's caches and parents by name; an origin never goes out by a permit."""
         view, origin = self.merged.view, self.driver.router.settings.origin_kind
         # Rebuilt only when the view has changed: with 20,000 rows a rebuild at each call would delay GETs.
-        if self.seen[0] != view.generation:
-            self.seen = (
+        if self.rows_cache[0] != view.generation:
+            self.rows_cache = (
                 view.generation,
                 {
                     row.server.name: row
@@ -80,9 +80,9 @@
                     if row.standing.name != "GONE" and row.server.entry.kind != origin
                 },
             )
-        return self.seen[1]
+        return self.rows_cache[1]
 
-    def changed(self):
+    def boxes_key(self):
         """Return a key that changes whenever the result of `boxes` may change."""
         return self.merged.view.generation, [(name, m.state) for name, m in sorted(self.members().items())]
 
@@ -110,14 +110,14 @@
         listed = next((view.lists[source][at] for source in view.order if at in view.lists[source]), None)
         return max(1, int(1000 * listed.entry.weight)) if listed is not None else 1
 
-    def follows(self, machine, fenced, now):
+    def on_log_applied(self, machine, fenced, now):
         """Pass on the fronts that the log counts as live, and whether this front is fenced from the log."""
         if self.views is not None:
             self.views.on_log_applied(machine.index, machine.permits.fronts, fenced, now)
 
     # Drains.
 
-    def holds(self, machine):
+    def apply_drains(self, machine):
         """Apply the log's drains to the view, and lift those that ended; drains by other sources are not touched."""
         self.log_drains, now = machine.drained(), self.driver.clock()
         rows = self._rows()
@@ -142,7 +142,7 @@
                 self.cold[permit.box] = permit.start, now, self.counts.get(permit.box, [0])[0]
                 upstream = self._upstream(permit.box, rows)
                 if upstream is not None:
-                    self.missed.pop(permit.box, None)
+                    self.unreached.pop(permit.box, None)
                     # Connections to the former start prove nothing of this one.
                     upstream.transport.leave(upstream)
                     self.driver.servers.warm(upstream, now)
@@ -154,7 +154,7 @@
         return self.driver.servers.places.get(row.server.entry.id) if row is not None else None
 
     @property
-    def drained(self):
+    def drained_boxes(self):
         """Boxes that get nothing new from here and are not named as sources, once the whole change was handed over."""
         if getattr(self.merged, "queue", None):
             return {}
@@ -167,15 +167,15 @@
 
     # Reports.
 
-    def forwarded(self, cache, outcome, cache_status, duration, objective):
+    def attempt_ended(self, cache, outcome, cache_status, duration, objective):
         """Count an attempt that ended at a box, for the gates of releases."""
         upstream = self.driver.servers.places.get(cache)
         if upstream is None or outcome is AttemptOutcome.CANCELLED:
             return
         if outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT):
-            self.missed[upstream.name] = self.missed.get(upstream.name, 0) + 1
+            self.unreached[upstream.name] = self.unreached.get(upstream.name, 0) + 1
             return
-        self.missed.pop(upstream.name, None)
+        self.unreached.pop(upstream.name, None)
         row = self.counts.setdefault(upstream.name, [0, 0, 0, 0, 0])
         row[0] += 1
         row[1] += outcome in (AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.TIMED_OUT)
@@ -195,7 +195,7 @@
             self.starts = {name: one for name, one in self.starts.items() if name in rows}
             self.reported = {name: one for name, one in self.reported.items() if name in rows}
         unreachable = [
-            name for name, times in self.missed.items() if times >= UNREACHABLE_AFTER and name in rows
+            name for name, times in self.unreached.items() if times >= UNREACHABLE_AFTER and name in rows
         ]
         changed = []
         for name in rows:
@@ -214,7 +214,7 @@
             {"origin": "rests"} if nodes and all(now < node.as_cache.ejected_until for node in nodes) else {}
         )
 
-    def warm(self, box, start):
+    def is_warm(self, box, start):
         """Whether that start answers this front and has had its warm-up time.
 
         By then its slow start is over at every front.
@@ -222,7 +222,7 @@
         seen, rows, now = self.cold.get(box), self._rows(), self.driver.clock()
         if box in self.members() or box not in rows:
             return box == self.name and self.driver.ready
-        if seen is None or seen[0] != start or self.missed.get(box):
+        if seen is None or seen[0] != start or self.unreached.get(box):
             return False
         upstream, router = self._upstream(box, rows), self.driver.router
         if upstream is None or rows[box].standing.name != "SERVING":
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -478,6 +478,6 @@
         router=NS(settings=RoutingSettings()),
     )
     face.merged, face.members = NS(view=NS(generation=1)), dict
-    face.seen, face.missed, face.counts, face.name = (1, {"s-10": row}), {}, {}, "n0"
+    face.rows_cache, face.unreached, face.counts, face.name = (1, {"s-10": row}), {}, {}, "n0"
     face.cold = {"s-10": ("s1", 10, 0)}
-    assert face.warm("s-10", "s1") is warm and not face.warm("s-10", "s2")
+    assert face.is_warm("s-10", "s1") is warm and not face.is_warm("s-10", "s2")
