--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -150,14 +150,14 @@
 
     # Events of the front, called by its driver.
 
-    def tenant(self, headers):
+    def tenant_index(self, headers):
         """Return the index of a client's tenant; clients that name no listed one belong to the common tenant."""
         index, listed = tenant_of(headers.get(self.node.header_bytes), self.node.listed)
         if not listed:
             self.driver.book.count("tenants_unlisted")
         return index
 
-    def waits(self, request, source, now):
+    def request_slot(self, request, source, now):
         """A request needs a slot. No attempt was sent for this fill; it is routed again once it has the slot."""
         wait = SlotWait(request, source)
         self.waits_by_request[request] = wait
@@ -167,7 +167,7 @@
         deadline = monotonic + request.handle.deadline - now
         self._perform(self.quotas.request_arrived(wait, source, request.tenant, deadline, monotonic))
 
-    def sent(self, request, attempt, action, now):
+    def attempt_sent(self, request, attempt, action, now):
         """An attempt is sent: it uses the request's slot, if it is the fill that the slot was granted for."""
         wait = self.waits_by_request.get(request)
         if wait is None or not wait.granted or wait.attempt is not None:
@@ -177,7 +177,7 @@
             attempt.place = wait
             attempt.limit = min(attempt.limit, now + self.settings.fill_time_max)
 
-    def ended(self, attempt, outcome, cache_status, fill_duration, now):
+    def attempt_ended(self, attempt, outcome, cache_status, fill_duration, now):
         """An attempt ended; `cache_status` and `fill_duration` (ns, or 0) are those of its answer."""
         wait = attempt.place
         if wait is None:
@@ -198,7 +198,7 @@
             )
             self._perform(self.quotas.fill_ended(wait, fill_duration or duration, on_time, monotonic))
 
-    def left(self, request):
+    def request_ended(self, request):
         """A request is finished or its client has left, so it no longer waits."""
         wait = self.waits_by_request.pop(request, None)
         if wait is None:
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -66,7 +66,7 @@
         client.get, self.ids[get.id], get.until = get, get, now + max(0, get.asked.ttl)
         get.story.append((now, "read"))
         if self.places is not None:
-            get.tenant = self.places.tenant(request.headers)
+            get.tenant = self.places.tenant_index(request.headers)
         if len(self.open) >= self.most:
             self.book.count("shed_over_bound")
             get.handle = self.router.start_request(get.asked, now)
@@ -117,7 +117,7 @@
             out.number, outcome, found, now - out.at, waited, load, finished, now
         )
         if out.place is not None:
-            self.places.ended(out, outcome, found, waited, now)
+            self.places.attempt_ended(out, outcome, found, waited, now)
         if decided:
             self.say(get, decided, now)
         elif get.handle.is_settled():
@@ -130,7 +130,7 @@
             self._log(get)
         self.ids.pop(get.id, None)
         if self.places is not None:
-            self.places.left(get)
+            self.places.request_ended(get)
         # Get and forwards hold each other: left so, each GET would wait for the collector.
         if self.open.pop(get.handle, None) is not None:
             get.forwards.clear()
@@ -188,7 +188,7 @@
         get.answered, get.client.get, get.left_at = True, None, now
         get.story.append((now, "client left"))
         if self.places is not None:
-            self.places.left(get)
+            self.places.request_ended(get)
         self.take_back(get)
         self.say(get, get.handle.client_disconnected(now), now)
 
@@ -287,12 +287,12 @@
                     ) is not None and former.outcome is not None:
                         self.book.count(f"retries_after_{former.outcome.name.lower()}")
                     if self.places is not None:
-                        self.places.sent(get, out, one, now)
+                        self.places.attempt_sent(get, out, one, now)
                     self.servers.forward(out, one)
                     self._limit(out)
                     self.armed_by(out.limit)
                 case AwaitSlot():
-                    self.places.waits(get, one.fill_source, now)
+                    self.places.request_slot(get, one.fill_source, now)
                 case RejectRequest():
                     self.book.count("gets_shed")
                     self.book.count("gets_shed_after_attempts" if get.forwards else "gets_shed_unsent")
