--- a/tests/test_benchmarks.py
+++ b/tests/test_benchmarks.py
@@ -78,7 +78,7 @@
     [
         ("schedules", "replica.replica", "HELD_EVERY", 300_000_000),
         ("keepers", "consensus.replication", "ENTRIES_PER_MESSAGE", 3),
-        ("rollouts", "rollout.follower", "AGAIN", 1_500_000_000),
+        ("rollouts", "rollout.follower", "RETRY_INTERVAL", 1_500_000_000),
         ("sharing", "quotas.fair_queue", "INITIAL_FILL_SAMPLES", 9),
     ],
 )
