--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -65,9 +65,8 @@
     assert sent.fill_source == action.fill_source
     for cache in CACHES:
         believed(made, ask, cache)
-    assert not isinstance(
-        made.start_request(ask, NOW).route(NOW)[0], AwaitSlot
-    )  # a sibling or the cache itself has the object
+    # A sibling or the cache itself has the object.
+    assert not isinstance(made.start_request(ask, NOW).route(NOW)[0], AwaitSlot)
     assert not isinstance(made.start_request(asked(ds=2), NOW).route(NOW)[0], AwaitSlot)
     made.slot_limited_sources = ()
     assert not isinstance(made.start_request(asked(obj=5), NOW).route(NOW)[0], AwaitSlot)
@@ -123,9 +122,8 @@
 def test_a_request_that_cannot_be_filled_before_its_deadline_is_abandoned_at_once_or_in_time():
     one = queue(count=1)
     one.request_arrived("x", 21, 1, 1 << 60, 0)
-    assert one.request_arrived("late", 21, 1, 150 * MS, 0) == [
-        AbandonWait("late", 21)
-    ]  # two fills of 100 ms each take longer
+    # Two fills of 100 ms each take longer.
+    assert one.request_arrived("late", 21, 1, 150 * MS, 0) == [AbandonWait("late", 21)]
     assert one.request_arrived("waits", 21, 1, 250 * MS, 0) == []
     assert one.request_arrived("after", 21, 1, 280 * MS, 0) == [AbandonWait("after", 21)]
     assert one.next_deadline() == 150 * MS and one.on_timer(149 * MS) == []
@@ -202,30 +200,22 @@
     assert one.available_slots(21, 10 * S) == ({}, 2)  # its floor
     one.follow(LeaseHolderId("b", 7), 10 * S)
     [sent] = one.on_timer(lambda s: SourceState([TenantDemand(1, 0, 3)], 0), lambda s: (0, 0), 10 * S)
-    sent_request = sent.message
-    assert isinstance(sent, Send) and (sent.to, sent_request.lease_holder, sent_request.echo) == ("b", 7, 0)
-    assert one.available_slots(21, 10 * S) == (
-        {},
-        0,
-    )  # its floor may be lent by the lease holder from here on
+    message = sent.message
+    assert isinstance(sent, Send) and (sent.to, message.lease_holder, message.echo) == ("b", 7, 0)
+    # Its floor may be lent by the lease holder from here on.
+    assert one.available_slots(21, 10 * S) == ({}, 0)
     assert one.on_grant(
         "b",
-        LeaseGrant(
-            sent_request.epoch, sent_request.sequence, 5, 9, [SourceGrant(21, 1, [TenantSlots(1, 2)])]
-        ),
+        LeaseGrant(message.epoch, message.sequence, 5, 9, [SourceGrant(21, 1, [TenantSlots(1, 2)])]),
         10 * S + 100 * MS,
     )
     assert one.available_slots(21, 10 * S + LEASE_DURATION - 1) == ({1: 2}, 3)
-    assert one.available_slots(21, 10 * S + LEASE_DURATION) == (
-        {},
-        0,
-    )  # no timer has to run for that, as after a suspension
-    assert not one.on_grant(
-        "b", LeaseGrant(sent_request.epoch, sent_request.sequence, 5, 9, []), 10 * S
-    )  # twice
-    assert not one.on_grant(
-        "c", LeaseGrant(sent_request.epoch, sent_request.sequence, 5, 10, []), 10 * S
-    )  # not its lease holder
+    # No timer has to run for that, as after a suspension.
+    assert one.available_slots(21, 10 * S + LEASE_DURATION) == ({}, 0)
+    # The same grant again.
+    assert not one.on_grant("b", LeaseGrant(message.epoch, message.sequence, 5, 9, []), 10 * S)
+    # A grant of another front than its lease holder.
+    assert not one.on_grant("c", LeaseGrant(message.epoch, message.sequence, 5, 10, []), 10 * S)
     back = 10 * S + promise_duration(SETTINGS.floor_waiver)
     assert one.available_slots(21, back - 1) == ({}, 0) and one.available_slots(21, back) == ({}, 2)
     one.may_borrow = one.may_use_floors = False
@@ -250,9 +240,8 @@
     )[0].message
     assert grant.sources == [(21, 0, [(1, 2)]), (31, 1, [])] and lease_holder.capacity(21, now) == 2
     assert lease_holder.on_request("a", request(sequence=2, echo=now), now) == []  # twice
-    assert (
-        lease_holder.on_request("b", request(lease_holder=6, echo=now), now) == []
-    )  # meant for another incarnation of this name
+    # Meant for another incarnation of this name.
+    assert lease_holder.on_request("b", request(lease_holder=6, echo=now), now) == []
     lease_holder.on_request("b", request(echo=now, rows=[[21, 3, 0, 0, 0, [[2, 3, 1]]]]), now)
     assert lease_holder.capacity(21, now) == 4
     # b still uses three of the four slots: one is free, whatever the weights give to a.
@@ -731,9 +720,8 @@
         rig.fronts["n0"].until("fleet_off")
         rig.fronts["n0"].until("ready")
         call = next(Gets.calls)
-        assert (
-            rig.get("n0", call, call)[0] == 503
-        )  # the floor may still be lent by a former incarnation: rejected at once
+        # The floor may still be lent by a former incarnation: rejected at once.
+        assert rig.get("n0", call, call)[0] == 503
 
         def filled():
             call = next(Gets.calls)
