--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -177,8 +177,8 @@
 def filled(folder, count, now, later=0):
     """A front's folder with that many purges, as its own snapshot would be."""
     keeping = ReplicaStorage(Disk(), str(folder))
-    start = keeping.start()
-    keeping.open(0)
+    start = keeping.count_start()
+    keeping.load(0)
     # Purges of just now, old ones the front would put by at once; the same at all, or each dot had several contents.
     facts = [
         ReplicatedRecord(("purge", "object", n), (now - n + later,), ("n0", start << 32, n + 1))
@@ -272,7 +272,7 @@
 
     made, before = Replica("n1", 1, RandomSource("n1", 1), 0), rss()
     for n in range(count):
-        made.facts.join(ReplicatedRecord(("purge", "object", n), (n + 1,), ("n0", 1 << 32, n + 1)))
+        made.store.join(ReplicatedRecord(("purge", "object", n), (n + 1,), ("n0", 1 << 32, n + 1)))
     return (rss() - before) / count
 
 
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -71,7 +71,7 @@
             fill_time_max=node.longest or max(timeouts, default=FILL_TIME_MAX_DEFAULT),
             waiting_max=node.waiting,
         )
-        self.quotas = QuotaCoordinator(fleet.name, fleet.being, self.settings, time.monotonic_ns())
+        self.quotas = QuotaCoordinator(fleet.name, fleet.random_bits, self.settings, time.monotonic_ns())
         # Until the first membership view; floors that a former incarnation has waived are still not used.
         self.quotas.borrower.may_use_floors = True
         self.waits_by_request = {}
@@ -84,7 +84,7 @@
     async def start(self):
         """Start with the front's identity in the fleet."""
         self.running = True
-        own = self.fleet.peer.members.own
+        own = self.fleet.fleet_node.members.own
         self.on_identity_changed(own.name, own.incarnation)
         self._update_slow_start()
 
@@ -125,7 +125,7 @@
 
     def on_view_changed(self, view):
         """Tell the coordinator who may be lease holder, and whether this front may borrow or use its floors."""
-        own = self.fleet.peer.members.own
+        own = self.fleet.fleet_node.members.own
         candidates = [
             (name, row.incarnation)
             for name, row in view.rows.items()
@@ -256,7 +256,7 @@
         self.driver.arm(now)
 
     def _send(self, to, message):
-        members = self.fleet.peer.members
+        members = self.fleet.fleet_node.members
         if to == members.own.name:
             self.loop.call_soon(self._on_own_message, message)
             return
@@ -266,7 +266,7 @@
             self.fleet.links.send(to, member.address, frame, False)
 
     def _on_own_message(self, message):
-        own = self.fleet.peer.members.own
+        own = self.fleet.fleet_node.members.own
         self._perform(self.quotas.on_message(own.name, message, time.monotonic_ns()))
 
     # Timers.
--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -58,10 +58,13 @@
 
 
 class RealFront:
-    """One front's files, and its process while it has one; `lines` has its log."""
+    """One front's files, and its process while it has one; `lines` has its log.
+
+    `checkout`: the folder of another build of sprucegate that the process runs; None for this one."""
 
     def __init__(self, rig, name, number):
         self.rig, self.name, self.number, self.process = rig, name, number, None
+        self.checkout = None
         self.folder = rig.folder / name
         self.folder.mkdir()
         self.faults = Faults(self.folder / "faults")
@@ -104,6 +107,7 @@
                 str(self.folder / "front.kdl"),
             ],
             stdout=subprocess.PIPE,
+            cwd=self.checkout,
             env={**os.environ, "BALANCER_CONFIG": str(self.folder / "config.json")},
         )
         threading.Thread(target=self._read, args=(self.process,), daemon=True).start()
@@ -151,8 +155,8 @@
         try:
             with socket.create_connection(("127.0.0.1", self.fleet_port), 3) as sock:
                 sock.sendall(
-                    codec.greeting(codec.Greeting(codec.VERSION, "rig", "operator", "", "", 0))
-                    + codec.question(codec.Question(what, list(given)))
+                    codec.encode_greeting(codec.Greeting(codec.VERSION, "rig", "operator", "", "", 0))
+                    + codec.encode_question(codec.Question(what, list(given)))
                 )
                 while piece := sock.recv(1 << 16):
                     data += piece
@@ -203,6 +207,7 @@
                 *flags,
             ],
             stdout=subprocess.PIPE,
+            cwd=self.checkout,
         )
         threading.Thread(target=self._read, args=(self.process,), daemon=True).start()
 
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -73,8 +73,8 @@
         self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
         self.keeping = ReplicaStorage(self.disk, "/f")
         try:
-            life = self.keeping.start() << 32 | fleet.chance.randrange(1 << 32)
-            kept = self.keeping.open(now)
+            life = self.keeping.count_start() << 32 | fleet.chance.randrange(1 << 32)
+            kept = self.keeping.load(now)
         except Crashed:
             return self.crash()
         except OSError:
@@ -82,16 +82,16 @@
             return fleet.at(now + S, self._again)
         fleet.note(self.name, "life", life)
         self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
-        self.peer.loaded(kept.facts.values(), kept.lives, now)
-        fleet.note(self.name, "loaded", self.peer.replica.facts.seen.as_ranges(), self.holds())
-        self.done(self.peer.starts(now))
+        self.peer.load(kept.records.values(), kept.seen, now)
+        fleet.note(self.name, "loaded", self.peer.replica.store.seen.as_ranges(), self.holds())
+        self.done(self.peer.start(now))
 
     def _again(self):
         if not self.up:
             self.start()
 
     def holds(self):
-        return {fact.key: fact.value for fact in self.peer.replica.facts.held.values()}
+        return {fact.key: fact.value for fact in self.peer.replica.store.held.values()}
 
     def crash(self):
         self.up, self.peer, self.lying = False, None, []
@@ -102,8 +102,8 @@
 
     def told(self, key, value):
         before = self.peer.replica.counter
-        actions = self.peer.told(key, value, self.fleet.now)
-        fact = self.peer.replica.facts.held.get(key)
+        actions = self.peer.on_own_record(key, value, self.fleet.now)
+        fact = self.peer.replica.store.held.get(key)
         if fact is not None:
             self.fleet.note(self.name, "told", key, fact.value, self.peer.replica.counter > before)
         self.done(actions)
@@ -128,10 +128,10 @@
             name, address, message, _ = sent
             to = name if name in fleet.fronts else fleet.by_address.get(address or self._address(name))
             if isinstance(message, CatchUpMark) or isinstance(message, SeenReport) and not message.number:
-                fleet.note(self.name, "says-seen", message.lives)
+                fleet.note(self.name, "says-seen", message.seen)
             if isinstance(message, SpreadRecords | TransferEnd):
                 fleet.bytes += sum(
-                    20 + len(str(f)) for f in (message.facts if isinstance(message, SpreadRecords) else [])
+                    20 + len(str(f)) for f in (message.records if isinstance(message, SpreadRecords) else [])
                 )
             if to is not None:
                 fleet.send(self, to, message)
@@ -148,15 +148,15 @@
                     fleet.note(self.name, "not-kept", fault)
                     fleet.later(MS, self, self._not_kept, number, fault, generation)
             case RecordInForce():
-                fleet.note(self.name, "acts", action.fact.key, action.fact.value)
+                fleet.note(self.name, "acts", action.record.key, action.record.value)
             case RecordDiscarded():
-                fleet.note(self.name, "let-go", action.fact.key, action.fact.value)
+                fleet.note(self.name, "let-go", action.record.key, action.record.value)
             case CaughtUp():
                 fleet.note(
                     self.name,
                     "live",
                     action.how,
-                    self.peer.replica.facts.seen.as_ranges(),
+                    self.peer.replica.store.seen.as_ranges(),
                     {n: self.peer.replica.marks[n].as_ranges() for n in action.asked},
                     self.holds(),
                 )
@@ -183,10 +183,10 @@
         if generation != self.generation or not self.up:
             return
         try:
-            start = self.keeping.start(least)
+            start = self.keeping.count_start(least)
         except OSError:
             return self.fleet.later(S, self, self._renew, least, alias, generation)
-        self.peer.renewed(start, alias)
+        self.peer.renew(start, alias)
         self.fleet.note(self.name, "life", self.peer.members.own.incarnation)
 
     def _looked(self, name, life):
@@ -194,7 +194,7 @@
         cut = self.fleet.network.cut
         there = self.fleet.fronts[name.partition("~")[0]].up
         if self.up and not there and not {(self.name, name), (name, self.name)} & cut:
-            self.done(self.peer.refused(name, life, self.fleet.now))
+            self.done(self.peer.on_connection_refused(name, life, self.fleet.now))
 
     def _address(self, name):
         member = self.peer.members.known.get(name)
@@ -203,13 +203,13 @@
     def _synced(self, number, generation):
         if generation != self.generation or not self.up:
             return
-        self.done(self.peer.synced(number, self.fleet.now))
-        if self.up and self.keeping.full(LOG_MOST):
+        self.done(self.peer.on_written(number, self.fleet.now))
+        if self.up and self.keeping.needs_snapshot(LOG_MOST):
             self.snapshot()
 
     def _not_kept(self, number, fault, generation):
         if generation == self.generation and self.up:
-            self.done(self.peer.not_kept(number, fault, self.fleet.now))
+            self.done(self.peer.on_write_failed(number, fault, self.fleet.now))
             self.fleet.later(S, self, self.snapshot)
 
     def snapshot(self):
@@ -219,19 +219,19 @@
             if self.peer.replica.writing is not None:
                 return
             fault = self.keeping.begin_snapshot()
-            held, lives = self.peer.replica.captured()
+            held, lives = self.peer.replica.begin_snapshot()
             if fault is None:
                 pieces = [
                     encode_records(held[at : at + RECORDS_PER_PIECE])
                     for at in range(0, len(held), RECORDS_PER_PIECE)
                 ]
                 fault = self.keeping.finish_snapshot(lives, pieces, self.fleet.now)
-            if fault is None and not self.peer.replica.kept:
+            if fault is None and not self.peer.replica.is_disk_writable:
                 self.fleet.note(self.name, "kept", [(f.key, f.value) for f in held])
-                self.done(self.peer.replica.disk_is_back(lives, self.fleet.now))
+                self.done(self.peer.replica.on_disk_recovered(lives, self.fleet.now))
         except Crashed:
             return self.crash()
-        if fault is not None and not self.peer.replica.kept:
+        if fault is not None and not self.peer.replica.is_disk_writable:
             self.fleet.later(S, self, self.snapshot)
 
 
@@ -262,7 +262,7 @@
             if f is not ended and f.up and not {(f.name, ended.name), (ended.name, f.name)} & self.network.cut
         ]
         for other in self.chance.sample(others, min(LINKS, len(others))):
-            self.later(MS, other, other.event, other.peer.reset, ended.name, self.now + MS)
+            self.later(MS, other, other.event, other.peer.on_connection_reset, ended.name, self.now + MS)
 
     def pause(self, name, on):
         front = self.fronts[name]
@@ -319,7 +319,7 @@
     def dump(self):
         for name, front in self.fronts.items():
             if front.up:
-                self.note(name, "dump", front.holds(), front.peer.replica.facts.root())
+                self.note(name, "dump", front.holds(), front.peer.replica.store.root())
 
     # What fronts do.
 
@@ -348,10 +348,10 @@
 
     def _comes(self, sender, name, other, message):
         if other.up and other.peer is not None:
-            other.event(other.peer.heard, name, message, self.now)
+            other.event(other.peer.on_message, name, message, self.now)
 
     def wake(self, front):
-        due = front.peer.next_due()
+        due = front.peer.next_deadline()
         if self.armed.get(front.name, (None, None)) != (front.generation, due):
             self.armed[front.name] = front.generation, due
             heapq.heappush(
@@ -366,4 +366,4 @@
             self.turns[front.name] = self.now // S, 1 + (times if second == self.now // S else 0)
             if times > TURNS_MOST:
                 raise Spins(f"{front.name} is due without end at {self.now}")
-            front.event(front.peer.due, self.now)
+            front.event(front.peer.on_timer, self.now)
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -733,9 +733,13 @@
 def test_a_peer_that_grants_too_many_slots_is_refused_and_disconnected(shared):
     front = shared.fronts["n0"]
     with socket.create_connection(("127.0.0.1", front.fleet_port), 3) as sock:
-        sock.sendall(codec.greeting(codec.Greeting(codec.VERSION, "rig", "front", "n9", "127.0.0.1:1", 5)))
         sock.sendall(
-            codec.frame(codec.ComponentMessage("shares", encode(LeaseGrant(1, 1, 1, 1, [[0x13, 7, []]]))))
+            codec.encode_greeting(codec.Greeting(codec.VERSION, "rig", "front", "n9", "127.0.0.1:1", 5))
+        )
+        sock.sendall(
+            codec.encode_message(
+                codec.ComponentMessage("shares", encode(LeaseGrant(1, 1, 1, 1, [[0x13, 7, []]])))
+            )
         )
         sock.settimeout(5)
         while sock.recv(4096):
