--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -56,7 +56,7 @@
     def on_attempt_ended(self, endpoint, outcome, cache_status, duration, request):
         """Count the end of an attempt for the report that the gates of releases evaluate."""
         if self.agent is not None:
-            self.agent.forwarded(
+            self.agent.attempt_ended(
                 endpoint,
                 outcome,
                 cache_status,
--- a/sprucegate/fleet/consensus/driver.py
+++ b/sprucegate/fleet/consensus/driver.py
@@ -104,7 +104,7 @@
 
         The leader then need not wait for the end of its lease.
         """
-        permit = self.state_machine.permits.of_box.get(self.name)
+        permit = self.state_machine.permits.open_by_box.get(self.name)
         if permit is None or permit.step not in (PermitStep.DRAINED, PermitStep.OUT):
             self.log("left_without_permit")
         self._perform(
@@ -175,7 +175,7 @@
 
     def _on_follower_timer(self, now):
         fenced = self.follower.is_fenced(now)
-        self.agent.follows(self.state_machine, fenced, now)
+        self.agent.on_log_applied(self.state_machine, fenced, now)
         if fenced != self.fenced:
             self.fenced = fenced
             self.log("keepers_lost" if fenced else "keepers_found", index=self.follower.applied_index)
@@ -185,19 +185,21 @@
         self._perform(self.follower.on_timer(now))
         if now - self.reporter_ran_at >= REPORTER_INTERVAL_SECONDS * NS_PER_SECOND and not self.incompatible:
             self.reporter_ran_at = now
-            proposals = self.reporter.due(self.state_machine, self.agent.drained, self.agent.warm, now)
+            proposals = self.reporter.due(
+                self.state_machine, self.agent.drained_boxes, self.agent.is_warm, now
+            )
             # Servers are compared with the log only where either side changed, as there may be thousands of them.
             inputs = (
-                self.agent.changed(),
+                self.agent.boxes_key(),
                 id(self.state_machine.permits.boxes),
                 len(self.state_machine.permits.boxes),
                 min(self.state_machine.permits.fronts, default=""),
             )
             if inputs != self.compared_inputs and self.may_report_servers:
-                updates = self.reporter.view(
-                    self.state_machine, self.agent.boxes(), self.settings.limits(self.agent.floor()), now
+                updates = self.reporter.list_changes(
+                    self.state_machine, self.agent.boxes(), self.settings.limits(self.agent.cold_share()), now
                 )
-                self.compared_inputs = inputs if self.reporter.same else None
+                self.compared_inputs = inputs if self.reporter.matches_log else None
                 proposals += updates
             for command in proposals:
                 self._perform(self.follower.propose(command, None, now, PROPOSAL_TIMEOUT))
@@ -214,12 +216,12 @@
                             # Of a newer build: the state is no longer complete here, so nothing is proposed from it.
                             self.incompatible = True
                             self.log("agreed_newer", error=result)
-                    self.agent.holds(self.state_machine)
+                    self.agent.apply_drains(self.state_machine)
                 case ReplaceState():
                     state_machine = RolloutStateMachine()
-                    self.incompatible = not state_machine.load_state(action.state)
+                    self.incompatible = not state_machine.restore(action.state)
                     self.state_machine = state_machine if not self.incompatible else self.state_machine
-                    self.agent.holds(self.state_machine)
+                    self.agent.apply_drains(self.state_machine)
                 case ProposalCompleted():
                     if (waiter := self.waiters.pop(action.token, None)) is not None and not waiter.done():
                         waiter.set_result((action.result, action.index))
@@ -231,10 +233,10 @@
 
         A command that is wrapped in `once` takes effect once, however often it is proposed.
         """
-        if fault := commands.fault(command):
+        if fault := commands.validation_error(command):
             return {"ok": False, "error": fault}
         inner = command[2] if command[0] == "once" else command
-        if inner[0] not in commands.BY_OPERATORS:
+        if inner[0] not in commands.OPERATOR_COMMANDS:
             return {"ok": False, "error": f"{inner[0]} is not an operator's to say"}
         if self.follower is None:
             return {"ok": False, "error": "a keeper takes no requests; ask a front"}
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -39,13 +39,13 @@
     def installs(self, index, state):
         machine = RolloutStateMachine()
         if state:
-            machine.load_state(msgspec.msgpack.decode(state))
+            machine.restore(msgspec.msgpack.decode(state))
         self.serving = LogServer(self.keeper, machine)
         self.leading = None
 
     def whole(self):
         # Packed as on the way: a state that two machines share would be changed by both.
-        return msgspec.msgpack.encode(self.serving.machine.dump_state())
+        return msgspec.msgpack.encode(self.serving.machine.snapshot())
 
     def applies(self, entries):
         machine = self.serving.machine
@@ -141,7 +141,7 @@
                     self.machine.apply(index, command)
             elif isinstance(action, ReplaceState):
                 self.machine = RolloutStateMachine()
-                self.machine.load_state(msgspec.msgpack.decode(action.state))
+                self.machine.restore(msgspec.msgpack.decode(action.state))
 
     def _due(self, generation):
         if generation != self.generation:
@@ -172,7 +172,7 @@
                 [name, *cache.served(self.name), cache.starts] for name, cache in self.world.caches.items()
             ]
             self.follower.report = [rows, down, {}]
-        return self.words.view(self.machine, self.world.listed, LIMITS, now) + self.words.due(
+        return self.words.list_changes(self.machine, self.world.listed, LIMITS, now) + self.words.due(
             self.machine, self.drained, self._warm, now
         )
 
@@ -193,7 +193,7 @@
 
     def turn(self, now):
         found, world = [], self.world
-        for permit in [p for p in self.machine.permits.of_box.values() if p.box in self.boxes]:
+        for permit in [p for p in self.machine.permits.open_by_box.values() if p.box in self.boxes]:
             cache, id = world.caches[permit.box], permit.id
             if now - self.renewed.get(id, -10 * S) > 5 * S and permit.step in (
                 PermitStep.GRANTED,
@@ -440,10 +440,10 @@
         halted = [n for n, r in machine.releases.releases.items() if r.phase.name == "HALTED"]
         if halted:
             world.operator(next(iter(world.fronts)), "back", halted[0], "op")
-        elif not machine.permits.of_box and all(r.over() for r in machine.releases.releases.values()):
+        elif not machine.permits.open_by_box and all(r.over() for r in machine.releases.releases.values()):
             break
     machine = world.machine()
-    for permit in machine.permits.of_box.values():
+    for permit in machine.permits.open_by_box.values():
         world.note("", "open", permit.id, permit.step.name, permit.box)
     for name, release in machine.releases.releases.items():
         world.note("", "release", name, release.phase.name)
@@ -453,7 +453,7 @@
                 name,
                 "dump-machine",
                 world.boxes[name].serving.machine.index,
-                repr(world.boxes[name].serving.machine.dump_state()[2:]),
+                repr(world.boxes[name].serving.machine.snapshot()[2:]),
             )
 
 
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -505,6 +505,6 @@
         router=SimpleNamespace(settings=RoutingSettings()),
     )
     agent.merged, agent.members = SimpleNamespace(view=SimpleNamespace(generation=1)), dict
-    agent.seen, agent.missed, agent.counts, agent.name = (1, {"s-10": row}), {}, {}, "n0"
+    agent.rows_cache, agent.unreached, agent.counts, agent.name = (1, {"s-10": row}), {}, {}, "n0"
     agent.cold = {"s-10": ("s1", 10, 0)}
-    assert agent.warm("s-10", "s1") is warm and not agent.warm("s-10", "s2")
+    assert agent.is_warm("s-10", "s1") is warm and not agent.is_warm("s-10", "s2")
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -150,11 +150,11 @@
     events.EjectionGossip: "cache started as_source remaining slowness age",
     permits.ManagedServer: "name role location kind group weight",
     permits.DisruptionBudget: "scope of role count share",
-    permits.Warmth: "floor spare",
+    permits.CapacityLimits: "cold_share spare",
     releases.ReleasePlan: "name kind version former waves bake",
 }
 
-COMMAND_NAMES = set(commands.SHAPES)
+COMMAND_NAMES = set(commands.ARGUMENT_TYPES)
 
 
 def plain(value):
@@ -267,7 +267,7 @@
     def of_state(cls, encoded):
         """The machine that a snapshot holds; None where the code refuses its format."""
         made = cls()
-        return made if made.rollout.load_state(msgspec.msgpack.decode(encoded)) else None
+        return made if made.rollout.restore(msgspec.msgpack.decode(encoded)) else None
 
     def apply(self, index, command):
         """(the word for whoever proposed it, ids of the permits that it grants)."""
@@ -275,10 +275,10 @@
         return word, [permit.id for permit in granted]
 
     def state(self):
-        return plain(self.rollout.dump_state())
+        return plain(self.rollout.snapshot())
 
     def encoded(self):
-        return msgspec.msgpack.encode(self.rollout.dump_state())
+        return msgspec.msgpack.encode(self.rollout.snapshot())
 
     def steps(self):
         return {int(permit.step) for permit in self.rollout.permits.permits.values()}
@@ -289,7 +289,7 @@
 
 def fault_of_command(command):
     """Why the code would refuse that command at the door, or ""."""
-    return commands.fault(command)
+    return commands.validation_error(command)
 
 
 # Folders.
