--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -158,7 +158,7 @@
         """Return None: HTTP/2's timers are its own."""
         return None
 
-    def idle(self):
+    def oldest_idle(self):
         """The connection unused longest, as (since, its close), or None."""
         found = [
             (at.used, place, number)
@@ -211,7 +211,7 @@
         out = waiting.out
         if out.ended:  # given up in the same turn
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
-        left = self.driver.sending.left(out, self.driver.clock())
+        left = self.driver.sending.time_left(out, self.driver.clock())
         if left is None:
             self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
@@ -222,14 +222,14 @@
         if stream is None:
             self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
-        waiting.connection, waiting.stream, out.progress = connection, stream, Progress.PARTLY
+        waiting.connection, waiting.stream, out.progress = connection, stream, Progress.PARTIAL
         self.driver.sending.began(out, self.driver.clock())
         self._want_flush(connection)
 
     def _open(self, place, number):
         session = Http2Session(self.limits.held, self.driver.clock())
         connection = place.held.connections[number] = H2Connection(place, number, session)
-        if not self.servers.room():
+        if not self.servers.make_room():
             connection.lacking = True  # nothing is known of the server
             self.loop.call_soon(self._ended, connection, "no room for another connection")
             self.servers.connections += 1
@@ -447,7 +447,7 @@
                 else pool.lost(connection.number, reached, now),
             )
         self._arm(place)  # the pool may have let it go before, and not be asked again
-        self.servers.forget(place)
+        self.servers.drop_if_unused(place)
         for stream in streams:
             self._tell(stream.out.out, evidence.of_end(session.written(stream), stream.id, session.last), now)
 
--- a/sprucegate/upstream/lines/connection.py
+++ b/sprucegate/upstream/lines/connection.py
@@ -1,4 +1,4 @@
-"""What is kept of one connection to a server that speaks lines."""
+"""The state of one connection to a server that speaks the line protocol."""
 
 from collections import deque
 
@@ -6,39 +6,65 @@
 
 
 class LineConnection:
-    """One connection to a place; `open` has the forwards on it that await an answer."""
+    """One connection to a server.
+
+    :ivar server: its UpstreamServer
+    :ivar sock: its socket, None before it was created
+    :ivar reader: parses what the server sends
+    :ivar connect_task: the task that establishes it
+    :ivar up: it is established and not closed
+    :ivar closed: it was closed
+    :ivar queue: what waits to be sent: (bytes, None), or (None, attempt), which is encoded just before its first byte
+    :ivar attempts: the attempts on it that await an answer, by call id
+    :ivar last_used: time of the last attempt or answer (ns)
+    :ivar unsent: the rest of a line that was sent in part
+    :ivar sending: the attempt of that line; None for a cancel
+    :ivar writer_registered: whether the event loop calls back when the socket takes more
+    :ivar retry_timer: timer of the next try to send, where the socket reports writable and takes nothing
+    :ivar stall_check_armed: whether a stall check is scheduled
+    :ivar reachable: the failed connect does not show an unreachable server
+    :ivar up_since: when it was established (ns)
+    :ivar last_read: time of the last bytes from the server (ns)
+    :ivar answered: time of the last complete answer (ns)
+    """
 
     __slots__ = (
-        "place",
+        "server",
         "sock",
         "reader",
-        "task",
-        "writing",
-        "retry",
+        "connect_task",
+        "writer_registered",
+        "retry_timer",
         "up",
         "closed",
         "queue",
-        "rest",
+        "unsent",
         "sending",
-        "open",
-        "used",
-        "heard",
+        "attempts",
+        "last_used",
+        "last_read",
         "answered",
-        "watched",
-        "in_reach",
-        "made",
+        "stall_check_armed",
+        "reachable",
+        "up_since",
     )
 
-    def __init__(self, place, now):
-        self.place, self.sock, self.reader = place, None, AnswerReader()
-        self.task, self.up, self.closed = None, False, False
-        # What waits to be sent, (bytes, None) or (None, forward), whose line is made when its first byte goes.
-        self.queue, self.open, self.used = deque(), {}, now
-        self.rest, self.sending = b"", None  # of a line sent in part; its forward
-        self.writing, self.retry = (
-            False,
-            None,
-        )  # whether the loop tells when more can be sent; or a timer does
-        self.watched = self.in_reach = False
-        self.made = 0  # when it came up
-        self.heard, self.answered = now, now  # its last byte, and its last whole answer
+    def __init__(self, server, now):
+        self.server = server
+        self.sock = None
+        self.reader = AnswerReader()
+        self.connect_task = None
+        self.up = False
+        self.closed = False
+        self.queue = deque()
+        self.attempts = {}
+        self.last_used = now
+        self.unsent = b""
+        self.sending = None
+        self.writer_registered = False
+        self.retry_timer = None
+        self.stall_check_armed = False
+        self.reachable = False
+        self.up_since = 0
+        self.last_read = now
+        self.answered = now
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -1,4 +1,7 @@
-"""Lines as a transport: forwards to servers that speak them, and what comes back, with how far each came."""
+"""The transport of the line protocol: connections to the servers that speak it, and the attempts on them.
+
+Each attempt records how much of it was sent, which tells "never executed" from "may have been executed" at its end.
+"""
 
 import asyncio
 import socket
@@ -9,249 +12,292 @@
 from sprucegate.upstream.lines import codec
 from sprucegate.upstream.lines.connection import LineConnection
 from sprucegate.upstream.progress import Progress
-from sprucegate.upstream.sockets import RETRY, is_local, receive_into, send, set_no_delay, stands
+from sprucegate.upstream.sockets import (
+    RETRY_DELAY_S,
+    has_pending_input,
+    is_local,
+    receive_into,
+    send,
+    set_no_delay,
+)
 
-LOOKS = 8  # reads of what stands on resting connections before one is taken
+PENDING_READS_MAX = 8  # reads of pending input on idle connections before one of them is used
 
 
 class LineTransport:
-    """Speaks the line protocol with servers: connections, the attempts on them, and their bounds."""
+    """Sends attempts over the line protocol, within the bounds on connections and on attempts per connection."""
 
     def __init__(self, servers, driver, pool, settings):
-        self.servers, self.driver, self.pool = servers, driver, pool
+        self.servers = servers
+        self.driver = driver
+        self.pool = pool  # of read buffers
         self.connect_timeout = settings.get("connect_timeout", 400_000_000)
-        self.streams = settings.get("max_streams", 100)
-        # A request that crosses the close of an idle connection may have run: better an own close before.
+        self.attempts_max = settings.get("max_streams", 100)  # on one connection
+        # A request that crosses the server's close of an idle connection may have been executed: the front closes
+        # idle connections before the server's keep-alive time ends.
         keepalive = settings.get("keepalive", 15_000_000_000)
-        self.idle_most = max(keepalive // 2, keepalive - self.connect_timeout)
+        self.idle_timeout = max(keepalive // 2, keepalive - self.connect_timeout)
         self.loop = asyncio.get_running_loop()
-        self.stalls = deque()  # (due, connection): answers begun that may not go on
-        self.resting = OrderedDict()  # connections that are up with nothing open, the longest so first
+        self.stall_checks = deque()  # (when due, connection): connections with a partly received answer
+        self.idle_connections = OrderedDict()  # established ones without attempts, the longest idle first
 
-    def kept(self, place):
-        """Return what the transport keeps for one server: its connections."""
-        return []  # its connections
+    def kept(self, server):
+        """Return the transport's state for one server: a list of its connections."""
+        return []
 
-    def open_connections(self, place):
-        """Return how many connections to a server there are."""
-        return len(place.held)
+    def open_connections(self, server):
+        """Return the number of connections to a server."""
+        return len(server.held)
 
-    def came_up(self, place, since):
-        """Whether a connection that is there was made since then."""
-        return any(c.up and c.made >= since for c in place.held)
+    def came_up(self, server, since):
+        """Return whether a connection that is still up was established at or after `since`."""
+        return any(c.up and c.up_since >= since for c in server.held)
 
-    def moved(self, place):
-        """Connections made to the old address serve on; new ones go to the new one."""
+    def moved(self, server):
+        """Do nothing: connections to the former address stay in use, new ones go to the new address."""
 
-    def leave(self, place):
-        """The server has gone: close what is idle there."""
-        for connection in list(place.held):
-            if not connection.open:
+    def leave(self, server):
+        """Close the idle connections to a server that was removed."""
+        for connection in list(server.held):
+            if not connection.attempts:
                 self.close(connection)
 
-    def warm(self, place, now):
-        """Connect ahead of the first attempt."""
-        if not place.held:
-            self._connect(place, now)
-
-    def forward(self, place, out, said, source):
-        """Send an attempt; its end is told to the driver."""
-        get = out.get
-        connection = self._connection(place, get, out.at)
-        if connection is None:  # no room here: nothing is known of the cache
-            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+    def warm(self, server, now):
+        """Connect to a server ahead of its first attempt."""
+        if not server.held:
+            self._connect(server, now)
+
+    def forward(self, server, attempt, action, source):
+        """Send an attempt; its end is reported to the driver."""
+        get = attempt.get
+        connection = self._choose_connection(server, get, attempt.at)
+        if connection is None:  # no capacity on this side: it says nothing about the cache
+            self.loop.call_soon(
+                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+            )
             return
-        # Never again on this one: a late answer, or a second copy of one, would bear the same id.
+        # A later attempt of this request must not use the same connection: a late answer, or a duplicate of one,
+        # would bear the same id.
         get.left_on.append(connection)
-        self.resting.pop(connection, None)
-        out.connection, connection.used, out.said = connection, out.at, (said, source)
-        connection.open[get.id] = out
-        self._queue(connection, None, out)
-
-    def withdraw(self, out):
-        """Takes a forward back of which no byte has left; whether it could."""
-        connection = out.connection
+        self.idle_connections.pop(connection, None)
+        attempt.connection = connection
+        connection.last_used = attempt.at
+        attempt.said = action, source
+        connection.attempts[get.id] = attempt
+        self._enqueue(connection, None, attempt)
+
+    def withdraw(self, attempt):
+        """Withdraw an attempt of which no byte was sent; return whether that was possible."""
+        connection = attempt.connection
         if (
-            out.progress is not Progress.NOT_SENT
+            attempt.progress is not Progress.NOT_SENT
             or connection is None
-            or connection.open.get(out.get.id) is not out
+            or connection.attempts.get(attempt.get.id) is not attempt
         ):
             return False
-        del connection.open[out.get.id]
-        out.get.left_on.remove(connection)  # no answer can come here for what never went
-        for at, (_, queued) in enumerate(connection.queue):
-            if queued is out:
-                del connection.queue[at]
+        del connection.attempts[attempt.get.id]
+        attempt.get.left_on.remove(connection)  # nothing was sent, so no late answer can arrive here
+        for index, (_, queued) in enumerate(connection.queue):
+            if queued is attempt:
+                del connection.queue[index]
                 break
-        self._rests(connection)
+        self._update_idle(connection)
         return True
 
-    def cancel(self, out, timed_out=False):
-        """The front's side ends at once: NOT_SENT where no byte had left, else nothing is proved."""
-        self.withdraw(out)
-        if out.progress is Progress.NOT_SENT:  # also where news took it back, and its end is on the way
+    def cancel(self, attempt, timed_out=False):
+        """Cancel an attempt at once; return NOT_SENT if no byte was sent, else None, as it may have run."""
+        self.withdraw(attempt)
+        if (
+            attempt.progress is Progress.NOT_SENT
+        ):  # also if it was withdrawn before and its end is being reported
             return AttemptOutcome.NOT_SENT
-        connection = out.connection
-        if connection is None or connection.open.get(out.get.id) is not out:
+        connection = attempt.connection
+        if connection is None or connection.attempts.get(attempt.get.id) is not attempt:
             return None
-        del connection.open[out.get.id]
-        self._rests(connection)
-        # Left open after a spoilt answer it would serve nothing more, and look just like this. The others on
-        # it have waited in vain too where the time is up; where a client left, they may still be answered.
-        silent = connection.answered < out.at
+        del connection.attempts[attempt.get.id]
+        self._update_idle(connection)
+        # A connection without an answer since this attempt was decided may be out of step after a corrupt answer,
+        # and would then serve nothing more if it were kept. After a time-out it is closed at once, since the other
+        # attempts on it have waited in vain too; after a client's disconnect they may still be answered.
+        silent = connection.answered < attempt.at
         if not connection.closed and not silent:
-            self._queue(connection, codec.cancel(out.get.id), None)
-        if not connection.open and (silent or connection.place.gone) or silent and timed_out:
+            self._enqueue(connection, codec.cancel(attempt.get.id), None)
+        if not connection.attempts and (silent or connection.server.gone) or silent and timed_out:
             self.loop.call_soon(self.close, connection)
         return None
 
-    def _least_busy(self, place, get, now):
+    def _least_busy(self, server, get, now):
         best = None
-        for connection in list(place.held):
-            if not connection.open and connection.up and now - connection.used > self.idle_most:
+        for connection in list(server.held):
+            if not connection.attempts and connection.up and now - connection.last_used > self.idle_timeout:
                 self.close(connection)
-            elif connection in get.left_on or len(connection.open) >= self.streams:
+            elif connection in get.left_on or len(connection.attempts) >= self.attempts_max:
                 continue
-            elif best is None or self._waits(connection) < self._waits(best):
+            elif best is None or self._load_rank(connection) < self._load_rank(best):
                 best = connection
         return best
 
     @staticmethod
-    def _waits(connection):
-        """Its rank for the next forward: behind how many, on half of an answer to nobody, on its coming up."""
-        return len(connection.open), connection.reader.partial(), not connection.up, -connection.used
-
-    def _connection(self, place, get, now):
-        """The least busy one, or a new one while there is room: what spoils one should spoil few GETs."""
-        best = self._least_busy(place, get, now)
-        # Against a request into one that its cache has just closed: nobody could tell whether it ran. What stands
-        # unread before an end hides it, and what can't be read ends the connection just as well.
-        for _ in range(LOOKS):
-            if best is None or not best.up or best.open or not stands(best.sock):
+    def _load_rank(connection):
+        """Return the order of preference for the next attempt, the lowest first.
+
+        It compares open attempts, whether part of an answer was received, whether it is still connecting, last use.
+        """
+        return (
+            len(connection.attempts),
+            connection.reader.partial(),
+            not connection.up,
+            -connection.last_used,
+        )
+
+    def _choose_connection(self, server, get, now):
+        """Return the least busy connection, or a new one while the bounds allow it.
+
+        New ones are preferred to busy ones: the loss of a connection should affect few requests.
+        """
+        best = self._least_busy(server, get, now)
+        # Pending input on an idle connection is read first: if its cache has just closed it, nobody could tell whether
+        # a request sent into it was executed. Unread bytes hide the close behind them, so several reads may be needed;
+        # bytes that can't be parsed end the connection as well.
+        for _ in range(PENDING_READS_MAX):
+            if best is None or not best.up or best.attempts or not has_pending_input(best.sock):
                 break
-            self._readable(best)
-            best = self._least_busy(place, get, now)
-        ours = self.servers
-        # One for each place is kept free, as far as there are so many.
-        kept_free = min(len(ours.places), ours.most // 2)
-        full = len(place.held) >= CONNECTIONS or ours.connections >= ours.most - kept_free
-        # Half of an answer that nobody waits for may never go on, and would take its connection with it.
-        if best is not None and (not best.open and not best.reader.partial() or full):
+            self._on_readable(best)
+            best = self._least_busy(server, get, now)
+        servers = self.servers
+        # One connection per server is kept in reserve, up to half of the bound over all servers.
+        reserved = min(len(servers.places), servers.most // 2)
+        full = len(server.held) >= CONNECTIONS or servers.connections >= servers.most - reserved
+        # A partly received answer that nobody waits for may never be completed: its connection would then be closed
+        # as stalled, with all attempts on it.
+        if best is not None and (not best.attempts and not best.reader.partial() or full):
             return best
-        if not self.servers.room():
+        if not self.servers.make_room():
             return best
-        return self._connect(place, now)
+        return self._connect(server, now)
 
-    def _rests(self, connection):
-        if connection.up and not connection.open:
-            self.resting[connection] = None
+    def _update_idle(self, connection):
+        if connection.up and not connection.attempts:
+            self.idle_connections[connection] = None
 
-    def idle(self):
-        """The connection unused longest, as (since, its close), or None."""
-        oldest = next(iter(self.resting), None)
-        return oldest and (oldest.used, lambda: self.close(oldest))
+    def oldest_idle(self):
+        """Return the connection idle for longest as (time of its last use, function that closes it), or None."""
+        oldest = next(iter(self.idle_connections), None)
+        return oldest and (oldest.last_used, lambda: self.close(oldest))
 
-    def _connect(self, place, now):
-        connection = LineConnection(place, now)
-        place.held.append(connection)
+    def _connect(self, server, now):
+        connection = LineConnection(server, now)
+        server.held.append(connection)
         self.servers.connections += 1
-        connection.task = self.loop.create_task(self._connect_to(connection))
+        connection.connect_task = self.loop.create_task(self._establish(connection))
         return connection
 
-    def _queue(self, connection, line, out):
-        connection.queue.append((line, out))
-        if connection.up and not connection.writing and connection.retry is None:
-            self._send(connection)
+    def _enqueue(self, connection, line, attempt):
+        connection.queue.append((line, attempt))
+        if connection.up and not connection.writer_registered and connection.retry_timer is None:
+            self._flush(connection)
 
-    def _send(self, connection):
-        """Sends what waits, as far as the socket takes it."""
-        connection.retry = None
+    def _flush(self, connection):
+        """Send what is queued, as far as the socket takes it."""
+        connection.retry_timer = None
         try:
-            while self._begun(connection):
-                sent = send(connection.sock, connection.rest)
-                connection.rest = connection.rest[sent:]
-                if (out := connection.sending) is not None:
+            while self._next_line(connection):
+                sent = send(connection.sock, connection.unsent)
+                connection.unsent = connection.unsent[sent:]
+                if (attempt := connection.sending) is not None:
                     if sent:
-                        if out.progress is Progress.NOT_SENT:
-                            self.driver.sending.began(out, self.driver.clock())
-                        out.progress = Progress.PARTLY if connection.rest else Progress.WHOLE
-                    elif out.progress is Progress.NOT_SENT:
-                        # Made anew when it can go: its wait ages, and it may be withdrawn until then.
-                        connection.rest = b""
-                        connection.queue.appendleft((None, out))
-                        return self._send_later(connection, sent)
-                if connection.rest:
-                    return self._send_later(connection, sent)
+                        if attempt.progress is Progress.NOT_SENT:
+                            self.driver.sending.began(attempt, self.driver.clock())
+                        attempt.progress = Progress.PARTIAL if connection.unsent else Progress.COMPLETE
+                    elif attempt.progress is Progress.NOT_SENT:
+                        # Encoded again once the socket takes it: the time left for it decreases until then, and it
+                        # can still be withdrawn.
+                        connection.unsent = b""
+                        connection.queue.appendleft((None, attempt))
+                        return self._flush_later(connection, sent)
+                if connection.unsent:
+                    return self._flush_later(connection, sent)
         except OSError:
             self.loop.call_soon(self.close, connection)
-        self._writes(connection, False)
-
-    def _begun(self, connection):
-        """Whether a line is under way, the next one in the queue being begun: it is made now, as its wait ages."""
-        while not connection.rest and connection.queue:
-            line, out = connection.queue.popleft()
-            if out is not None and (left := self.driver.sending.left(out, self.driver.clock())) is None:
-                self._refused(connection, out)
+        self._set_writer(connection, False)
+
+    def _next_line(self, connection):
+        """Return whether there is something to send.
+
+        A queued attempt is encoded only now, as the time left for it decreases while it waits.
+        """
+        while not connection.unsent and connection.queue:
+            line, attempt = connection.queue.popleft()
+            if (
+                attempt is not None
+                and (time_left := self.driver.sending.time_left(attempt, self.driver.clock())) is None
+            ):
+                self._drop_unsent(connection, attempt)
                 continue
-            connection.rest = memoryview(line if out is None else self._line(out, left))
-            connection.sending = out
-        return bool(connection.rest)
+            connection.unsent = memoryview(line if attempt is None else self._encode(attempt, time_left))
+            connection.sending = attempt
+        return bool(connection.unsent)
 
     @staticmethod
-    def _line(out, left):
-        get, (said, source) = out.get, out.said
+    def _encode(attempt, time_left):
+        get = attempt.get
+        action, source = attempt.said
         return codec.serve(
-            get.id, get.ds, get.thing, get.part, said, source, get.have, get.body, get.token, left
+            get.id, get.ds, get.thing, get.part, action, source, get.have, get.body, get.token, time_left
         )
 
-    def _refused(self, connection, out):
-        """A forward that must not be sent any more, of which nothing has left."""
-        if connection.open.get(out.get.id) is out:
-            del connection.open[out.get.id]
-        self._rests(connection)
-        self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+    def _drop_unsent(self, connection, attempt):
+        """End an attempt that must not be sent any more and of which no byte was sent."""
+        if connection.attempts.get(attempt.get.id) is attempt:
+            del connection.attempts[attempt.get.id]
+        self._update_idle(connection)
+        self.loop.call_soon(self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
 
-    def _send_later(self, connection, sent):
-        if sent or not connection.writing:
-            self._writes(connection, True)
+    def _flush_later(self, connection, sent):
+        if sent or not connection.writer_registered:
+            self._set_writer(connection, True)
         else:
-            # Writable, and yet it takes nothing: asked again at once it would take all of a core.
-            self._writes(connection, False)
-            connection.retry = self.loop.call_later(RETRY, self._send, connection)
+            # The socket is reported writable and takes nothing: waiting for writability would spin at full CPU.
+            self._set_writer(connection, False)
+            connection.retry_timer = self.loop.call_later(RETRY_DELAY_S, self._flush, connection)
 
-    def _writes(self, connection, on):
-        if connection.writing is not on:
-            connection.writing = on
+    def _set_writer(self, connection, on):
+        if connection.writer_registered is not on:
+            connection.writer_registered = on
             if on:
-                self.loop.add_writer(connection.sock, self._send, connection)
+                self.loop.add_writer(connection.sock, self._flush, connection)
             else:
                 self.loop.remove_writer(connection.sock)
 
-    async def _connect_to(self, connection):
+    async def _establish(self, connection):
         try:
             sock = connection.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             set_no_delay(sock)
             async with asyncio.timeout(self.connect_timeout / 1e9):
-                await self.loop.sock_connect(sock, connection.place.address)
-        except (OSError, UnicodeError) as fault:  # a TimeoutError is one; or the name can't be one
-            # Reset when new, or refused beside others that are up: the cache is in reach, and not cold.
-            # For want of a descriptor, a port or memory here nothing is known of it.
-            connection.in_reach = (
+                await self.loop.sock_connect(sock, connection.server.address)
+        except (
+            OSError,
+            UnicodeError,
+        ) as fault:  # TimeoutError is an OSError; UnicodeError: not a valid host name
+            # A reset during connect, or a failure while other connections are up, shows that the cache is reachable
+            # and not cold. A lack of descriptors, ports or memory on this side says nothing about it.
+            connection.reachable = (
                 isinstance(fault, ConnectionResetError)
                 or is_local(fault)
-                or any(other.up for other in connection.place.held)
+                or any(other.up for other in connection.server.held)
             )
             self.close(connection)
         if connection.closed:
             return
-        connection.up, connection.made = True, self.driver.clock()
-        self.loop.add_reader(sock, self._readable, connection)
-        self._rests(connection)
+        connection.up = True
+        connection.up_since = self.driver.clock()
+        self.loop.add_reader(sock, self._on_readable, connection)
+        self._update_idle(connection)
         if connection.queue:
-            self._send(connection)
+            self._flush(connection)
 
-    def _readable(self, connection):
+    def _on_readable(self, connection):
         buffer = self.pool.take()
         if buffer is None:
             return self.close(connection)
@@ -259,107 +305,113 @@
             size = receive_into(connection.sock, buffer)
             if size is None:
                 return
-            connection.heard = self.driver.clock()
+            connection.last_read = self.driver.clock()
             for answer in connection.reader.feed(buffer[:size]):
-                self._answered(connection, answer)
+                self._on_answer(connection, answer)
             if fault := connection.reader.fault:
-                self.driver.log("cache_unreadable", cache=connection.place.name, error=fault)
+                self.driver.log("cache_unreadable", cache=connection.server.name, error=fault)
             if fault or not size:
                 self.close(connection)
-            elif connection.reader.partial() and not connection.watched:
-                self._watch(connection)
+            elif connection.reader.partial() and not connection.stall_check_armed:
+                self._arm_stall_check(connection)
         except OSError:
             self.close(connection)
-        except Exception as fault:  # this connection's own, whatever it is
+        except Exception as fault:  # an unexpected error costs this connection alone
             self.driver.fault(fault)
             self.close(connection)
         finally:
             self.pool.give_back(buffer)
 
     def close(self, connection):
-        """Ends a connection; each forward on it is told, by how far it had come."""
+        """Close a connection and report the end of each attempt on it, by how much of it was sent."""
         if connection.closed:
             return
-        was_up, sock = connection.up, connection.sock
-        connection.closed, connection.up = True, False
-        self.resting.pop(connection, None)
-        connection.place.held.remove(connection)
+        was_up = connection.up
+        sock = connection.sock
+        connection.closed = True
+        connection.up = False
+        self.idle_connections.pop(connection, None)
+        connection.server.held.remove(connection)
         self.servers.connections -= 1
         if was_up:
             self.loop.remove_reader(sock)
-            self._writes(connection, False)
-        if connection.retry is not None:
-            connection.retry.cancel()
-        pending = connection.task
+            self._set_writer(connection, False)
+        if connection.retry_timer is not None:
+            connection.retry_timer.cancel()
+        pending = connection.connect_task
         if pending is not None and not pending.done() and pending is not asyncio.current_task():
             pending.add_done_callback(lambda _: sock.close())
             pending.cancel()
         elif sock is not None:
             sock.close()
-        if connection.open or not was_up:
+        if connection.attempts or not was_up:
             self.driver.log(
                 "cache_connection_lost" if was_up else "cache_unreachable",
-                cache=connection.place.name,
-                forwards=len(connection.open),
+                cache=connection.server.name,
+                forwards=len(connection.attempts),
             )
-        forwards, connection.open = list(connection.open.values()), {}
+        attempts = list(connection.attempts.values())
+        connection.attempts = {}
         connection.queue.clear()
-        connection.rest = b""
-        self.servers.forget(connection.place)
-        now = self.driver.clock()  # one end for all of them, however long telling it takes
-        for out in forwards:
-            # What was up and broke shows a cache in reach, unlike one that can't be connected to.
+        connection.unsent = b""
+        self.servers.drop_if_unused(connection.server)
+        now = self.driver.clock()  # the same time of end for all of them, however long the reports take
+        for attempt in attempts:
+            # A connection that was established and broke shows a reachable cache; a failed connect does not.
             never_executed = (
-                AttemptOutcome.NOT_SENT if was_up or connection.in_reach else AttemptOutcome.UNREACHABLE
+                AttemptOutcome.NOT_SENT if was_up or connection.reachable else AttemptOutcome.UNREACHABLE
             )
-            outcome = AttemptOutcome.RESET if out.progress is Progress.WHOLE else never_executed
-            self.driver.ended(out, outcome, CacheStatus.UNKNOWN, 0, {}, now)
-
-    def _answered(self, connection, answer):
-        connection.used = connection.answered = connection.heard
-        out = connection.open.get(answer.id)
-        if out is None:
-            return  # late: its forward has ended already
+            outcome = AttemptOutcome.RESET if attempt.progress is Progress.COMPLETE else never_executed
+            self.driver.ended(attempt, outcome, CacheStatus.UNKNOWN, 0, {}, now)
+
+    def _on_answer(self, connection, answer):
+        connection.last_used = connection.answered = connection.last_read
+        attempt = connection.attempts.get(answer.id)
+        if attempt is None:
+            return  # a late answer: the attempt has already ended
         try:
-            outcome, found, waited, load = codec.meaning(answer, out.get.have)
+            outcome, cache_status, fill_wait, load = codec.meaning(answer, attempt.get.have)
         except codec.MalformedAnswerError as fault:
             connection.reader.fault = connection.reader.fault or str(fault)
             return
-        del connection.open[answer.id]
-        self._rests(connection)
+        del connection.attempts[answer.id]
+        self._update_idle(connection)
         if outcome is AttemptOutcome.RETURNED:
-            self.driver.returned(out, codec.returned(answer))
-        self.driver.ended(out, outcome, found, waited, load)
-        if connection.place.gone and not connection.open:
+            self.driver.returned(attempt, codec.returned(answer))
+        self.driver.ended(attempt, outcome, cache_status, fill_wait, load)
+        if connection.server.gone and not connection.attempts:
             self.close(connection)
 
     def next_due(self):
         """Return when `due` is to be called next (monotonic ns), or None."""
-        return self.stalls[0][0] if self.stalls else None
+        return self.stall_checks[0][0] if self.stall_checks else None
 
     def due(self, now):
-        """Ends connections whose answer was begun and has had no byte since."""
-        while self.stalls and self.stalls[0][0] <= now:
-            connection = self.stalls.popleft()[1]
-            connection.watched = False
+        """Close connections with a partly received answer that had no byte for the stall time."""
+        while self.stall_checks and self.stall_checks[0][0] <= now:
+            connection = self.stall_checks.popleft()[1]
+            connection.stall_check_armed = False
             if connection.closed or not connection.reader.partial():
                 continue
-            if connection.heard + STALLED > now:
-                self._watch(connection)
+            if connection.last_read + STALLED > now:
+                self._arm_stall_check(connection)
                 continue
-            self.driver.log("cache_stalled", cache=connection.place.name, forwards=len(connection.open))
+            self.driver.log("cache_stalled", cache=connection.server.name, forwards=len(connection.attempts))
             self.close(connection)
 
-    def _watch(self, connection):
-        # Looked at once in so long, not at each read: large answers come in many.
-        connection.watched, due = True, self.driver.clock() + STALLED
-        self.stalls.append((due, connection))
+    def _arm_stall_check(self, connection):
+        # One check per stall time and not per read: large answers arrive in many reads.
+        connection.stall_check_armed = True
+        due = self.driver.clock() + STALLED
+        self.stall_checks.append((due, connection))
         self.driver.armed_by(due)
 
     def sweep(self, now):
         """Close connections that were idle for too long."""
-        while (oldest := next(iter(self.resting), None)) is not None and now - oldest.used > self.idle_most:
+        while (
+            oldest := next(iter(self.idle_connections), None)
+        ) is not None and now - oldest.last_used > self.idle_timeout:
             self.close(oldest)
 
     def stop(self):
-        """Nothing is said at the end: what was open here has had its answer."""
+        """Do nothing: the line protocol has no closing message, and all attempts have ended by now."""
--- a/sprucegate/upstream/progress.py
+++ b/sprucegate/upstream/progress.py
@@ -7,10 +7,10 @@
     """How much of an attempt was sent: it tells 'never executed' from 'may have been executed'.
 
     :cvar NOT_SENT: nothing
-    :cvar PARTLY: a part
-    :cvar WHOLE: all of it
+    :cvar PARTIAL: a part
+    :cvar COMPLETE: all of it
     """
 
     NOT_SENT = 0
-    PARTLY = 1
-    WHOLE = 2
+    PARTIAL = 1
+    COMPLETE = 2
--- a/sprucegate/upstream/sending.py
+++ b/sprucegate/upstream/sending.py
@@ -1,7 +1,7 @@
 """The check that each attempt passes on every transport before its first byte is sent.
 
-An attempt may have waited for a connection, for a stream or behind a peer that reads slowly. What is refused here has
-not left this front and is reported as not sent.
+An attempt may have waited for a connection, for a stream or behind a peer that reads slowly. An attempt refused here
+is reported as not sent.
 """
 
 from sprucegate.units import MILLISECOND
@@ -15,21 +15,25 @@
     `count(name)` counts a refusal by its reason; `began(attempt, now)` is called after the first byte was sent.
     """
 
-    def __init__(self, count, began=lambda out, now: None):
+    def __init__(self, count, began=lambda attempt, now: None):
         self.count = count
         self.began = began
 
-    def left(self, out, now):
-        """Return the time left for this attempt (ns), or None where it must not be sent any more."""
-        get = out.get
-        if out.ended or get.answered:
+    def time_left(self, attempt, now):
+        """Return the time left for this attempt (ns), or None if it must not be sent any more."""
+        get = attempt.get
+        if attempt.ended or get.answered:
             self.count("sends_refused over")
             return None
-        if (left := out.limit - now) <= 0:
+        if (time_left := attempt.limit - now) <= 0:
             self.count("sends_refused late")
             return None
-        # The driver checked the client when it decided this attempt; for a short time that still holds.
-        if now - out.at > CLIENT_CHECK_VALID_NS and get.client is not None and get.client.peer_has_closed():
+        # The driver checked the client when it decided this attempt; that result is valid for a short time.
+        if (
+            now - attempt.at > CLIENT_CHECK_VALID_NS
+            and get.client is not None
+            and get.client.peer_has_closed()
+        ):
             self.count("sends_refused client_left")
             return None
-        return left
+        return time_left
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -1,9 +1,9 @@
-"""Servers: each forward to the transport that its place speaks, and the places themselves.
+"""Upstream servers by id: each attempt goes to the transport of the protocol that its server speaks.
 
-Every transport has the same calls: `kept` (what it keeps of a place), `open_connections`, `came_up`, `warm`, `forward`,
-`withdraw`, `cancel`, `moved`, `leave`, `sweep`, `due`, `next_due`, `idle`, `stop`. An end goes to the driver's `ended`
-with the outcome, where it was found, the time waited for a source (ns) and the load told; how far the forward had
-come is in the outcome.
+Every transport has the same methods: `kept` (creates its state for a server), `open_connections`, `came_up`, `warm`,
+`forward`, `withdraw`, `cancel`, `moved`, `leave`, `sweep`, `due`, `next_due`, `oldest_idle`, `stop`. It reports the end
+of an attempt to the driver's `ended`: the outcome, the cache status, the time that the server waited for the source
+of a fill (ns) and the server's load report. The outcome tells how much of the attempt was executed.
 """
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
@@ -12,109 +12,135 @@
 
 
 class UpstreamServers:
-    """The servers of the endpoint list, and the transport that each of them speaks."""
-
-    def __init__(self, driver, pool, settings, most, wanted=None):
-        """`wanted` is what the operator's file says of servers; without it all of them speak lines."""
-        self.driver, self.most, self.connections, self.places = driver, most, 0, {}
-        self.wanted, self.transports = wanted, {"lines": LineTransport(self, driver, pool, settings)}
-        if wanted is not None and wanted.speaks("http2"):
-            # Here and not above: a front without it loads none of its libraries.
+    """The servers of the endpoint list, and the transports by which they are reached."""
+
+    def __init__(self, driver, pool, settings, most, server_config=None):
+        """`most` bounds the connections to all servers.
+
+        `server_config` is the `servers` node of the operator's file; without it all servers speak the line protocol.
+        """
+        self.driver = driver
+        self.most = most
+        self.connections = 0
+        self.places = {}  # id -> UpstreamServer
+        self.server_config = server_config
+        self.transports = {"lines": LineTransport(self, driver, pool, settings)}
+        if server_config is not None and server_config.speaks("http2"):
+            # Imported here, so that a front without HTTP/2 loads none of its libraries.
             from sprucegate.upstream.http2.transport import Http2Transport
 
-            self.transports["http2"] = Http2Transport(self, driver, pool, settings, wanted.http2)
+            self.transports["http2"] = Http2Transport(self, driver, pool, settings, server_config.http2)
 
-    def listed(self, hosts):
-        """Follow an endpoint list."""
-        for entry in hosts.entries:
-            name, address = hosts.names[entry.id]
+    def listed(self, endpoint_list):
+        """Apply an endpoint list."""
+        for entry in endpoint_list.entries:
+            name, address = endpoint_list.names[entry.id]
             host, _, port = address.rpartition(":")
-            place = self.places.get(entry.id)
+            server = self.places.get(entry.id)
             gone = entry.state is EndpointState.GONE
-            if place is None:
+            if server is None:
                 if not gone:
-                    speaks = self.wanted.transport(name, address, entry.kind) if self.wanted else "lines"
+                    protocol = (
+                        self.server_config.transport(name, address, entry.kind)
+                        if self.server_config
+                        else "lines"
+                    )
                     self.places[entry.id] = UpstreamServer(
-                        entry.id, name, (host, int(port)), self.transports[speaks]
+                        entry.id, name, (host, int(port)), self.transports[protocol]
                     )
             elif gone:
-                self.remove(place)
+                self.remove(server)
             else:
-                place.gone = False  # listed again after it had gone
-                if address and (host, int(port)) != place.address:
-                    place.address = host, int(port)
-                    place.transport.moved(place)
-        if hosts.whole:
-            for place in [place for at, place in self.places.items() if at not in hosts.names]:
-                self.remove(place)
-
-    def remove(self, place):
-        """Drop a server that has gone."""
-        # What is still open there may yet be answered: only idle connections go at once.
-        place.gone = True
-        place.transport.leave(place)
-        self.forget(place)
-
-    def forget(self, place):
-        """Lets a place go that is gone and has no connection left."""
-        if place.gone and not place.transport.open_connections(place) and self.places.get(place.id) is place:
-            del self.places[place.id]
-
-    def warm_up(self, chosen, now):
-        """Connections before the first GET, to the servers of these ids."""
-        for at in chosen:
-            if at in self.places:
-                self.warm(self.places[at], now)
-
-    def warm(self, place, now):
+                server.gone = False  # it may have been removed and listed again
+                if address and (host, int(port)) != server.address:
+                    server.address = host, int(port)
+                    server.transport.moved(server)
+        if endpoint_list.whole:
+            for server in [
+                server for server_id, server in self.places.items() if server_id not in endpoint_list.names
+            ]:
+                self.remove(server)
+
+    def remove(self, server):
+        """Remove a server that is no longer listed."""
+        # Attempts that are open there may still be answered: only idle connections are closed at once.
+        server.gone = True
+        server.transport.leave(server)
+        self.drop_if_unused(server)
+
+    def drop_if_unused(self, server):
+        """Drop the record of a removed server once its last connection is closed."""
+        if (
+            server.gone
+            and not server.transport.open_connections(server)
+            and self.places.get(server.id) is server
+        ):
+            del self.places[server.id]
+
+    def warm_up(self, server_ids, now):
+        """Connect to these servers ahead of the first request."""
+        for server_id in server_ids:
+            if server_id in self.places:
+                self.warm(self.places[server_id], now)
+
+    def warm(self, server, now):
         """Connect to a server ahead of its first attempt."""
-        place.transport.warm(place, now)
+        server.transport.warm(server, now)
+
+    def forward(self, attempt, action):
+        """Send an attempt as the SendAttempt `action` says.
 
-    def forward(self, out, said):
-        """Sends it or has its end told soon; never told from within this call."""
-        place = self.places.get(said.cache)
-        if place is None:  # nothing is known of the cache
+        Its end is reported from a later turn of the event loop, never from within this call.
+        """
+        server = self.places.get(action.cache)
+        if server is None:  # the attempt says nothing about the cache
             self.driver.loop.call_soon(
-                self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return
-        source = self.places.get(said.fill_source) if said.fill_source != said.cache else None
-        out.transport = place.transport
-        place.transport.forward(place, out, said, source and source.name)
-
-    def withdraw(self, out):
-        """Takes a forward back of which nothing has left this front; whether it could."""
-        return out.transport is not None and out.transport.withdraw(out)
-
-    def cancel(self, out, timed_out=False):
-        """The front's side ends at once; the outcome where the forward provably never ran, else None."""
-        return out.transport.cancel(out, timed_out) if out.transport is not None else AttemptOutcome.NOT_SENT
-
-    def room(self):
-        """Whether another connection may be opened; one idle anywhere makes way, the longest first."""
+        source = self.places.get(action.fill_source) if action.fill_source != action.cache else None
+        attempt.transport = server.transport
+        server.transport.forward(server, attempt, action, source and source.name)
+
+    def withdraw(self, attempt):
+        """Withdraw an attempt of which no byte was sent; return whether that was possible."""
+        return attempt.transport is not None and attempt.transport.withdraw(attempt)
+
+    def cancel(self, attempt, timed_out=False):
+        """Cancel an attempt at once; return the outcome if it provably never ran, else None."""
+        return (
+            attempt.transport.cancel(attempt, timed_out)
+            if attempt.transport is not None
+            else AttemptOutcome.NOT_SENT
+        )
+
+    def make_room(self):
+        """Return whether another connection may be opened; at the bound, close the one idle for longest."""
         if self.connections < self.most:
             return True
-        idle = [found for each in self.transports.values() if (found := each.idle()) is not None]
+        idle = [
+            found for transport in self.transports.values() if (found := transport.oldest_idle()) is not None
+        ]
         if idle:
-            min(idle, key=lambda one: one[0])[1]()
+            min(idle, key=lambda entry: entry[0])[1]()
         return bool(idle)
 
     def sweep(self, now):
-        """Let the transports close what was idle for too long."""
-        for each in self.transports.values():
-            each.sweep(now)
+        """Let each transport close connections that were idle for too long."""
+        for transport in self.transports.values():
+            transport.sweep(now)
 
     def due(self, now):
-        """Let the transports do what is due by `now` (monotonic ns)."""
-        for each in self.transports.values():
-            each.due(now)
+        """Let each transport do what is due by `now` (monotonic ns)."""
+        for transport in self.transports.values():
+            transport.due(now)
 
     def next_due(self):
         """Return when `due` is to be called next (monotonic ns), or None."""
-        dues = [each.next_due() for each in self.transports.values()]
+        dues = [transport.next_due() for transport in self.transports.values()]
         return min([due for due in dues if due is not None], default=None)
 
     def stop(self):
         """Close all connections."""
-        for each in self.transports.values():
-            each.stop()
+        for transport in self.transports.values():
+            transport.stop()
--- a/sprucegate/upstream/sockets.py
+++ b/sprucegate/upstream/sockets.py
@@ -1,8 +1,8 @@
-"""Calls on a connected socket, with each error told as what it is: the other side's end, or a moment's lack here.
+"""Socket calls that tell transient errors of this host from the end of a connection.
 
-Linux documents errors of this machine's own for send(2), recv(2) and connect(2), for want of memory, buffers, ports or
-descriptors, and interruption by a signal. They pass, and say nothing of the connection or of the other side: the call
-is made again. Every other error is the connection's end. Nothing is decided here.
+For send(2), recv(2) and connect(2), Linux documents errors that come from this host alone: a lack of memory, buffers,
+ports or descriptors, and interruption by a signal. They are transient and say nothing about the connection or the
+peer, so the call is repeated. Every other error ends the connection.
 """
 
 import errno
@@ -10,9 +10,9 @@
 from struct import Struct
 from struct import error as StructError
 
-# Nothing was sent or received, and the connection stands.
+# Nothing was sent or received; the connection is unaffected.
 TRANSIENT = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
-# A connection could not be begun for a reason on this side: nothing is known of the server.
+# A connect failed for a reason on this host: it says nothing about the server.
 LOCAL = TRANSIENT | {
     errno.EMFILE,
     errno.ENFILE,
@@ -23,19 +23,19 @@
     errno.EPERM,
     errno.EACCES,
 }
-# tcp_info of linux/tcp.h up to and with tcpi_last_data_recv, the milliseconds since bytes last came.
+# struct tcp_info of linux/tcp.h up to tcpi_last_data_recv: milliseconds since data was last received.
 LAST_DATA_RECEIVED = Struct("=52xI")
-WAITED_MOST = 60_000  # milliseconds: a socket that says more says nothing
-RETRY = 0.01  # seconds until a call that failed for a moment is made again
+LAST_DATA_AGE_MAX_MS = 60_000  # a greater value is taken for unknown
+RETRY_DELAY_S = 0.01  # until a call that failed with a transient error is repeated
 
 
 def is_local(fault):
-    """Whether an error of socket, setsockopt or connect tells of this side alone."""
+    """Return whether an error of socket, setsockopt or connect has its cause on this host alone."""
     return isinstance(fault, OSError) and fault.errno in LOCAL and not isinstance(fault, TimeoutError)
 
 
 def send(sock, data):
-    """How many bytes were taken, 0 where none can be now; OSError where the connection has ended."""
+    """Return the number of bytes sent, 0 if none can be sent now; raise OSError if the connection has ended."""
     try:
         return sock.send(data)
     except OSError as fault:
@@ -45,7 +45,10 @@
 
 
 def receive_into(sock, buffer):
-    """How many bytes came, 0 at the other side's end, None where nothing can be read now; OSError at a reset."""
+    """Return the number of bytes read, 0 at the peer's end of stream, None if nothing can be read now.
+
+    OSError is raised for a reset.
+    """
     try:
         return sock.recv_into(buffer)
     except OSError as fault:
@@ -55,28 +58,28 @@
 
 
 def waited(sock):
-    """Nanoseconds since bytes last came to a socket: how long what was just read stood in the kernel.
+    """Return the time since a socket last received data (ns): how long the data just read waited in the kernel.
 
-    0 where the system does not tell.
+    0 if the system does not report it.
     """
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
-        (milliseconds,) = LAST_DATA_RECEIVED.unpack(told)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
+        (milliseconds,) = LAST_DATA_RECEIVED.unpack(info)
     except (OSError, StructError):
         return 0
-    return milliseconds * 1_000_000 if milliseconds <= WAITED_MOST else 0
+    return milliseconds * 1_000_000 if milliseconds <= LAST_DATA_AGE_MAX_MS else 0
 
 
 def set_no_delay(sock):
-    """Small writes go at once; a socket that does not take the option serves all the same."""
+    """Disable Nagle's algorithm; a socket that rejects the option is still usable."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError:
         pass
 
 
-def stands(sock):
-    """Whether bytes, an end or a reset stand there unread."""
+def has_pending_input(sock):
+    """Return whether bytes, an end of stream or a reset wait to be read."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except OSError as fault:
@@ -85,9 +88,9 @@
 
 
 def ended(sock):
-    """Whether the other side has ended or reset a connection, though the loop has not come to that yet.
+    """Return whether the peer has closed or reset a connection, even if the event loop has not reported it yet.
 
-    Bytes that stand before the end hide it.
+    Unread bytes before the end of the stream hide it.
     """
     try:
         return not sock.recv(1, socket.MSG_PEEK)
@@ -96,35 +99,41 @@
 
 
 class PendingWrite:
-    """What a socket has not taken yet, written as it takes more; `done(whole)` is called once, at its end."""
+    """Data that a socket did not take at once, sent as it takes more.
 
-    def __init__(self, loop, sock, data, done):
-        self.loop, self.sock, self.rest, self.done = loop, sock, memoryview(data), done
-        self.retry = None
-        loop.add_writer(sock, self._writable)
+    `done(complete)` is called once: when all was sent, or when the connection has ended.
+    """
 
-    def _writable(self):
+    def __init__(self, loop, sock, data, done):
+        self.loop = loop
+        self.sock = sock
+        self.unsent = memoryview(data)
+        self.done = done
+        self.retry_timer = None
+        loop.add_writer(sock, self._on_writable)
+
+    def _on_writable(self):
         try:
-            sent = send(self.sock, self.rest)
+            sent = send(self.sock, self.unsent)
         except OSError:
             self.cancel()
             return self.done(False)
-        self.rest = self.rest[sent:]
-        if not self.rest:
+        self.unsent = self.unsent[sent:]
+        if not self.unsent:
             self.cancel()
             self.done(True)
         elif not sent:
-            # Writable, and yet it takes nothing: asked again at once it would take all of a core.
+            # The socket is reported writable and takes nothing: waiting for writability would spin at full CPU.
             self.loop.remove_writer(self.sock)
-            self.retry = self.loop.call_later(RETRY, self._again)
+            self.retry_timer = self.loop.call_later(RETRY_DELAY_S, self._resume)
 
-    def _again(self):
-        self.retry = None
-        self.loop.add_writer(self.sock, self._writable)
+    def _resume(self):
+        self.retry_timer = None
+        self.loop.add_writer(self.sock, self._on_writable)
 
     def cancel(self):
-        """Nothing more is written; the socket may be closed then."""
-        if self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+        """Stop writing; the socket may be closed after this."""
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
         self.loop.remove_writer(self.sock)
