--- a/sprucegate/upstream/http2/evidence.py
+++ b/sprucegate/upstream/http2/evidence.py
@@ -1,8 +1,8 @@
-"""What an end over HTTP/2 proves: a forward never ran, or it may have run. docs/http2.md has the same table.
+"""What the end of a request over HTTP/2 proves: it was never executed, or may have been. docs/http2.md has the table.
 
-RFC 9113 section 8.7 names two proofs, REFUSED_STREAM and a number above the last one of a GOAWAY. A header block that
-the peer can't have whole is the third (section 4.3). RFC 9110 section 15.5.20 gives one more by status. All else may
-have run, whatever servers usually do.
+RFC 9113 section 8.7 names two proofs that a request was not processed: REFUSED_STREAM, and a stream id above the last
+one of a GOAWAY. A header block that was not sent completely is the third (section 4.3). Status 421 is one more (RFC
+9110 section 15.5.20). In all other cases the request may have been executed, whatever servers usually do.
 """
 
 from enum import IntEnum
@@ -24,28 +24,33 @@
 
 
 class WriteProgress(IntEnum):
-    """How much of a request the socket took before the connection was closed for good."""
+    """How much of a request the socket had taken when the connection was closed."""
 
     NOTHING = 0
-    PART = 1  # of its header block
-    WHOLE = 2  # the header block; a body may still be under way
+    PARTIAL = 1  # part of its header block
+    COMPLETE = 2  # all of its header block; its body may not be sent yet
 
 
 class Row(NamedTuple):
-    """FULL where another server should be asked; both it and NOT_SENT tell the rules that nothing ran."""
+    """A kind of end and the outcome that it proves.
+
+    :ivar name: its name in the counters
+    :ivar outcome: FULL if another server should be tried; FULL and NOT_SENT both say that nothing was executed
+    :ivar source: the specification that says so
+    """
 
     name: str
     outcome: AttemptOutcome
-    source: str  # where it is written
+    source: str
 
 
 NOT_WRITTEN = Row("not written", AttemptOutcome.NOT_SENT, "RFC 9113 4.3")
-IN_PART = Row("written in part", AttemptOutcome.NOT_SENT, "RFC 9113 4.3")
-ABOVE_LAST = Row("above the last stream of a GOAWAY", AttemptOutcome.NOT_SENT, "RFC 9113 6.8, 8.7")
+PARTLY_WRITTEN = Row("written in part", AttemptOutcome.NOT_SENT, "RFC 9113 4.3")
+ABOVE_GOAWAY = Row("above the last stream of a GOAWAY", AttemptOutcome.NOT_SENT, "RFC 9113 6.8, 8.7")
 REFUSED = Row("REFUSED_STREAM", AttemptOutcome.NOT_SENT, "RFC 9113 8.7")
 OTHER_RESET = Row("other reset", AttemptOutcome.RESET, "RFC 9113 5.4.2, 8.7")
 NEEDS_HTTP_1_1 = Row("HTTP_1_1_REQUIRED", AttemptOutcome.RESET, "RFC 9113 7")
-CALM = Row("ENHANCE_YOUR_CALM", AttemptOutcome.RESET, "RFC 9113 7")
+CALM_DOWN = Row("ENHANCE_YOUR_CALM", AttemptOutcome.RESET, "RFC 9113 7")
 ENDED_AFTER_GOAWAY = Row(
     "end after a GOAWAY, not above its last stream", AttemptOutcome.RESET, "RFC 9113 6.8"
 )
@@ -53,49 +58,50 @@
 TIMED_OUT = Row("time-out", AttemptOutcome.TIMED_OUT, "RFC 9110 9.2.2")
 MISDIRECTED = Row("421", AttemptOutcome.FULL, "RFC 9110 15.5.20")
 BUSY = Row("429 or 503", AttemptOutcome.ERROR, "RFC 6585 4, RFC 9110 15.6.4")
-BUSY_NEVER_RAN = Row("429 or 503 with Spruce-Ran: ?0", AttemptOutcome.FULL, "docs/http2.md")
-NOT_HELD = Row("504 to only-if-cached", AttemptOutcome.MISS, "RFC 9111 5.2.1.7")
+BUSY_NOT_EXECUTED = Row("429 or 503 with Spruce-Ran: ?0", AttemptOutcome.FULL, "docs/http2.md")
+NOT_CACHED = Row("504 to only-if-cached", AttemptOutcome.MISS, "RFC 9111 5.2.1.7")
 
 ROWS = (
     NOT_WRITTEN,
-    IN_PART,
-    ABOVE_LAST,
+    PARTLY_WRITTEN,
+    ABOVE_GOAWAY,
     REFUSED,
     OTHER_RESET,
     NEEDS_HTTP_1_1,
-    CALM,
+    CALM_DOWN,
     ENDED_AFTER_GOAWAY,
     ENDED,
     TIMED_OUT,
     MISDIRECTED,
     BUSY,
-    BUSY_NEVER_RAN,
-    NOT_HELD,
+    BUSY_NOT_EXECUTED,
+    NOT_CACHED,
 )
-CODES = {REFUSED_STREAM: REFUSED, HTTP_1_1_REQUIRED: NEEDS_HTTP_1_1, ENHANCE_YOUR_CALM: CALM}
+RESET_CODES = {REFUSED_STREAM: REFUSED, HTTP_1_1_REQUIRED: NEEDS_HTTP_1_1, ENHANCE_YOUR_CALM: CALM_DOWN}
 
 
 def of_reset(code):
     """Return what a reset of the stream by the peer with this error code proves."""
-    return CODES.get(code, OTHER_RESET)
+    return RESET_CODES.get(code, OTHER_RESET)
 
 
 def of_end(written, stream, last):
-    """Return what the end of a connection proves; `last`: lowest last stream id of its GOAWAYs, None without one.
+    """Return what the end of a connection proves about the stream with id `stream`.
 
-    Only for a connection closed on this side too: bytes that still lie in the front may go out otherwise.
+    `last` is the lowest last stream id of the GOAWAYs received, None without one. Valid only once this side has closed
+    the connection too: otherwise bytes that are still buffered here may be sent.
     """
-    if written is not WriteProgress.WHOLE:
-        return NOT_WRITTEN if written is WriteProgress.NOTHING else IN_PART
+    if written is not WriteProgress.COMPLETE:
+        return NOT_WRITTEN if written is WriteProgress.NOTHING else PARTLY_WRITTEN
     if last is None:
         return ENDED
-    return ABOVE_LAST if stream > last else ENDED_AFTER_GOAWAY
+    return ABOVE_GOAWAY if stream > last else ENDED_AFTER_GOAWAY
 
 
-def of_status(status, says_never_ran, only_if_cached):
-    """Return what the status of a response proves, or None where the request was simply executed."""
+def of_status(status, declared_not_executed, only_if_cached):
+    """Return what the status of a response proves, or None if it has no special meaning here."""
     if status == MISDIRECTED_REQUEST:
         return MISDIRECTED
     if status in (TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE):
-        return BUSY_NEVER_RAN if says_never_ran else BUSY
-    return NOT_HELD if status == GATEWAY_TIMEOUT and only_if_cached else None
+        return BUSY_NOT_EXECUTED if declared_not_executed else BUSY
+    return NOT_CACHED if status == GATEWAY_TIMEOUT and only_if_cached else None
--- a/sprucegate/upstream/http2/mapping.py
+++ b/sprucegate/upstream/http2/mapping.py
@@ -1,14 +1,14 @@
-"""A forward as an HTTP request, and an answer's fields as outcome, found, wait and load: docs/http2.md has it all.
+"""Maps attempts to HTTP requests, and responses to outcome, cache status, fill wait and load; see docs/http2.md.
 
-Pure: no socket, no clock of its own. Where HTTP has a word it is used (RFC 9110, 9111, 9211; Server-Timing of W3C);
-a few fields of our own, as structured fields of RFC 9651, carry the rest.
+Pure functions: no socket and no clock. Standard fields are used where there are any (RFC 9110, 9111, 9211;
+Server-Timing of W3C); the rest goes into a few fields of our own, which are structured fields (RFC 9651).
 """
 
 from decimal import Decimal
 from functools import lru_cache
 from typing import NamedTuple
 
-from hpack import NeverIndexedHeaderTuple as Once
+from hpack import NeverIndexedHeaderTuple as NeverIndexed
 from http_sfv import Dictionary, List
 from http_sfv.string import ser_string
 
@@ -17,9 +17,9 @@
 from sprucegate.upstream.place import ServerResponse
 
 MS, S = 1_000_000, 1_000_000_000
-BODY_MOST = 240_000  # bytes of an object
-FIELD_MOST = 1000  # bytes of a structured field that is read at all
-KEPT = 512  # structured fields whose reading is remembered: a server sends few different ones
+BODY_MAX = 240_000  # bytes of an object
+STRUCTURED_FIELD_MAX = 1000  # bytes; longer structured fields are ignored
+PARSED_FIELDS_CACHED = 512  # parsed structured fields that are cached: a server sends few different ones
 DETAILS = {
     "source-refused": CacheStatus.FILL_SOURCE_REFUSED,
     "source-broken": CacheStatus.FILL_SOURCE_BROKEN,
@@ -39,59 +39,68 @@
 )
 
 
-class Meaning(NamedTuple):
-    """What a response means for the attempt."""
+class ResponseMeaning(NamedTuple):
+    """What a response means for the attempt.
+
+    :ivar outcome: the outcome of the attempt
+    :ivar cache_status: how the cache came by its answer
+    :ivar fill_wait: how long the server waited for the source of a fill (ns)
+    :ivar load: the server's load report
+    :ivar response: what is passed to the client, None unless the outcome is RETURNED
+    :ivar row: the row of the evidence table that applies, or None
+    """
 
     outcome: AttemptOutcome
-    found: CacheStatus
-    waited: int  # for the source, nanoseconds
+    cache_status: CacheStatus
+    fill_wait: int
     load: dict
-    returned: ServerResponse | None
+    response: ServerResponse | None
     row: evidence.Row | None
 
 
-def request(authority, get, said, source, left):
-    """A forward's header list. A rounded age or wait is never wider than the decided one.
+def request_fields(authority, get, action, source, time_left):
+    """Return the header list of an attempt. Ages and waits are rounded so that they never exceed those decided.
 
-    `left` is what the client still waits (ns) when it is sent.
+    `time_left` is how long the client still waits (ns) when the request is sent.
     """
     path = b"/svc/%b/%b/slice-%d" % (get.ds.encode(), get.thing.encode(), get.part)
-    # What differs from GET to GET is kept out of the peer's table (RFC 7541 section 6.2.3), or it would push out
-    # what repeats; that also spares 8% of the cost of sending.
+    # Fields that differ from request to request are never indexed (RFC 7541 section 6.2.3): in the peer's dynamic table
+    # they would evict the entries that repeat. It also saves 8% of the CPU time of sending.
     fields = [
         (b":method", b"PUT" if get.asked.write else b"GET"),
         (b":scheme", b"http"),
         (b":authority", authority),
-        Once(b":path", path),
-        Once(b"x-call-id", get.id),
-        Once(b"spruce-wait", b"%d" % max(1, min(left, said.timeout) // MS)),
+        NeverIndexed(b":path", path),
+        NeverIndexed(b"x-call-id", get.id),
+        NeverIndexed(b"spruce-wait", b"%d" % max(1, min(time_left, action.timeout) // MS)),
     ]
-    control = []
-    if said.max_age:
-        # Both: as old as that may be, and stale is as good as fresh up to it (RFC 9111 section 5.2.1).
-        control += [f"max-age={said.max_age // S}", f"max-stale={said.max_age // S}"]
-    if only_if_cached(said):
-        control.append("only-if-cached")
-    if control:
-        fields.append((b"cache-control", ", ".join(control).encode()))
+    cache_control = []
+    if action.max_age:
+        # Both directives: max-age bounds the age, and max-stale accepts a stale response up to that age (RFC 9111
+        # section 5.2.1).
+        cache_control += [f"max-age={action.max_age // S}", f"max-stale={action.max_age // S}"]
+    if only_if_cached(action):
+        cache_control.append("only-if-cached")
+    if cache_control:
+        fields.append((b"cache-control", ", ".join(cache_control).encode()))
     if get.have:
         fields.append((b"if-none-match", b'"%b"' % get.have.encode()))
     if get.token:
-        fields.append(Once(b"idempotency-key", ser_string(get.token).encode()))
+        fields.append(NeverIndexed(b"idempotency-key", ser_string(get.token).encode()))
     fill = []
     if source:
         fill.append("source=" + ser_string(source))
-    if said.rank:
-        fill.append(f"rank={said.rank}")
-    if said.number:
-        fill.append(f"try={said.number}")
+    if action.rank:
+        fill.append(f"rank={action.rank}")
+    if action.number:
+        fill.append(f"try={action.number}")
     fill += [
-        word
-        for word, on in (
-            ("join", said.collapse),
-            ("held", said.only_if_cached),
-            ("pass", said.bypass_parent),
-            ("renew", said.revalidate),
+        flag
+        for flag, on in (
+            ("join", action.collapse),
+            ("held", action.only_if_cached),
+            ("pass", action.bypass_parent),
+            ("renew", action.revalidate),
         )
         if on
     ]
@@ -102,45 +111,49 @@
     return fields
 
 
-def only_if_cached(said):
-    """The server's own id as the source means that it is not to fill a miss."""
-    return said.fill_source == said.cache
+def only_if_cached(action):
+    """Return whether the server must not fill a miss: the action then names the server itself as the fill source."""
+    return action.fill_source == action.cache
 
 
-@lru_cache(KEPT)
-def _found(text):
-    """Where the answer came from, by Cache-Status (RFC 9211): its last member is the cache that answers."""
+@lru_cache(PARSED_FIELDS_CACHED)
+def _parse_cache_status(text):
+    """Return the cache status by Cache-Status (RFC 9211), whose last member is the cache that sent the response."""
     members = List()
     members.parse(text)
     if not members:
         return CacheStatus.UNKNOWN
-    here, behind = members[-1].params, list(members)[:-1]
-    if here.get("hit"):
+    own, upstream = members[-1].params, list(members)[:-1]
+    if own.get("hit"):
         return (
-            CacheStatus.STALE_HIT if isinstance(ttl := here.get("ttl"), int) and ttl < 0 else CacheStatus.HIT
+            CacheStatus.STALE_HIT if isinstance(ttl := own.get("ttl"), int) and ttl < 0 else CacheStatus.HIT
         )
-    if (detail := here.get("detail")) is not None and str(detail) in DETAILS:
+    if (detail := own.get("detail")) is not None and str(detail) in DETAILS:
         return DETAILS[str(detail)]
-    if "fwd" not in here:
+    if "fwd" not in own:
         return CacheStatus.UNKNOWN
-    if here.get("collapsed"):
+    if own.get("collapsed"):
         return CacheStatus.COLLAPSED
-    # A member behind that forwarded as well had the object from the origin.
-    return CacheStatus.FILLED_BY_ORIGIN if any("fwd" in one.params for one in behind) else CacheStatus.FILLED
+    # If a cache further upstream forwarded the request as well, the object came from the origin.
+    return (
+        CacheStatus.FILLED_BY_ORIGIN
+        if any("fwd" in member.params for member in upstream)
+        else CacheStatus.FILLED
+    )
 
 
-@lru_cache(KEPT)
-def _timed(text):
-    """Nanoseconds of the metric `fill` in Server-Timing."""
+@lru_cache(PARSED_FIELDS_CACHED)
+def _parse_fill_wait(text):
+    """Return the duration (ns) of the metric `fill` in Server-Timing."""
     members = List()
     members.parse(text)
-    for one in members:
-        if str(one.value) == "fill" and isinstance(one.params.get("dur"), int | float | Decimal):
-            return max(0, int(one.params["dur"] * MS))
+    for member in members:
+        if str(member.value) == "fill" and isinstance(member.params.get("dur"), int | float | Decimal):
+            return max(0, int(member.params["dur"] * MS))
     return 0
 
 
-def _loads(text):
+def _parse_load(text):
     members = Dictionary()
     members.parse(text)
     return {
@@ -152,40 +165,45 @@
     }
 
 
-def _read(reader, text, default):
-    """A field that can't be read is passed over (RFC 9651 section 4.2), as one that isn't there."""
-    if not text or len(text) > FIELD_MOST:
+def _parse_or_default(parser, text, default):
+    """Parse a structured field; one that can't be parsed is ignored as if it were absent (RFC 9651 section 4.2)."""
+    if not text or len(text) > STRUCTURED_FIELD_MAX:
         return default
     try:
-        return reader(text)
+        return parser(text)
     except Exception:
         return default
 
 
-def _tag(text):
+def _entity_tag(text):
     text = text.removeprefix(b"W/")
-    bare = text[1:-1].decode("latin-1") if len(text) > 2 and text[:1] == text[-1:] == b'"' else ""
-    return bare if len(bare) <= 64 and '"' not in bare else ""
+    tag = text[1:-1].decode("latin-1") if len(text) > 2 and text[:1] == text[-1:] == b'"' else ""
+    return tag if len(tag) <= 64 and '"' not in tag else ""
 
 
-def _age(fields):
-    """Nanoseconds since the origin gave it out, at the most: Age is in whole seconds (RFC 9111 section 4.2.3)."""
+def _greatest_age(fields):
+    """Return the greatest age of the response (ns): Age is in whole seconds (RFC 9111 section 4.2.3)."""
     age = fields.get(b"age", b"")
     return (int(age) + 1) * S if age.isdigit() and len(age) < 10 else None
 
 
-def meaning(status, fields, body, cached_only, have=""):
-    """What an answer says. `fields` maps lower-case names to bytes.
+def interpret(status, fields, body, cached_only, have=""):
+    """Return the ResponseMeaning of a response. `fields` maps lower-case names to bytes.
 
-    `have` is the tag of the client's copy that was sent along, "" for none.
+    `have` is the entity tag of the client's stored response that was sent along, "" for none.
     """
-    found = _read(_found, fields.get(b"cache-status"), CacheStatus.UNKNOWN)
-    waited = _read(_timed, fields.get(b"server-timing"), 0)
-    load = _read(_loads, fields.get(b"spruce-load"), {})
+    cache_status = _parse_or_default(_parse_cache_status, fields.get(b"cache-status"), CacheStatus.UNKNOWN)
+    fill_wait = _parse_or_default(_parse_fill_wait, fields.get(b"server-timing"), 0)
+    load = _parse_or_default(_parse_load, fields.get(b"spruce-load"), {})
     row = evidence.of_status(status, fields.get(b"spruce-ran") == b"?0", cached_only)
-    tag = _tag(fields.get(b"etag", b""))
-    # A 304 that names no copy of the client's is not passed on: it would be shown one that no cache has named.
+    tag = _entity_tag(fields.get(b"etag", b""))
+    # A 304 whose tag is not that of the client's stored response is not passed on: the client would use a response that
+    # no cache has validated.
     if status == 200 or status == 304 and have and tag == have:
-        returned = ServerResponse(status == 304, tag, 0, body if status == 200 else b"", _age(fields))
-        return Meaning(AttemptOutcome.RETURNED, found, waited, load, returned, None)
-    return Meaning(row.outcome if row else AttemptOutcome.ERROR, found, waited, load, None, row)
+        response = ServerResponse(
+            status == 304, tag, 0, body if status == 200 else b"", _greatest_age(fields)
+        )
+        return ResponseMeaning(AttemptOutcome.RETURNED, cache_status, fill_wait, load, response, None)
+    return ResponseMeaning(
+        row.outcome if row else AttemptOutcome.ERROR, cache_status, fill_wait, load, None, row
+    )
--- a/sprucegate/upstream/http2/pool.py
+++ b/sprucegate/upstream/http2/pool.py
@@ -1,7 +1,7 @@
-"""The pool's decisions for one server: which connection takes a stream, and when one is opened, tried or left.
+"""The pool's decisions for one server: which connection takes a stream, and when one is opened, checked or closed.
 
-No I/O, no clock, no chance of its own: the caller brings what happened and the time (ns) and does what is returned.
-A forward is any hashable handle. What is returned is done in its order.
+No I/O, no clock and no random source: the caller passes events and the time (ns), and performs the returned actions in
+their order. An attempt is any hashable handle.
 """
 
 from collections import OrderedDict
@@ -11,39 +11,42 @@
 
 from sprucegate.routing.events import AttemptOutcome
 
-LACKING = 10_000_000  # nanoseconds until a connection is tried again that this side could not begin
+LOCAL_RETRY_NS = 10_000_000  # until the next connect after one that failed for a lack of local resources
 
 
 class ConnectionPhase(IntEnum):
-    """How far a connection is; ordered."""
+    """The phases of a connection, in their order."""
 
-    OPENING = 0  # dialled, or up without the peer's SETTINGS
+    OPENING = 0  # connecting, or connected without the peer's SETTINGS
     UP = 1
-    RETIRING = 2  # old: takes streams until its successor is up, against a hole at each change
-    DRAINING = 3  # takes none; goes once what is open on it has ended
+    RETIRING = 2  # to be replaced: takes streams until its successor is up, so that there is no gap
+    DRAINING = 3  # takes no new streams; closed once its open ones have ended
 
 
 @dataclass(slots=True)
 class SendOnConnection:
-    """Send this attempt on a stream of that connection."""
+    """Send this attempt on a new stream of that connection."""
 
-    forward: object
+    attempt: object
     connection: int
 
 
 @dataclass(slots=True)
 class OpenConnection:
-    """Connect to the server; the connection bears that number."""
+    """Connect to the server; `connection` is the number of the new connection."""
 
     connection: int
 
 
 @dataclass(slots=True)
 class RefuseRequest:
-    """The forward never left the front: FULL where no stream was to be had, UNREACHABLE where the server could
-    not be connected to, NOT_SENT where the cause lies here or a connection was lost."""
+    """End an attempt that was not sent.
 
-    forward: object
+    The outcome is FULL if no stream was available, UNREACHABLE if the server could not be connected to, and NOT_SENT if
+    the cause is on this side or a connection was lost.
+    """
+
+    attempt: object
     outcome: AttemptOutcome
 
 
@@ -56,287 +59,359 @@
 
 @dataclass(slots=True)
 class CloseConnection:
-    """To be closed now; `why` is for the log. What is open on it ends by its evidence."""
+    """Close that connection now; `why` is for the log. Its open streams end by the evidence table."""
 
     connection: int
     why: str
 
 
 class Connection:
-    """What the pool knows of one connection."""
+    """What the pool knows of one connection.
+
+    :ivar number: its number, which actions bear
+    :ivar phase: its ConnectionPhase
+    :ivar limit: the peer's limit on concurrent streams
+    :ivar open: number of open streams
+    :ivar begun: number of streams ever opened
+    :ivar answered: number of streams that ended with a response
+    :ivar last_used: when a stream last began or ended (ns)
+    :ivar quiet_since: time of the last received byte, or of the first stream after a time without any (ns)
+    :ivar pinged_at: when the PING was sent that awaits an answer, or None
+    :ivar retire_at: when it is to be replaced, None before it is up
+    :ivar ack_due: until when the peer has to acknowledge our SETTINGS; None once it has
+    :ivar blocked: the peer does not read what was sent
+    """
 
     __slots__ = (
         "number",
         "phase",
         "limit",
         "open",
-        "given",
-        "served",
-        "used",
-        "quiet",
-        "pinged",
-        "retires",
-        "settled",
+        "begun",
+        "answered",
+        "last_used",
+        "quiet_since",
+        "pinged_at",
+        "retire_at",
+        "ack_due",
         "blocked",
     )
 
     def __init__(self, number, now):
-        self.number, self.phase, self.limit = number, ConnectionPhase.OPENING, 0
-        self.open = self.given = self.served = 0
-        self.used = self.quiet = now  # a stream's begin or end; the last byte, or begin after rest
-        self.pinged, self.retires, self.settled, self.blocked = None, None, None, False
+        self.number = number
+        self.phase = ConnectionPhase.OPENING
+        self.limit = 0
+        self.open = 0
+        self.begun = 0
+        self.answered = 0
+        self.last_used = now
+        self.quiet_since = now
+        self.pinged_at = None
+        self.retire_at = None
+        self.ack_due = None
+        self.blocked = False
 
 
 class ConnectionPool:
-    """The connections to one server: which takes a stream, when one is opened, retired or closed. No I/O."""
+    """The connections to one server: which takes a stream, when one is opened, replaced or closed. No I/O.
+
+    :ivar label: seeds the pseudo-random numbers
+    :ivar connections: those that are not closed, by number
+    :ivar waiting: attempts that wait for a stream: when each is refused, the oldest first
+    :ivar last_number: number of the newest connection
+    :ivar draws: number of pseudo-random numbers drawn
+    :ivar failures: failed connections in a row
+    :ivar retry_at: no connection is opened before this time (ns)
+    :ivar removed: the server was removed from the endpoint list
+    :ivar reachable: the last connection that ended does not show an unreachable server
+    :ivar lacks_resources: `retry_at` is set for a lack of resources on this side
+    """
 
     def __init__(self, limits, server, instance):
-        self.limits, self.label = limits, f"{instance}/{server}"
-        self.connections, self.waiting, self.number, self.draws = {}, OrderedDict(), 0, 0
-        self.failures, self.again, self.left_for_good, self.in_reach = 0, 0, False, True
-        self.lacking = False  # whether `again` is for want of something on this side
-
-    # What happens.
+        self.limits = limits
+        self.label = f"{instance}/{server}"
+        self.connections = {}
+        self.waiting = OrderedDict()
+        self.last_number = 0
+        self.draws = 0
+        self.failures = 0
+        self.retry_at = 0
+        self.removed = False
+        self.reachable = True
+        self.lacks_resources = False
+
+    # Events.
 
     def warm(self, now):
-        """Connect ahead of the first attempt, where no connection is there."""
-        return self._open(now) if not self.connections and now >= self.again else []
+        """Connect ahead of the first attempt, if there is no connection."""
+        return self._open(now) if not self.connections and now >= self.retry_at else []
 
-    def ask(self, forward, now):
-        """A forward wants a stream."""
-        if self.left_for_good:
-            return [RefuseRequest(forward, AttemptOutcome.NOT_SENT)]
+    def request_stream(self, attempt, now):
+        """An attempt needs a stream."""
+        if self.removed:
+            return [RefuseRequest(attempt, AttemptOutcome.NOT_SENT)]
         serving = any(c.phase is not ConnectionPhase.DRAINING for c in self.connections.values())
-        if not serving and now < self.again and not self.lacking:
-            # At once: a server that is known not to be had is not waited for.
-            return [RefuseRequest(forward, self._away())]
-        if not self.waiting and (best := self._best()) is not None:
-            return [self._give(best, forward, now), *self._grow(now)]
+        if not serving and now < self.retry_at and not self.lacks_resources:
+            # Refused at once: the server is known to be unavailable, so there is nothing to wait for.
+            return [RefuseRequest(attempt, self._refusal_outcome())]
+        if not self.waiting and (connection := self._least_full()) is not None:
+            return [self._assign(connection, attempt, now), *self._grow(now)]
         if len(self.waiting) >= self.limits.waiting:
-            return [RefuseRequest(forward, AttemptOutcome.FULL)]
-        self.waiting[forward] = now + self.limits.wait
+            return [RefuseRequest(attempt, AttemptOutcome.FULL)]
+        self.waiting[attempt] = now + self.limits.wait
         return self._grow(now)
 
-    def withdraw(self, forward):
-        """Whether it still waited here: then it never left the front."""
-        return self.waiting.pop(forward, None) is not None
-
-    def opened(self, number, limit, now):
-        """The peer's SETTINGS are there."""
-        at, spread = self.connections[number], self.limits.age_spread * self._chance()
-        at.phase, at.limit, at.quiet = ConnectionPhase.UP, limit, now
-        self.in_reach, self.lacking = True, False
-        at.retires, at.settled = now + int(self.limits.age * (1 - spread)), now + self.limits.connect
-        said = []
+    def withdraw(self, attempt):
+        """Return whether the attempt was still waiting for a stream; it was then never sent."""
+        return self.waiting.pop(attempt, None) is not None
+
+    def settings_received(self, number, limit, now):
+        """A connection is up: the peer's first SETTINGS arrived, with its limit on concurrent streams."""
+        connection = self.connections[number]
+        spread = self.limits.age_spread * self._pseudo_random()
+        connection.phase = ConnectionPhase.UP
+        connection.limit = limit
+        connection.quiet_since = now
+        self.reachable = True
+        self.lacks_resources = False
+        connection.retire_at = now + int(self.limits.age * (1 - spread))
+        connection.ack_due = now + self.limits.connect
+        actions = []
         for old in [c for c in self.connections.values() if c.phase is ConnectionPhase.RETIRING]:
-            said += self._drain(old, now)
-        return [*said, *self._fill(now)]
+            actions += self._drain(old, now)
+        return [*actions, *self._assign_waiting(now)]
 
-    def acknowledged(self, number):
-        """The peer has taken our SETTINGS over."""
-        self.connections[number].settled = None
+    def settings_acknowledged(self, number):
+        """The peer acknowledged our SETTINGS."""
+        self.connections[number].ack_due = None
 
-    def limited(self, number, limit, now):
-        """The peer's limit is another one; below what is open it only keeps new streams away."""
+    def stream_limit_changed(self, number, limit, now):
+        """The peer changed its limit on concurrent streams; streams above a lower one stay open."""
         self.connections[number].limit = limit
-        return self._fill(now)
+        return self._assign_waiting(now)
 
-    def blocked(self, number, blocked, now):
-        """The peer does not read what was sent: nothing more goes there, or memory would pay for it."""
+    def set_blocked(self, number, blocked, now):
+        """The peer stopped or resumed reading; while it does not read, no streams are assigned, to bound memory."""
         self.connections[number].blocked = blocked
-        return [] if blocked else self._fill(now)
-
-    def freed(self, number, well, now):
-        """A stream has ended; `well` where an answer came, whatever it says."""
-        at = self.connections[number]
-        at.open, at.used = at.open - 1, now
-        if well:
-            at.served, self.failures = at.served + 1, 0
-        if at.phase is ConnectionPhase.DRAINING and not at.open:
-            if not at.served and not self.left_for_good:
-                self._failed(now)
-            return [self._close(at, "drained"), *self._grow(now)]
-        return self._fill(now)
-
-    def heard(self, number, now):
-        """Bytes came on that connection."""
-        at = self.connections[number]
-        at.quiet, at.pinged = now, None
-
-    def goaway(self, number, calm, now):
-        """GOAWAY, the first or a further one: no new streams there. `calm` is False where the peer complains."""
-        at = self.connections[number]
-        if at.phase is ConnectionPhase.DRAINING:
-            return []  # its successor is there, or on its way, already
-        if not calm or not at.served and not at.open:
-            self._failed(now)  # or one that lets nobody in would be dialled without end
-        was_used = at.open or self.waiting
-        said = self._drain(at, now)
-        # The successor comes up while this one still answers: the next GET must not wait for a handshake.
-        return said + (self._grow(now, wanted=True) if was_used else [])
-
-    def lost(self, number, reached, now):
-        """The connection has ended, or never came up; `reached` where the server showed that it is there."""
-        at = self.connections.pop(number)
-        # One that was up and broke shows a server in reach, unlike one that can't be connected to.
-        self.in_reach = reached or at.phase is not ConnectionPhase.OPENING
-        if not at.served:
-            self._failed(now)
+        return [] if blocked else self._assign_waiting(now)
+
+    def stream_ended(self, number, answered, now):
+        """A stream has ended; `answered` if it ended with a response of any status."""
+        connection = self.connections[number]
+        connection.open -= 1
+        connection.last_used = now
+        if answered:
+            connection.answered += 1
+            self.failures = 0
+        if connection.phase is ConnectionPhase.DRAINING and not connection.open:
+            if not connection.answered and not self.removed:
+                self._back_off(now)
+            return [self._close(connection, "drained"), *self._grow(now)]
+        return self._assign_waiting(now)
+
+    def bytes_received(self, number, now):
+        """Bytes were received on a connection."""
+        connection = self.connections[number]
+        connection.quiet_since = now
+        connection.pinged_at = None
+
+    def goaway(self, number, graceful, now):
+        """A GOAWAY arrived, the first or a further one: no new streams there.
+
+        `graceful` is False if it bears an error code.
+        """
+        connection = self.connections[number]
+        if connection.phase is ConnectionPhase.DRAINING:
+            return []  # its successor is up or connecting already
+        if not graceful or not connection.answered and not connection.open:
+            # Also for a connection that served nothing: a server that sends each one away must not be connected to
+            # without pause.
+            self._back_off(now)
+        was_used = connection.open or self.waiting
+        actions = self._drain(connection, now)
+        # The successor connects while this one still answers, so that the next request need not wait for it.
+        return actions + (self._grow(now, wanted=True) if was_used else [])
+
+    def connection_lost(self, number, reached, now):
+        """A connection has ended, or could not be established; `reached` if the server proved to be reachable."""
+        connection = self.connections.pop(number)
+        # A connection that was up and broke shows a reachable server; a failed connect does not.
+        self.reachable = reached or connection.phase is not ConnectionPhase.OPENING
+        if not connection.answered:
+            self._back_off(now)
         return self._after_loss(now)
 
-    def lacked(self, number, now):
-        """A connection could not be begun for want of something on this side: what waits for it waits on."""
+    def connect_lacked_resources(self, number, now):
+        """A connect failed for a lack of resources on this side: attempts that wait for it keep waiting."""
         del self.connections[number]
-        self.lacking, self.again = True, now + LACKING
+        self.lacks_resources = True
+        self.retry_at = now + LOCAL_RETRY_NS
         return []
 
-    def leave(self, now):
-        """The server has gone from the list: what is open there may yet be answered."""
-        self.left_for_good, said = (
-            True,
-            [RefuseRequest(forward, AttemptOutcome.NOT_SENT) for forward in self.waiting],
-        )
+    def remove(self, now):
+        """The server was removed from the endpoint list: open streams may still be answered."""
+        self.removed = True
+        actions = [RefuseRequest(attempt, AttemptOutcome.NOT_SENT) for attempt in self.waiting]
         self.waiting.clear()
-        for at in list(self.connections.values()):
-            said += self._drain(at, now)
-        return said
+        for connection in list(self.connections.values()):
+            actions += self._drain(connection, now)
+        return actions
 
-    def back(self):
-        """Listed again after it had gone."""
-        self.left_for_good = False
+    def restore(self):
+        """The server is in the endpoint list, perhaps after it was removed."""
+        self.removed = False
 
     def due(self, now):
-        """Return what is due by `now` (monotonic ns)."""
-        said, limits = [], self.limits
+        """Return the actions that are due by `now` (monotonic ns)."""
+        actions = []
+        limits = self.limits
         while self.waiting and next(iter(self.waiting.values())) <= now:
-            said.append(RefuseRequest(self.waiting.popitem(last=False)[0], AttemptOutcome.FULL))
-        for at in list(self.connections.values()):
-            if at.phase is ConnectionPhase.OPENING:
-                continue  # the transport bounds its time
-            if at.phase is ConnectionPhase.UP and at.retires <= now:
-                at.phase = ConnectionPhase.RETIRING
-            if at.settled is not None and at.settled <= now:
-                said += self._broken(at, "settings not acknowledged", now)  # RFC 9113 section 6.5.3
-            elif at.pinged is not None and at.pinged + limits.ping_wait <= now:
-                said += self._broken(at, "silent", now)
-            elif at.pinged is None and at.open and at.quiet + limits.ping_after <= now:
-                at.pinged = now
-                said.append(SendPing(at.number))
-            elif not at.open and at.used + limits.idle <= now:
-                said.append(self._close(at, "idle"))
-        return said + self._grow(now)
+            actions.append(RefuseRequest(self.waiting.popitem(last=False)[0], AttemptOutcome.FULL))
+        for connection in list(self.connections.values()):
+            if connection.phase is ConnectionPhase.OPENING:
+                continue  # the transport has a timeout for it
+            if connection.phase is ConnectionPhase.UP and connection.retire_at <= now:
+                connection.phase = ConnectionPhase.RETIRING
+            if connection.ack_due is not None and connection.ack_due <= now:
+                # RFC 9113 section 6.5.3
+                actions += self._close_broken(connection, "settings not acknowledged", now)
+            elif connection.pinged_at is not None and connection.pinged_at + limits.ping_wait <= now:
+                actions += self._close_broken(connection, "silent", now)
+            elif (
+                connection.pinged_at is None
+                and connection.open
+                and connection.quiet_since + limits.ping_after <= now
+            ):
+                connection.pinged_at = now
+                actions.append(SendPing(connection.number))
+            elif not connection.open and connection.last_used + limits.idle <= now:
+                actions.append(self._close(connection, "idle"))
+        return actions + self._grow(now)
 
     def next_due(self):
-        """When `due` wants to be called, or None. Never later than the first of its reasons."""
+        """Return when `due` is to be called next, or None; never later than the first action that becomes due."""
         limits = self.limits
         times = [next(iter(self.waiting.values()))] if self.waiting else []
-        if self.waiting and self.lacking and not self._opening():
-            times.append(self.again)
-        for at in self.connections.values():
-            if at.phase is ConnectionPhase.OPENING:
+        if self.waiting and self.lacks_resources and not self._is_opening():
+            times.append(self.retry_at)
+        for connection in self.connections.values():
+            if connection.phase is ConnectionPhase.OPENING:
                 continue
             times.append(
-                at.used + limits.idle
-                if not at.open
-                else at.quiet + limits.ping_after
-                if at.pinged is None
-                else at.pinged + limits.ping_wait
+                connection.last_used + limits.idle
+                if not connection.open
+                else connection.quiet_since + limits.ping_after
+                if connection.pinged_at is None
+                else connection.pinged_at + limits.ping_wait
             )
-            if at.settled is not None:
-                times.append(at.settled)
-            if at.phase is ConnectionPhase.UP:
-                times.append(at.retires)
-            elif at.phase is ConnectionPhase.RETIRING and not self._opening():
-                times.append(self.again)
+            if connection.ack_due is not None:
+                times.append(connection.ack_due)
+            if connection.phase is ConnectionPhase.UP:
+                times.append(connection.retire_at)
+            elif connection.phase is ConnectionPhase.RETIRING and not self._is_opening():
+                times.append(self.retry_at)
         return min(times, default=None)
 
-    # How it is decided.
+    # Decisions.
 
-    def _chance(self):
+    def _pseudo_random(self):
+        """Return the next number of [0, 1), the same sequence in each process for the same front and server."""
         self.draws += 1
         return crc32(f"{self.label}/{self.draws}".encode()) / 2**32
 
-    def _room(self, at):
-        most = min(at.limit, self.limits.streams)
+    def _usable_limit(self, connection):
+        """Return the limit on streams of a connection that takes another one, else a false value."""
+        limit = min(connection.limit, self.limits.streams)
         return (
-            at.phase in (ConnectionPhase.UP, ConnectionPhase.RETIRING)
-            and not at.blocked
-            and at.open < most
-            and most
+            connection.phase in (ConnectionPhase.UP, ConnectionPhase.RETIRING)
+            and not connection.blocked
+            and connection.open < limit
+            and limit
         )
 
-    def _best(self):
-        """The least full one that takes another stream: what ends one connection should end few GETs."""
+    def _least_full(self):
+        """Return the least full connection that takes another stream, or None.
+
+        Streams are spread because the loss of a connection should affect few requests.
+        """
         found = [
-            (at.open / most, at.number, at) for at in self.connections.values() if (most := self._room(at))
+            (connection.open / limit, connection.number, connection)
+            for connection in self.connections.values()
+            if (limit := self._usable_limit(connection))
         ]
         return min(found)[2] if found else None
 
-    def _opening(self):
-        return any(at.phase is ConnectionPhase.OPENING for at in self.connections.values())
-
-    def _give(self, at, forward, now):
-        if not at.open:
-            at.quiet = now
-        at.open, at.given, at.used = at.open + 1, at.given + 1, now
-        if at.given >= self.limits.ids and at.phase is ConnectionPhase.UP:
-            at.phase = ConnectionPhase.RETIRING  # numbers of streams run out (RFC 9113 section 5.1.1)
-        return SendOnConnection(forward, at.number)
-
-    def _fill(self, now):
-        said = []
-        while self.waiting and (best := self._best()) is not None:
-            said.append(self._give(best, self.waiting.popitem(last=False)[0], now))
-        return said + self._grow(now)
+    def _is_opening(self):
+        return any(c.phase is ConnectionPhase.OPENING for c in self.connections.values())
+
+    def _assign(self, connection, attempt, now):
+        if not connection.open:
+            connection.quiet_since = now
+        connection.open += 1
+        connection.begun += 1
+        connection.last_used = now
+        if connection.begun >= self.limits.ids and connection.phase is ConnectionPhase.UP:
+            connection.phase = ConnectionPhase.RETIRING  # stream ids are running out (RFC 9113 section 5.1.1)
+        return SendOnConnection(attempt, connection.number)
+
+    def _assign_waiting(self, now):
+        actions = []
+        while self.waiting and (connection := self._least_full()) is not None:
+            actions.append(self._assign(connection, self.waiting.popitem(last=False)[0], now))
+        return actions + self._grow(now)
 
     def _grow(self, now, wanted=False):
-        """Another connection, one at a time, where those that are there are full enough."""
-        serving = [at for at in self.connections.values() if at.phase is not ConnectionPhase.DRAINING]
-        if self.left_for_good or self._opening() or now < self.again:
+        """Open another connection if those that take streams are full enough; one at a time."""
+        serving = [c for c in self.connections.values() if c.phase is not ConnectionPhase.DRAINING]
+        if self.removed or self._is_opening() or now < self.retry_at:
             return []
         if len(self.connections) >= 2 * self.limits.connections:
-            return []  # a peer that sends each one away must not be dialled without end
-        retiring = any(at.phase is ConnectionPhase.RETIRING for at in serving)
+            return []  # a server that sends each connection away must not be connected to without end
+        retiring = any(c.phase is ConnectionPhase.RETIRING for c in serving)
         if len(serving) >= self.limits.connections + retiring:
             return []
         if not wanted and not self.waiting and not retiring:
-            shares = [at.open / most for at in serving if (most := min(at.limit, self.limits.streams))]
+            shares = [c.open / limit for c in serving if (limit := min(c.limit, self.limits.streams))]
             if not shares or min(shares) < self.limits.open_above:
                 return []
         return self._open(now)
 
     def _open(self, now):
-        self.number += 1
-        self.connections[self.number] = Connection(self.number, now)
-        return [OpenConnection(self.number)]
-
-    def _close(self, at, why):
-        del self.connections[at.number]
-        return CloseConnection(at.number, why)
-
-    def _drain(self, at, now):
-        if at.phase is ConnectionPhase.OPENING:
-            return [self._close(at, "no longer wanted")] if self.left_for_good else []
-        at.phase = ConnectionPhase.DRAINING
-        return [] if at.open else [self._close(at, "drained")]
-
-    def _broken(self, at, why, now):
-        self._failed(now)
-        return [self._close(at, why), *self._after_loss(now)]
-
-    def _failed(self, now):
-        """Growing waits, spread out: all fronts lose a server at once, and must not come back at once."""
-        most = min(self.limits.reconnect_most, self.limits.reconnect_first << min(self.failures, 40))
+        self.last_number += 1
+        self.connections[self.last_number] = Connection(self.last_number, now)
+        return [OpenConnection(self.last_number)]
+
+    def _close(self, connection, why):
+        del self.connections[connection.number]
+        return CloseConnection(connection.number, why)
+
+    def _drain(self, connection, now):
+        if connection.phase is ConnectionPhase.OPENING:
+            return [self._close(connection, "server removed")] if self.removed else []
+        connection.phase = ConnectionPhase.DRAINING
+        return [] if connection.open else [self._close(connection, "drained")]
+
+    def _close_broken(self, connection, why, now):
+        self._back_off(now)
+        return [self._close(connection, why), *self._after_loss(now)]
+
+    def _back_off(self, now):
+        """Delay the next connect, exponentially and with jitter.
+
+        All fronts lose a server at the same time, and must not reconnect at the same time.
+        """
+        delay_max = min(self.limits.reconnect_most, self.limits.reconnect_first << min(self.failures, 40))
         self.failures += 1
-        self.lacking = False
-        self.again = now + int(most * (0.5 + 0.5 * self._chance()))
+        self.lacks_resources = False
+        self.retry_at = now + int(delay_max * (0.5 + 0.5 * self._pseudo_random()))
 
-    def _away(self):
-        return AttemptOutcome.NOT_SENT if self.in_reach else AttemptOutcome.UNREACHABLE
+    def _refusal_outcome(self):
+        return AttemptOutcome.NOT_SENT if self.reachable else AttemptOutcome.UNREACHABLE
 
     def _after_loss(self, now):
-        said = self._grow(now) if self.waiting else []
-        if not any(at.phase is not ConnectionPhase.DRAINING for at in self.connections.values()):
-            said += [RefuseRequest(forward, self._away()) for forward in self.waiting]
+        """Open a successor for waiting attempts; refuse them if no connection is left or opening."""
+        actions = self._grow(now) if self.waiting else []
+        if not any(c.phase is not ConnectionPhase.DRAINING for c in self.connections.values()):
+            actions += [RefuseRequest(attempt, self._refusal_outcome()) for attempt in self.waiting]
             self.waiting.clear()
-        return said
+        return actions
--- a/sprucegate/upstream/http2/session.py
+++ b/sprucegate/upstream/http2/session.py
@@ -1,7 +1,8 @@
-"""One HTTP/2 connection without I/O: h2 behind the guard, the streams on it, and what has left the front of each.
+"""One HTTP/2 connection without I/O: h2 behind the frame guard, its streams, and how much of each request was sent.
 
-Bytes in and the time (ns) give events as values; bytes out stand in `outgoing`, and `sent` tells how many of them
-the socket took. A fault is a value too: the caller then writes what is left, closes, and judges each stream.
+Received bytes and the time (ns) give events as values; bytes to send collect in `outgoing`, and `bytes_sent` is told
+how many of them the socket took. A connection error is a value too (`fault`): the caller then sends what is left,
+closes the connection and determines the outcome of each stream.
 """
 
 from typing import NamedTuple
@@ -28,48 +29,50 @@
 from sprucegate.upstream.http2 import guard
 from sprucegate.upstream.http2.evidence import CANCEL, WriteProgress
 from sprucegate.upstream.http2.guard import FrameFault, FrameGuard
-from sprucegate.upstream.http2.mapping import BODY_MOST
+from sprucegate.upstream.http2.mapping import BODY_MAX
 
-STREAM_WINDOW = 262_144  # above BODY_MOST: a whole answer fits without a window update of its own
+STREAM_WINDOW = 262_144  # above BODY_MAX: a whole response fits without a WINDOW_UPDATE of its stream
 CONNECTION_WINDOW = 1 << 20
-LIST_MOST = 16_384  # bytes of a header list, uncompressed
-INTERIM_MOST = 8  # 1xx answers of one stream (RFC 9110 section 15.2)
-UNSENT_MOST = 262_144  # bytes that wait for a peer that does not read; bodies wait before them
-LATE_FIELDS = (b"spruce-load", b"server-timing")  # that may stand in trailers
+HEADER_LIST_MAX = 16_384  # bytes of a header list, uncompressed
+INTERIM_RESPONSES_MAX = 8  # 1xx responses on one stream (RFC 9110 section 15.2)
+UNSENT_MAX = (
+    262_144  # unsent bytes above which the peer counts as not reading; request bodies are then held back
+)
+TRAILER_FIELDS = (b"spruce-load", b"server-timing")  # accepted in trailers
 NO_ERROR = 0x0
-WALK = 128  # requests between two walks over h2's streams
+STREAM_COUNT_INTERVAL = 128  # requests between two of h2's walks over its streams
 
 
-class Ready(NamedTuple):
-    """The peer's first SETTINGS."""
+class SettingsReceived(NamedTuple):
+    """The peer's first SETTINGS arrived; `limit` is its SETTINGS_MAX_CONCURRENT_STREAMS."""
 
     limit: int
 
 
-class Limited(NamedTuple):
-    """The peer allows so many streams at a time."""
+class StreamLimitChanged(NamedTuple):
+    """The peer changed its SETTINGS_MAX_CONCURRENT_STREAMS to `limit`."""
 
     limit: int
 
 
-class Acknowledged(NamedTuple):
-    """Of our SETTINGS."""
+class SettingsAcked(NamedTuple):
+    """The peer acknowledged our SETTINGS."""
 
 
-class Ponged(NamedTuple):
-    """An answer to our PING."""
+class PongReceived(NamedTuple):
+    """The peer answered our PING."""
 
 
-class GoneAway(NamedTuple):
-    """GOAWAY: the streams `above` its last one never ran, the others may still be answered."""
+class GoAwayReceived(NamedTuple):
+    """GOAWAY: the streams `above` its last one were never processed, the others may still be answered."""
 
     last: int
     code: int
     above: list
 
 
-class Answered(NamedTuple):
-    """A response is whole."""
+class ResponseComplete(NamedTuple):
+    """A response was received completely."""
 
     stream: object
     status: int
@@ -77,64 +80,86 @@
     body: bytes
 
 
-class Reset(NamedTuple):
-    """A stream reset by the peer with `code`."""
+class ResetByPeer(NamedTuple):
+    """The peer reset a stream with the error code `code`."""
 
     stream: object
     code: int
 
 
-class Spoilt(NamedTuple):
-    """A stream that this side reset: what came on it is past a bound. It may have run."""
+class StreamAborted(NamedTuple):
+    """This side reset a stream, as what it received exceeds a bound. The request may have been executed."""
 
     stream: object
     why: str
 
 
 class Stream:
-    """One request on its stream."""
+    """One request and its response.
+
+    :ivar id: the stream id
+    :ivar request: the caller's handle of the request
+    :ivar cached_only: whether the request bears only-if-cached
+    :ivar head_start: position of its header block among all bytes to send
+    :ivar head_end: position of the end of its header block
+    :ivar unsent_body: the part of the request's body that was not handed to h2 yet
+    :ivar status: the response's status, 0 before its header fields arrived
+    :ivar fields: the response's header fields
+    :ivar body: what was received of the response's body, None before the first DATA
+    :ivar last_data: time of the response's header fields or of its last DATA (ns)
+    :ivar interim_responses: number of 1xx responses
+    """
 
     __slots__ = (
         "id",
-        "out",
+        "request",
         "cached_only",
-        "first",
+        "head_start",
         "head_end",
-        "rest",
+        "unsent_body",
         "status",
         "fields",
         "body",
-        "heard",
-        "interim",
+        "last_data",
+        "interim_responses",
     )
 
-    def __init__(self, number, out, cached_only, first, head_end, rest):
-        self.id, self.out, self.cached_only = number, out, cached_only
-        self.first, self.head_end, self.rest = (
-            first,
-            head_end,
-            rest,
-        )  # where its header block lies in the bytes
-        self.status, self.fields, self.body, self.heard, self.interim = 0, {}, None, 0, 0
-
-
-class Counted(H2Connection):
-    """h2 walks all its streams to count the open ones before each request: at 1,000 of them over half of its cost.
-
-    The pool keeps the peer's limit already. The walk also forgets closed streams, so it is still made now and then.
+    def __init__(self, number, request, cached_only, head_start, head_end, unsent_body):
+        self.id = number
+        self.request = request
+        self.cached_only = cached_only
+        self.head_start = head_start
+        self.head_end = head_end
+        self.unsent_body = unsent_body
+        self.status = 0
+        self.fields = {}
+        self.body = None
+        self.last_data = 0
+        self.interim_responses = 0
+
+
+class FastOpenH2Connection(H2Connection):
+    """Opens streams without counting the open ones each time.
+
+    h2 walks all its streams to count the open ones before each request: with 1,000 of them this is over half of a
+    request's cost. The pool already enforces the peer's limit. The walk also drops closed streams, so it is still made
+    once in STREAM_COUNT_INTERVAL.
     """
 
-    asked = 0
+    count_queries = 0
 
     @property
     def open_outbound_streams(self):
-        """Return the open streams, which h2 would count anew for each request."""
-        self.asked += 1
-        return super().open_outbound_streams if self.asked % WALK == 0 else 0
+        """Return the number of open streams, or 0 for most queries, so that h2 never refuses a stream."""
+        self.count_queries += 1
+        return super().open_outbound_streams if self.count_queries % STREAM_COUNT_INTERVAL == 0 else 0
+
 
+class LiteralEncoder(Encoder):
+    """Encodes string literals without Huffman coding, which is optional (RFC 7541 section 5.2).
 
-class Plain(Encoder):
-    """Literals without Huffman's code, which RFC 7541 section 5.2 leaves open: a fifth more bytes, less CPU."""
+    It costs a fifth more bytes and saves CPU time.
+    """
 
     def encode(self, headers, huffman=False):
         """Encode header fields without Huffman coding."""
@@ -142,10 +167,24 @@
 
 
 class Http2Session:
-    """One HTTP/2 connection as a client, without I/O: bytes in, events and bytes out."""
+    """The client side of one HTTP/2 connection, without I/O: bytes in, events and bytes out.
+
+    :ivar streams: the streams whose response is not complete, by id
+    :ivar uploads: those of them with an unsent body
+    :ivar partial_responses: those of them with a response that has begun
+    :ivar outgoing: bytes that the socket has not taken yet
+    :ivar produced: number of bytes ever put into `outgoing`
+    :ivar taken: number of them that the socket took
+    :ivar buffered: bytes of partial response bodies
+    :ivar buffered_max: the bound on `buffered`
+    :ivar uncredited: received bytes that no WINDOW_UPDATE of the connection covers yet
+    :ivar goaway_last: lowest last stream id of the GOAWAYs received, None without one
+    :ivar ready: whether the peer's SETTINGS arrived
+    :ivar last_data: time of the last DATA on any stream (ns)
+    """
 
-    def __init__(self, held_most, now):
-        self.h2 = Counted(
+    def __init__(self, buffered_max, now):
+        self.h2 = FastOpenH2Connection(
             H2Configuration(
                 client_side=True,
                 header_encoding=False,
@@ -154,98 +193,116 @@
                 normalize_inbound_headers=False,
             )
         )
-        self.h2.encoder = Plain()
+        self.h2.encoder = LiteralEncoder()
         self.h2.local_settings = Settings(
             client=True,
             initial_values={
                 SettingCodes.ENABLE_PUSH: 0,
                 SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW,
-                SettingCodes.MAX_FRAME_SIZE: guard.FRAME_MOST,
-                SettingCodes.MAX_HEADER_LIST_SIZE: LIST_MOST,
+                SettingCodes.MAX_FRAME_SIZE: guard.FRAME_SIZE_MAX,
+                SettingCodes.MAX_HEADER_LIST_SIZE: HEADER_LIST_MAX,
             },
         )
-        self.h2.decoder.max_header_list_size = LIST_MOST
-        self.guard, self.fault, self.streams, self.uploads, self.answers = FrameGuard(now), None, {}, {}, {}
-        self.outgoing, self.made, self.gone = bytearray(), 0, 0
-        self.held, self.held_most, self.taken = 0, held_most, 0
-        self.last, self.ready, self.heard = None, False, now
+        self.h2.decoder.max_header_list_size = HEADER_LIST_MAX
+        self.guard = FrameGuard(now)
+        self.fault = None
+        self.streams = {}
+        self.uploads = {}
+        self.partial_responses = {}
+        self.outgoing = bytearray()
+        self.produced = 0
+        self.taken = 0
+        self.buffered = 0
+        self.buffered_max = buffered_max
+        self.uncredited = 0
+        self.goaway_last = None
+        self.ready = False
+        self.last_data = now
         self.h2.initiate_connection()
         self.h2.increment_flow_control_window(CONNECTION_WINDOW - 65_535)
-        self._collect()
+        self._collect_output()
 
-    # What this side does.
+    # What this side sends.
 
-    def request(self, out, fields, body, cached_only):
-        """Begins a stream; the Stream, or None where h2 has none to give."""
-        first = self.made
+    def send_request(self, request, fields, body, cached_only):
+        """Open a stream for a request; return the Stream, or None if h2 can open none."""
+        head_start = self.produced
         try:
             number = self.h2.get_next_available_stream_id()
             self.h2.send_headers(number, fields, end_stream=not body)
         except H2Error:
             return None
-        self._collect()
-        stream = self.streams[number] = Stream(number, out, cached_only, first, self.made, body)
-        self.guard.earn(len(body))
+        self._collect_output()
+        stream = self.streams[number] = Stream(number, request, cached_only, head_start, self.produced, body)
+        self.guard.add_allowance(len(body))
         if body:
             self.uploads[number] = stream
-            self._pump()
+            self._send_bodies()
         return stream
 
     def cancel(self, stream, code=CANCEL):
-        """RST_STREAM; frames of it that still come harm nobody (RFC 9113 section 5.1)."""
-        if self._forget(stream):
+        """Send RST_STREAM; frames of the stream that still arrive are ignored (RFC 9113 section 5.1)."""
+        if self._remove(stream):
             self._reset(stream.id, code)
 
     def _reset(self, number, code):
         try:
             self.h2.reset_stream(number, code)
         except H2Error:
-            return  # it had ended on both sides
-        self._collect()
+            return  # the stream is closed on both sides
+        self._collect_output()
 
     def ping(self):
         """Send a PING."""
         self.h2.ping(b"spruceg8")
-        self._collect()
+        self._collect_output()
 
     def close(self, code=NO_ERROR):
-        """Says GOAWAY; the caller closes the socket."""
+        """Send a GOAWAY; the caller closes the socket."""
         try:
             self.h2.close_connection(ErrorCodes(code))
         except (H2Error, ValueError):
             return
-        self._collect()
+        self._collect_output()
 
-    def sent(self, size):
-        """So many bytes of `outgoing` have left."""
+    def bytes_sent(self, size):
+        """Remove `size` bytes from `outgoing`, which the socket has taken."""
         del self.outgoing[:size]
-        self.gone += size
+        self.taken += size
         if self.uploads:
-            self._pump()
+            self._send_bodies()
 
-    def stuck(self):
-        """Whether the peer takes too little of what waits."""
-        return len(self.outgoing) > UNSENT_MOST
+    def is_write_blocked(self):
+        """Return whether so much is unsent that the peer counts as not reading."""
+        return len(self.outgoing) > UNSENT_MAX
 
-    def written(self, stream):
-        """Return how much of a request has left."""
-        if self.gone >= stream.head_end:
-            return WriteProgress.WHOLE
-        return WriteProgress.PART if self.gone > stream.first else WriteProgress.NOTHING
+    def write_progress(self, stream):
+        """Return how much of a request the socket took."""
+        if self.taken >= stream.head_end:
+            return WriteProgress.COMPLETE
+        return WriteProgress.PARTIAL if self.taken > stream.head_start else WriteProgress.NOTHING
 
     def stalled(self, limit, now):
-        """Streams whose answer was begun and has had no byte: the peer may serve others first, but not for long."""
-        quiet = now - self.heard >= limit
-        return [s for s in self.answers.values() if now - s.heard >= (limit if quiet else 4 * limit)]
+        """Return the streams with a partial response and no data for `limit` ns.
+
+        While other streams receive data the limit is four times as long: the peer may send their responses first.
+        """
+        quiet = now - self.last_data >= limit
+        return [
+            s for s in self.partial_responses.values() if now - s.last_data >= (limit if quiet else 4 * limit)
+        ]
 
-    # What the peer does.
+    # What the peer sends.
 
-    def feed(self, data, now):
-        """Events in their order; `fault` is set once the connection can't go on, after what came well."""
-        said = []
+    def receive(self, data, now):
+        """Return the events of received bytes, in order.
+
+        `fault` is set when the connection can't continue; events of the valid frames before the error are returned.
+        """
+        found = []
         for frame in self.guard.feed(data, now):
             if frame.type == guard.GOAWAY:
-                self._goaway(frame, said)
+                self._on_goaway(frame, found)
             else:
                 try:
                     events = self.h2.receive_data(frame.data)
@@ -253,129 +310,133 @@
                     self.fault = FrameFault(
                         getattr(fault, "error_code", 1), f"{type(fault).__name__}: {fault}"[:200]
                     )
-                    self._collect()
+                    self._collect_output()
                     break
                 for event in events:
-                    self._happened(event, said, now)
+                    self._on_event(event, found, now)
             if self.fault:
                 break
-        if self.taken >= CONNECTION_WINDOW // 4:
-            self.h2.increment_flow_control_window(self.taken)
-            self.taken = 0
+        if self.uncredited >= CONNECTION_WINDOW // 4:
+            self.h2.increment_flow_control_window(self.uncredited)
+            self.uncredited = 0
         self.fault = self.fault or self.guard.fault
-        self._collect()
-        return said
+        self._collect_output()
+        return found
 
-    def _goaway(self, frame, said):
-        read = guard.goaway(frame)
-        if isinstance(read, FrameFault):
-            self.fault = read
+    def _on_goaway(self, frame, found):
+        parsed = guard.parse_goaway(frame)
+        if isinstance(parsed, FrameFault):
+            self.fault = parsed
             return
-        last, code = read
-        # A later one may only be lower; a higher one takes nothing back of what was proved.
-        self.last = last if self.last is None else min(self.last, last)
-        above = [s for number, s in self.streams.items() if number > self.last]
+        last, code = parsed
+        # A later GOAWAY may only lower the last stream id; a higher one does not revoke what was proved.
+        self.goaway_last = last if self.goaway_last is None else min(self.goaway_last, last)
+        above = [s for number, s in self.streams.items() if number > self.goaway_last]
         for stream in above:
-            self._forget(stream)
-        said.append(GoneAway(self.last, code, above))
+            self._remove(stream)
+        found.append(GoAwayReceived(self.goaway_last, code, above))
 
-    def _happened(self, event, said, now):
+    def _on_event(self, event, found, now):
         match event:
             case DataReceived():
-                self.taken += event.flow_controlled_length
+                self.uncredited += event.flow_controlled_length
                 if event.data and (stream := self.streams.get(event.stream_id)) is not None:
-                    self._data(stream, event.data, said, now)
+                    self._on_data(stream, event.data, found, now)
             case ResponseReceived():
-                self._answer_begins(event, said, now)
+                self._on_response_begun(event, found, now)
             case StreamEnded():
                 if (stream := self.streams.get(event.stream_id)) is not None:
-                    self._forget(stream)
-                    if stream.rest:  # answered before all of the body was wanted (RFC 9113 section 8.1)
+                    self._remove(stream)
+                    if stream.unsent_body:  # answered without the whole request body (RFC 9113 section 8.1)
                         self._reset(stream.id, NO_ERROR)
                     body = b"" if stream.body is None else bytes(stream.body)
-                    said.append(Answered(stream, stream.status, stream.fields, body))
+                    found.append(ResponseComplete(stream, stream.status, stream.fields, body))
             case StreamReset():
                 if (stream := self.streams.get(event.stream_id)) is not None:
-                    self._forget(stream)
-                    said.append(Reset(stream, int(event.error_code)))
+                    self._remove(stream)
+                    found.append(ResetByPeer(stream, int(event.error_code)))
             case InformationalResponseReceived():
                 if (stream := self.streams.get(event.stream_id)) is not None:
-                    stream.interim += 1
-                    if stream.interim > INTERIM_MOST:
-                        self._spoil(stream, "1xx without end", said)
+                    stream.interim_responses += 1
+                    if stream.interim_responses > INTERIM_RESPONSES_MAX:
+                        self._abort(stream, "too many interim (1xx) responses", found)
             case TrailersReceived():
                 if (stream := self.streams.get(event.stream_id)) is not None:
-                    stream.fields.update((n, v) for n, v in event.headers if n in LATE_FIELDS)
+                    stream.fields.update((n, v) for n, v in event.headers if n in TRAILER_FIELDS)
             case RemoteSettingsChanged():
                 limit = self.h2.remote_settings.max_concurrent_streams
-                said.append(Limited(limit) if self.ready else Ready(limit))
+                found.append(StreamLimitChanged(limit) if self.ready else SettingsReceived(limit))
                 self.ready = True
-                self._pump()
+                self._send_bodies()
             case WindowUpdated():
                 if self.uploads:
-                    self._pump()
+                    self._send_bodies()
             case SettingsAcknowledged():
-                said.append(Acknowledged())
+                found.append(SettingsAcked())
             case PingAckReceived():
-                said.append(Ponged())
+                found.append(PongReceived())
 
-    def _answer_begins(self, event, said, now):
+    def _on_response_begun(self, event, found, now):
         stream = self.streams.get(event.stream_id)
         if stream is None:
             return
         fields = {}
         for name, value in event.headers:
-            # Several of one name are one list (RFC 9110 section 5.3).
+            # Fields of the same name are combined into one list (RFC 9110 section 5.3).
             fields[name] = fields[name] + b", " + value if name in fields else value
-        stream.status, stream.fields, stream.heard = int(fields.pop(b":status")), fields, now
-        self.answers[stream.id] = stream
+        stream.status = int(fields.pop(b":status"))
+        stream.fields = fields
+        stream.last_data = now
+        self.partial_responses[stream.id] = stream
         length = fields.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > BODY_MOST:
-            self._spoil(stream, f"an answer of {length[:20].decode()} bytes", said)
+        if length.isdigit() and int(length) > BODY_MAX:
+            self._abort(stream, f"response of {length[:20].decode()} bytes exceeds {BODY_MAX}", found)
 
-    def _data(self, stream, data, said, now):
+    def _on_data(self, stream, data, found, now):
         if stream.body is None:
             stream.body = bytearray()
         stream.body += data
-        stream.heard = self.heard = now
-        self.held += len(data)
-        if len(stream.body) > BODY_MOST:
-            self._spoil(stream, "an answer longer than its bound", said)
-        elif self.held > self.held_most:
-            # The largest goes: it alone may be what fills this connection's memory.
-            most = max(self.streams.values(), key=lambda s: len(s.body or b""))
-            self._spoil(most, "more held than the connection's bound", said)
-
-    def _spoil(self, stream, why, said):
+        stream.last_data = self.last_data = now
+        self.buffered += len(data)
+        if len(stream.body) > BODY_MAX:
+            self._abort(stream, f"response exceeds {BODY_MAX} bytes", found)
+        elif self.buffered > self.buffered_max:
+            # The largest one is aborted: it alone may be what fills this connection's memory.
+            largest = max(self.streams.values(), key=lambda s: len(s.body or b""))
+            self._abort(
+                largest, f"partial responses on one connection exceed {self.buffered_max} bytes", found
+            )
+
+    def _abort(self, stream, why, found):
         self.cancel(stream)
-        said.append(Spoilt(stream, why))
+        found.append(StreamAborted(stream, why))
 
-    def _forget(self, stream):
+    def _remove(self, stream):
         if self.streams.pop(stream.id, None) is None:
             return False
         self.uploads.pop(stream.id, None)
-        self.answers.pop(stream.id, None)
-        self.held -= len(stream.body or b"")
+        self.partial_responses.pop(stream.id, None)
+        self.buffered -= len(stream.body or b"")
         return True
 
-    def _pump(self):
-        """Bodies as far as both windows let them (RFC 9113 section 6.9)."""
+    def _send_bodies(self):
+        """Send request bodies as far as both flow-control windows allow (RFC 9113 section 6.9)."""
         for number, stream in list(self.uploads.items()):
-            while stream.rest and len(self.outgoing) <= UNSENT_MOST:
+            while stream.unsent_body and len(self.outgoing) <= UNSENT_MAX:
                 size = min(
                     self.h2.local_flow_control_window(number),
                     self.h2.max_outbound_frame_size,
-                    len(stream.rest),
+                    len(stream.unsent_body),
                 )
                 if size <= 0:
                     break
-                chunk, stream.rest = stream.rest[:size], stream.rest[size:]
-                self.h2.send_data(number, chunk, end_stream=not stream.rest)
-                self._collect()
-            if not stream.rest:
+                chunk, stream.unsent_body = stream.unsent_body[:size], stream.unsent_body[size:]
+                self.h2.send_data(number, chunk, end_stream=not stream.unsent_body)
+                self._collect_output()
+            if not stream.unsent_body:
                 del self.uploads[number]
 
-    def _collect(self):
+    def _collect_output(self):
         data = self.h2.data_to_send()
         self.outgoing += data
-        self.made += len(data)
+        self.produced += len(data)
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -1,6 +1,6 @@
-"""HTTP/2 as a transport: sockets and timers round pool and session; it does what the pool says and decides nothing.
+"""The HTTP/2 transport: sockets and timers around the pool and the session; the decisions are the pool's.
 
-Prior knowledge over TCP (RFC 9113 section 3.3). TLS with ALPN would stand between socket and session, in `_readable`
+Prior knowledge over TCP (RFC 9113 section 3.3). TLS with ALPN would go between socket and session, in `_on_readable`
 and `_flush`.
 """
 
@@ -19,479 +19,576 @@
     SendPing,
 )
 from sprucegate.upstream.http2.session import (
-    Acknowledged,
-    Answered,
-    GoneAway,
+    GoAwayReceived,
     Http2Session,
-    Limited,
-    Ponged,
-    Ready,
-    Reset,
-    Spoilt,
+    PongReceived,
+    ResetByPeer,
+    ResponseComplete,
+    SettingsAcked,
+    SettingsReceived,
+    StreamAborted,
+    StreamLimitChanged,
 )
 from sprucegate.upstream.progress import Progress
 from sprucegate.upstream.sockets import is_local, receive_into, send, set_no_delay
 
 
-class Held:
-    """What is kept of a place: its pool, its connections by the pool's number, and what it is called."""
+class ServerState:
+    """The transport's state for one server: its pool, its connections by the pool's numbers, and its authority."""
 
     __slots__ = ("pool", "connections", "authority")
 
     def __init__(self, pool, authority):
-        self.pool, self.connections, self.authority = pool, {}, authority
-
-
-class H2Connection:
-    """One connection: its socket, its session and the streams on it."""
+        self.pool = pool
+        self.connections = {}
+        self.authority = authority
+
+
+class Http2Connection:
+    """One connection.
+
+    :ivar server: its UpstreamServer
+    :ivar number: its number in the pool
+    :ivar sock: its socket, None before it was created
+    :ivar session: the protocol state and the streams
+    :ivar connect_task: the task that establishes it
+    :ivar up: the TCP connection is established
+    :ivar closed: it was closed
+    :ivar writer_registered: whether the event loop calls back when the socket takes more
+    :ivar flush_scheduled: whether `_flush` runs later in this turn of the event loop
+    :ivar stall_check_armed: whether a stall check is scheduled
+    :ivar reachable: the failed connect shows a reachable server
+    :ivar blocked: the pool was told that the peer does not read
+    :ivar up_since: when it was established (ns)
+    :ivar lacks_resources: the connect failed for a lack of resources on this side
+    """
 
     __slots__ = (
-        "place",
+        "server",
         "number",
         "sock",
         "session",
-        "task",
+        "connect_task",
         "up",
         "closed",
-        "writing",
-        "flushes",
-        "watched",
-        "in_reach",
+        "writer_registered",
+        "flush_scheduled",
+        "stall_check_armed",
+        "reachable",
         "blocked",
-        "made",
-        "lacking",
+        "up_since",
+        "lacks_resources",
     )
 
-    def __init__(self, place, number, session):
-        self.place, self.number, self.session, self.sock, self.task = place, number, session, None, None
-        self.up = self.closed = self.writing = self.flushes = self.watched = self.in_reach = self.blocked = (
-            False
-        )
-        self.lacking = False  # it could not be begun for want of something on this side
-        self.made = 0  # when it came up
-
-
-class Waiting:
-    """A forward as it goes through the pool: what is sent once it has a connection."""
-
-    __slots__ = ("out", "said", "source", "connection", "stream")
-
-    def __init__(self, out, said, source):
-        self.out, self.said, self.source, self.connection, self.stream = out, said, source, None, None
+    def __init__(self, server, number, session):
+        self.server = server
+        self.number = number
+        self.session = session
+        self.sock = None
+        self.connect_task = None
+        self.up = False
+        self.closed = False
+        self.writer_registered = False
+        self.flush_scheduled = False
+        self.stall_check_armed = False
+        self.reachable = False
+        self.blocked = False
+        self.lacks_resources = False
+        self.up_since = 0
+
+
+class PendingAttempt:
+    """An attempt in the pool, with what is needed to send it once it has a stream.
+
+    :ivar attempt: the driver's attempt
+    :ivar action: the SendAttempt
+    :ivar source: name of the server from which a miss is filled, or None
+    :ivar connection: its connection, None while it waits for a stream
+    :ivar stream: its stream, None while it waits for one
+    """
+
+    __slots__ = ("attempt", "action", "source", "connection", "stream")
+
+    def __init__(self, attempt, action, source):
+        self.attempt = attempt
+        self.action = action
+        self.source = source
+        self.connection = None
+        self.stream = None
 
 
 class Http2Transport:
-    """Speaks HTTP/2 with servers: sockets and timers round the pool and the session."""
+    """Sends attempts over HTTP/2.
+
+    :ivar active: servers with connections, or whose pool has something due, by id
+    """
 
     def __init__(self, servers, driver, pool, settings, limits):
-        self.servers, self.driver, self.buffers, self.limits = servers, driver, pool, limits
-        self.loop, self.instance = asyncio.get_running_loop(), getattr(driver.wanted, "name", "")
-        self.timer, self.armed = None, None
-        self.active = {}  # id -> place with connections, or whose pool has something due
+        self.servers = servers
+        self.driver = driver
+        self.buffers = pool
+        self.limits = limits
+        self.loop = asyncio.get_running_loop()
+        self.instance = getattr(driver.wanted, "name", "")
+        self.timer = None
+        self.timer_due = None
+        self.active = {}
         self.log = driver.log
 
-    # The calls of a transport.
+    # The methods that every transport has.
 
-    def kept(self, place):
-        """Return what the transport keeps for one server."""
-        authority = "{}:{}".format(*place.address).encode()
-        return Held(ConnectionPool(self.limits, place.id, self.instance), authority)
+    def kept(self, server):
+        """Return the transport's state for one server."""
+        authority = "{}:{}".format(*server.address).encode()
+        return ServerState(ConnectionPool(self.limits, server.id, self.instance), authority)
 
-    def open_connections(self, place):
-        """Return how many connections to a server there are."""
-        return len(place.held.connections)
+    def open_connections(self, server):
+        """Return the number of connections to a server."""
+        return len(server.held.connections)
 
-    def came_up(self, place, since):
-        """Whether a connection that is there was made since then."""
-        return any(c.up and c.made >= since for c in place.held.connections.values())
+    def came_up(self, server, since):
+        """Return whether a connection that is still up was established at or after `since`."""
+        return any(c.up and c.up_since >= since for c in server.held.connections.values())
 
-    def moved(self, place):
-        """Another address under the same id: connections to the old one serve on, new ones go to the new one."""
-        place.held.authority = "{}:{}".format(*place.address).encode()
+    def moved(self, server):
+        """Use the new address for new connections; those to the former address stay in use."""
+        server.held.authority = "{}:{}".format(*server.address).encode()
 
-    def warm(self, place, now):
-        """Connect ahead of the first attempt."""
-        place.held.pool.back()
-        self._do(place, place.held.pool.warm(now))
+    def warm(self, server, now):
+        """Connect to a server ahead of its first attempt."""
+        server.held.pool.restore()
+        self._perform(server, server.held.pool.warm(now))
 
-    def leave(self, place):
-        """The server has gone: close what is idle there."""
-        self._do(place, place.held.pool.leave(self.driver.clock()))
+    def leave(self, server):
+        """Close the idle connections to a server that was removed, and the others once their streams have ended."""
+        self._perform(server, server.held.pool.remove(self.driver.clock()))
 
-    def forward(self, place, out, said, source):
-        """Send an attempt; its end is told to the driver."""
-        place.held.pool.back()
-        out.connection = waiting = Waiting(out, said, source)
-        self._do(place, place.held.pool.ask(waiting, out.at))
+    def forward(self, server, attempt, action, source):
+        """Send an attempt; its end is reported to the driver."""
+        server.held.pool.restore()
+        attempt.connection = pending = PendingAttempt(attempt, action, source)
+        self._perform(server, server.held.pool.request_stream(pending, attempt.at))
 
-    def withdraw(self, out):
-        """Takes a forward back that still waits for a stream; whether it could."""
-        waiting = out.connection
-        if waiting is None or waiting.connection is not None:
+    def withdraw(self, attempt):
+        """Withdraw an attempt that still waits for a stream; return whether that was possible."""
+        pending = attempt.connection
+        if pending is None or pending.connection is not None:
             return False
-        place = self.servers.places.get(waiting.said.cache)
-        return place is not None and place.held.pool.withdraw(waiting)
-
-    def cancel(self, out, timed_out=False):
-        """RST_STREAM CANCEL, which frees the stream. NOT_SENT where it still waited, else nothing is proved."""
-        waiting = out.connection
-        connection, stream = waiting.connection, waiting.stream
-        if connection is None:  # it waits, or its refusal is on the way to the driver
-            self.withdraw(out)
+        server = self.servers.places.get(pending.action.cache)
+        return server is not None and server.held.pool.withdraw(pending)
+
+    def cancel(self, attempt, timed_out=False):
+        """Cancel an attempt: reset its stream with CANCEL.
+
+        Return NOT_SENT if it still waited for a stream, else None, as it may have run.
+        """
+        pending = attempt.connection
+        connection, stream = pending.connection, pending.stream
+        if connection is None:  # it waits for a stream, or its refusal is being reported
+            self.withdraw(attempt)
             return AttemptOutcome.NOT_SENT
         if not connection.closed and stream.id in connection.session.streams:
             connection.session.cancel(stream)
-            self._want_flush(connection)
-            self._do(
-                connection.place,
-                connection.place.held.pool.freed(connection.number, False, self.driver.clock()),
+            self._schedule_flush(connection)
+            self._perform(
+                connection.server,
+                connection.server.held.pool.stream_ended(connection.number, False, self.driver.clock()),
             )
         return None
 
     def sweep(self, now):
-        """Nothing: the pool's own times end what is idle or old."""
+        """Do nothing: the pool closes idle and old connections."""
 
     def due(self, now):
-        """Nothing: this transport keeps a timer of its own."""
+        """Do nothing: this transport has its own timer."""
 
     def next_due(self):
-        """Return None: HTTP/2's timers are its own."""
+        """Return None: this transport has its own timer."""
         return None
 
     def oldest_idle(self):
-        """The connection unused longest, as (since, its close), or None."""
+        """Return the connection idle for longest as (time of its last use, function that closes it), or None."""
         found = [
-            (at.used, place, number)
-            for place in self._places()
-            for number, at in place.held.pool.connections.items()
-            if not at.open and number in place.held.connections and place.held.connections[number].up
+            (connection.last_used, server, number)
+            for server in self._active_servers()
+            for number, connection in server.held.pool.connections.items()
+            if not connection.open
+            and number in server.held.connections
+            and server.held.connections[number].up
         ]
         if not found:
             return None
-        used, place, number = min(found, key=lambda one: one[0])
-        return used, lambda: self.close(place.held.connections[number], "room for another")
+        last_used, server, number = min(found, key=lambda entry: entry[0])
+        return last_used, lambda: self.close(
+            server.held.connections[number], "closed to make room for another connection"
+        )
 
     def stop(self):
-        """The front ends: what is still open is given up, and each peer told so."""
-        for place in self._places():
-            for connection in list(place.held.connections.values()):
+        """Close all connections, each with a GOAWAY; what is still open is given up."""
+        for server in self._active_servers():
+            for connection in list(server.held.connections.values()):
                 self.close(connection, "stopping")
         if self.timer is not None:
             self.timer.cancel()
 
-    # What the pool says.
+    # The pool's actions.
 
-    def _places(self):
+    def _active_servers(self):
         return list(self.active.values())
 
-    def _do(self, place, said):
-        self.active[place.id] = place
-        for one in said:
-            match one:
+    def _perform(self, server, actions):
+        self.active[server.id] = server
+        for action in actions:
+            match action:
                 case SendOnConnection():
-                    self._send(place, one)
+                    self._send(server, action)
                 case OpenConnection():
-                    self._open(place, one.connection)
+                    self._open(server, action.connection)
                 case RefuseRequest():
                     self.loop.call_soon(
-                        self.driver.ended, one.forward.out, one.outcome, CacheStatus.UNKNOWN, 0, {}
+                        self.driver.ended,
+                        action.attempt.attempt,
+                        action.outcome,
+                        CacheStatus.UNKNOWN,
+                        0,
+                        {},
                     )
                 case SendPing():
-                    connection = place.held.connections[one.connection]
+                    connection = server.held.connections[action.connection]
                     connection.session.ping()
-                    self._want_flush(connection)
+                    self._schedule_flush(connection)
                 case CloseConnection():
-                    if (connection := place.held.connections.get(one.connection)) is not None:
-                        # Later, as the caller may stand in the middle of this connection's events.
-                        self.loop.call_soon(self.close, connection, one.why)
-        self._arm(place)
-
-    def _send(self, place, one):
-        waiting, connection = one.forward, place.held.connections[one.connection]
-        out = waiting.out
-        if out.ended:  # given up in the same turn
-            return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
-        left = self.driver.sending.time_left(out, self.driver.clock())
-        if left is None:
-            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
-            return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
-        fields = mapping.request(place.held.authority, out.get, waiting.said, waiting.source, left)
-        stream = connection.session.request(
-            waiting, fields, out.get.body, mapping.only_if_cached(waiting.said)
+                    if (connection := server.held.connections.get(action.connection)) is not None:
+                        # Deferred, as the caller may be processing events of this connection.
+                        self.loop.call_soon(self.close, connection, action.why)
+        self._arm(server)
+
+    def _send(self, server, action):
+        pending, connection = action.attempt, server.held.connections[action.connection]
+        attempt = pending.attempt
+        if attempt.ended:  # cancelled in the same turn of the event loop
+            return self._perform(
+                server, server.held.pool.stream_ended(action.connection, False, self.driver.clock())
+            )
+        time_left = self.driver.sending.time_left(attempt, self.driver.clock())
+        if time_left is None:
+            self.loop.call_soon(
+                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+            )
+            return self._perform(
+                server, server.held.pool.stream_ended(action.connection, False, self.driver.clock())
+            )
+        fields = mapping.request_fields(
+            server.held.authority, attempt.get, pending.action, pending.source, time_left
+        )
+        stream = connection.session.send_request(
+            pending, fields, attempt.get.body, mapping.only_if_cached(pending.action)
         )
         if stream is None:
-            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
-            return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
-        waiting.connection, waiting.stream, out.progress = connection, stream, Progress.PARTIAL
-        self.driver.sending.began(out, self.driver.clock())
-        self._want_flush(connection)
+            self.loop.call_soon(
+                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+            )
+            return self._perform(
+                server, server.held.pool.stream_ended(action.connection, False, self.driver.clock())
+            )
+        pending.connection = connection
+        pending.stream = stream
+        attempt.progress = Progress.PARTIAL
+        self.driver.sending.began(attempt, self.driver.clock())
+        self._schedule_flush(connection)
 
-    def _open(self, place, number):
+    def _open(self, server, number):
         session = Http2Session(self.limits.held, self.driver.clock())
-        connection = place.held.connections[number] = H2Connection(place, number, session)
+        connection = server.held.connections[number] = Http2Connection(server, number, session)
         if not self.servers.make_room():
-            connection.lacking = True  # nothing is known of the server
-            self.loop.call_soon(self._ended, connection, "no room for another connection")
+            connection.lacks_resources = True  # it says nothing about the server
+            self.loop.call_soon(self._ended, connection, "limit on connections reached")
             self.servers.connections += 1
             return
         self.servers.connections += 1
-        connection.task = self.loop.create_task(self._connect_to(connection))
+        connection.connect_task = self.loop.create_task(self._establish(connection))
 
     # Sockets.
 
-    async def _connect_to(self, connection):
+    async def _establish(self, connection):
         why = None
         try:
             sock = connection.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             set_no_delay(sock)
             async with asyncio.timeout(self.limits.connect / 1e9):
-                await self.loop.sock_connect(sock, connection.place.address)
-            sock.getpeername()  # uvloop takes a connect that should be tried again for one under way
-        except (OSError, UnicodeError) as fault:  # a TimeoutError is one; or the name can't be one
-            connection.in_reach = isinstance(fault, ConnectionResetError)
-            connection.lacking = is_local(fault) or self._never_begun(connection, fault)
+                await self.loop.sock_connect(sock, connection.server.address)
+            sock.getpeername()  # uvloop takes a connect that should be repeated for one that is in progress
+        except (
+            OSError,
+            UnicodeError,
+        ) as fault:  # TimeoutError is an OSError; UnicodeError: not a valid host name
+            connection.reachable = isinstance(fault, ConnectionResetError)
+            connection.lacks_resources = is_local(fault) or self._never_started(connection, fault)
             why = f"{type(fault).__name__}: {fault}"
         if connection.closed:
             return
         if why is not None:
             return self._ended(connection, why)
-        connection.up, connection.made = True, self.driver.clock()
-        self.loop.add_reader(sock, self._readable, connection)
+        connection.up = True
+        connection.up_since = self.driver.clock()
+        self.loop.add_reader(sock, self._on_readable, connection)
         self._flush(connection)
-        self.loop.call_later(self.limits.connect / 1e9, self._unready, connection)
+        self.loop.call_later(self.limits.connect / 1e9, self._check_ready, connection)
 
     @staticmethod
-    def _never_begun(connection, fault):
-        """Whether a connection that is none was never begun; twice in a row, the server resets them at once."""
+    def _never_started(connection, fault):
+        """Return whether a socket that is not connected means that the connect was never started.
+
+        If it happens twice in a row, the server resets connections at once.
+        """
         unconnected = isinstance(fault, OSError) and fault.errno == errno.ENOTCONN
-        return unconnected and not connection.place.held.pool.lacking
+        return unconnected and not connection.server.held.pool.lacks_resources
 
-    def _unready(self, connection):
+    def _check_ready(self, connection):
         if not connection.closed and not connection.session.ready:
-            self._ended(connection, "no SETTINGS in time")
+            self._ended(connection, "no SETTINGS received in time")
 
-    def _readable(self, connection):
+    def _on_readable(self, connection):
         buffer = self.buffers.take()
         if buffer is None:
-            return self._ended(connection, "no buffer")
+            return self._ended(connection, "no read buffer available")
         try:
             size = receive_into(connection.sock, buffer)
             if size:
-                self._fed(connection, buffer[:size])
+                self._on_bytes(connection, buffer[:size])
             elif size == 0:
-                self._ended(connection, "ended by the server")
+                self._ended(connection, "closed by the server")
         except OSError as fault:
             self._ended(connection, f"{type(fault).__name__}")
-        except Exception as fault:  # this connection's own, whatever it is
+        except Exception as fault:  # an unexpected error costs this connection alone
             self.driver.fault(fault)
-            self._ended(connection, "a fault of the program")
+            self._ended(connection, "internal error")
         finally:
             self.buffers.give_back(buffer)
 
-    def _fed(self, connection, data):
-        now, pool, session = self.driver.clock(), connection.place.held.pool, connection.session
+    def _on_bytes(self, connection, data):
+        now, pool, session = self.driver.clock(), connection.server.held.pool, connection.session
         if connection.number in pool.connections:
-            pool.heard(connection.number, now)
-        for event in session.feed(data, now):
-            self._happened(connection, pool, event, now)
+            pool.bytes_received(connection.number, now)
+        for event in session.receive(data, now):
+            self._on_event(connection, pool, event, now)
         if session.outgoing:
-            self._want_flush(connection)
+            self._schedule_flush(connection)
         if session.fault:
-            self.driver.log("cache_unreadable", cache=connection.place.name, error=session.fault.text)
+            self.driver.log("cache_unreadable", cache=connection.server.name, error=session.fault.text)
             session.close(session.fault.code)
             self._ended(connection, session.fault.text)
-        elif session.answers and not connection.watched:
-            self._watch(connection)
+        elif session.partial_responses and not connection.stall_check_armed:
+            self._arm_stall_check(connection)
 
-    def _happened(self, connection, pool, event, now):
-        number, known = connection.number, connection.number in pool.connections
+    def _on_event(self, connection, pool, event, now):
+        number, pooled = connection.number, connection.number in pool.connections
         match event:
-            case Answered():
-                self._free(connection, True, now)
-                self._answered(event)
-            case Ready():
-                self._do(connection.place, pool.opened(number, event.limit, now) if known else [])
-            case Limited():
-                self._do(connection.place, pool.limited(number, event.limit, now) if known else [])
-            case Acknowledged():
-                if known:
-                    pool.acknowledged(number)
-            case Ponged():
-                pass  # that anything was read is what counts
-            case Reset():
-                self._free(connection, False, now)
+            case ResponseComplete():
+                self._free_stream(connection, True, now)
+                self._on_response(event)
+            case SettingsReceived():
+                self._perform(
+                    connection.server, pool.settings_received(number, event.limit, now) if pooled else []
+                )
+            case StreamLimitChanged():
+                self._perform(
+                    connection.server, pool.stream_limit_changed(number, event.limit, now) if pooled else []
+                )
+            case SettingsAcked():
+                if pooled:
+                    pool.settings_acknowledged(number)
+            case PongReceived():
+                pass  # received bytes of any kind end the wait for a PING's answer
+            case ResetByPeer():
+                self._free_stream(connection, False, now)
                 row = evidence.of_reset(event.code)
-                self._tell(event.stream.out.out, row, now)
-            case Spoilt():
-                self.log("cache_unreadable", cache=connection.place.name, error=event.why)
-                self._free(connection, False, now)
-                self._tell(event.stream.out.out, evidence.OTHER_RESET, now)
-            case GoneAway():
+                self._report(event.stream.request.attempt, row, now)
+            case StreamAborted():
+                self.log("cache_unreadable", cache=connection.server.name, error=event.why)
+                self._free_stream(connection, False, now)
+                self._report(event.stream.request.attempt, evidence.OTHER_RESET, now)
+            case GoAwayReceived():
                 self.log(
                     "cache_goaway",
-                    cache=connection.place.name,
+                    cache=connection.server.name,
                     code=event.code,
                     last=event.last,
                     never_executed=len(event.above),
                     open=len(connection.session.streams),
                 )
-                # First, or what these free would be filled again on a connection that takes nothing more.
-                self._do(connection.place, pool.goaway(number, event.code == 0, now) if known else [])
+                # The pool is told first: otherwise it would assign the freed streams of this connection anew.
+                self._perform(connection.server, pool.goaway(number, event.code == 0, now) if pooled else [])
                 for _ in event.above:
-                    self._free(connection, False, now)
+                    self._free_stream(connection, False, now)
                 for stream in event.above:
-                    self._tell(stream.out.out, evidence.ABOVE_LAST, now)
+                    self._report(stream.request.attempt, evidence.ABOVE_GOAWAY, now)
 
-    def _free(self, connection, well, now):
-        pool = connection.place.held.pool
+    def _free_stream(self, connection, answered, now):
+        pool = connection.server.held.pool
         if connection.number in pool.connections:
-            self._do(connection.place, pool.freed(connection.number, well, now))
+            self._perform(connection.server, pool.stream_ended(connection.number, answered, now))
 
-    def _answered(self, event):
-        out = event.stream.out.out
-        if out.ended:
+    def _on_response(self, event):
+        attempt = event.stream.request.attempt
+        if attempt.ended:
             return
-        said = mapping.meaning(event.status, event.fields, event.body, event.stream.cached_only, out.get.have)
-        if said.row is not None:
-            self.driver.book.count(f"evidence {said.row.name}")
-        if said.returned is not None:
-            self.driver.returned(out, said.returned)
-        self.driver.ended(out, said.outcome, said.found, said.waited, said.load)
-
-    def _tell(self, out, row, now):
-        if not out.ended:
+        meaning = mapping.interpret(
+            event.status, event.fields, event.body, event.stream.cached_only, attempt.get.have
+        )
+        if meaning.row is not None:
+            self.driver.book.count(f"evidence {meaning.row.name}")
+        if meaning.response is not None:
+            self.driver.returned(attempt, meaning.response)
+        self.driver.ended(attempt, meaning.outcome, meaning.cache_status, meaning.fill_wait, meaning.load)
+
+    def _report(self, attempt, row, now):
+        """Report the end of an attempt as a row of the evidence table says."""
+        if not attempt.ended:
             self.driver.book.count(f"evidence {row.name}")
-            self.driver.ended(out, row.outcome, CacheStatus.UNKNOWN, 0, {}, now)
+            self.driver.ended(attempt, row.outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
-    def _want_flush(self, connection):
-        """Once a turn of the loop: requests that begin together go out together."""
-        if not connection.flushes and not connection.closed:
-            connection.flushes = True
+    def _schedule_flush(self, connection):
+        """Flush once in this turn of the event loop, so that requests that begin together are sent together."""
+        if not connection.flush_scheduled and not connection.closed:
+            connection.flush_scheduled = True
             self.loop.call_soon(self._flush, connection)
 
     def _flush(self, connection):
-        connection.flushes = False
+        connection.flush_scheduled = False
         if connection.closed or not connection.up:
             return
         session = connection.session
         try:
             while session.outgoing and (sent := send(connection.sock, session.outgoing)):
-                session.sent(sent)
+                session.bytes_sent(sent)
         except OSError as fault:
             return self._ended(connection, type(fault).__name__)
-        if bool(session.outgoing) is not connection.writing:
-            connection.writing = not connection.writing
-            if connection.writing:
+        if bool(session.outgoing) is not connection.writer_registered:
+            connection.writer_registered = not connection.writer_registered
+            if connection.writer_registered:
                 self.loop.add_writer(connection.sock, self._flush, connection)
             else:
                 self.loop.remove_writer(connection.sock)
         if (
-            session.stuck() is not connection.blocked
-            and connection.number in connection.place.held.pool.connections
+            session.is_write_blocked() is not connection.blocked
+            and connection.number in connection.server.held.pool.connections
         ):
             connection.blocked = not connection.blocked
-            self._do(
-                connection.place,
-                connection.place.held.pool.blocked(
+            self._perform(
+                connection.server,
+                connection.server.held.pool.set_blocked(
                     connection.number, connection.blocked, self.driver.clock()
                 ),
             )
 
     def close(self, connection, why):
-        """Close a connection; `why` goes to the log."""
+        """Close a connection with a GOAWAY; `why` goes to the log."""
         if not connection.closed:
             connection.session.close()
             self._ended(connection, why)
 
     def _ended(self, connection, why):
-        """Ends a connection: closed first, so that nothing more goes out, then each stream by its evidence."""
+        """Close a connection and report the end of each stream on it.
+
+        The socket is closed first: the evidence holds only if nothing more is sent.
+        """
         if connection.closed:
             return
-        place, sock, session = connection.place, connection.sock, connection.session
-        connection.closed, now = True, self.driver.clock()
+        server, sock, session = connection.server, connection.sock, connection.session
+        connection.closed = True
+        now = self.driver.clock()
         if connection.up:
             self.loop.remove_reader(sock)
-            if connection.writing:
+            if connection.writer_registered:
                 self.loop.remove_writer(sock)
             if session.outgoing and not session.streams:
                 try:
-                    sock.send(session.outgoing)  # our GOAWAY, where the socket takes it at once
+                    sock.send(session.outgoing)  # our GOAWAY, if the socket takes it at once
                 except OSError:
                     pass
         if (
-            connection.task is not None
-            and not connection.task.done()
-            and (connection.task is not asyncio.current_task())
+            connection.connect_task is not None
+            and not connection.connect_task.done()
+            and (connection.connect_task is not asyncio.current_task())
         ):
-            connection.task.add_done_callback(lambda _: sock.close())
-            connection.task.cancel()
+            connection.connect_task.add_done_callback(lambda _: sock.close())
+            connection.connect_task.cancel()
         elif sock is not None:
             sock.close()
-        place.held.connections.pop(connection.number, None)
+        server.held.connections.pop(connection.number, None)
         self.servers.connections -= 1
         streams = list(session.streams.values())
         if streams or not session.ready and why != "stopping":
             self.log(
                 "cache_connection_lost" if session.ready else "cache_unreachable",
-                cache=place.name,
+                cache=server.name,
                 forwards=len(streams),
                 why=why,
             )
-        if connection.number in place.held.pool.connections:
-            pool, reached = place.held.pool, connection.up or connection.in_reach
-            self._do(
-                place,
-                pool.lacked(connection.number, now)
-                if connection.lacking
-                else pool.lost(connection.number, reached, now),
+        if connection.number in server.held.pool.connections:
+            pool, reached = server.held.pool, connection.up or connection.reachable
+            self._perform(
+                server,
+                pool.connect_lacked_resources(connection.number, now)
+                if connection.lacks_resources
+                else pool.connection_lost(connection.number, reached, now),
             )
-        self._arm(place)  # the pool may have let it go before, and not be asked again
-        self.servers.drop_if_unused(place)
+        self._arm(server)  # also if the pool dropped the connection before and had nothing to do now
+        self.servers.drop_if_unused(server)
         for stream in streams:
-            self._tell(stream.out.out, evidence.of_end(session.written(stream), stream.id, session.last), now)
+            self._report(
+                stream.request.attempt,
+                evidence.of_end(session.write_progress(stream), stream.id, session.goaway_last),
+                now,
+            )
 
-    # Time.
+    # Timers.
 
-    def _watch(self, connection):
-        connection.watched = True
-        self.loop.call_later(self.limits.stalled / 1e9, self._look, connection)
+    def _arm_stall_check(self, connection):
+        connection.stall_check_armed = True
+        self.loop.call_later(self.limits.stalled / 1e9, self._check_stalled, connection)
 
-    def _look(self, connection):
-        """Answers begun that may not go on: looked at once in so long, not at each read."""
-        connection.watched = False
+    def _check_stalled(self, connection):
+        """Reset streams whose response has stalled; checked once per stall time and not per read."""
+        connection.stall_check_armed = False
         if connection.closed:
             return
         now = self.driver.clock()
-        late = connection.session.stalled(self.limits.stalled, now)
-        for stream in late:
-            self.log("cache_stalled", cache=connection.place.name, forwards=1)
+        stalled = connection.session.stalled(self.limits.stalled, now)
+        for stream in stalled:
+            self.log("cache_stalled", cache=connection.server.name, forwards=1)
             connection.session.cancel(stream)
-            self._free(connection, False, now)
-        self._want_flush(connection)
-        for stream in late:
-            self._tell(stream.out.out, evidence.OTHER_RESET, now)
-        if not connection.closed and connection.session.answers and not connection.watched:
-            self._watch(connection)
-
-    def _arm(self, place):
-        due = place.held.pool.next_due()
-        if due is None and not place.held.connections:
-            self.active.pop(place.id, None)
-        elif due is not None and (self.armed is None or due < self.armed):
+            self._free_stream(connection, False, now)
+        self._schedule_flush(connection)
+        for stream in stalled:
+            self._report(stream.request.attempt, evidence.OTHER_RESET, now)
+        if (
+            not connection.closed
+            and connection.session.partial_responses
+            and not connection.stall_check_armed
+        ):
+            self._arm_stall_check(connection)
+
+    def _arm(self, server):
+        due = server.held.pool.next_due()
+        if due is None and not server.held.connections:
+            self.active.pop(server.id, None)
+        elif due is not None and (self.timer_due is None or due < self.timer_due):
             self._arm_at(due, self.driver.clock())
 
     def _arm_at(self, due, now):
         if self.timer is not None:
             self.timer.cancel()
-        self.armed = due
-        self.timer = self.loop.call_later(max(0, due - now) / 1e9, self._due)
+        self.timer_due = due
+        self.timer = self.loop.call_later(max(0, due - now) / 1e9, self._on_timer)
 
-    def _due(self):
-        self.armed = self.timer = None
+    def _on_timer(self):
+        self.timer_due = self.timer = None
         now = self.driver.clock()
-        for place in self._places():
-            if (due := place.held.pool.next_due()) is not None and due <= now:
-                self._do(place, place.held.pool.due(now))
+        for server in self._active_servers():
+            if (due := server.held.pool.next_due()) is not None and due <= now:
+                self._perform(server, server.held.pool.due(now))
             else:
-                self._arm(place)
+                self._arm(server)
--- a/tests/upstream/test_http2_pool.py
+++ b/tests/upstream/test_http2_pool.py
@@ -24,8 +24,8 @@
     """A pool with one connection that is up."""
     made = ConnectionPool(Limits(**changed), 11, "n0")
     assert made.warm(NOW) == [OpenConnection(1)]
-    assert made.opened(1, limit, NOW) == []
-    made.acknowledged(1)
+    assert made.settings_received(1, limit, NOW) == []
+    made.settings_acknowledged(1)
     return made
 
 
@@ -35,87 +35,92 @@
 
 def test_the_least_full_takes_a_stream_and_another_is_opened_at_half():
     made = pool(limit=4)
-    assert made.ask("a", NOW) == [SendOnConnection("a", 1)]
-    assert made.ask("b", NOW) == [SendOnConnection("b", 1), OpenConnection(2)]
-    assert made.ask("c", NOW) == [SendOnConnection("c", 1)]  # one at a time
-    assert made.opened(2, 4, NOW) == []
-    assert made.ask("d", NOW) == [SendOnConnection("d", 2)]
+    assert made.request_stream("a", NOW) == [SendOnConnection("a", 1)]
+    assert made.request_stream("b", NOW) == [SendOnConnection("b", 1), OpenConnection(2)]
+    assert made.request_stream("c", NOW) == [SendOnConnection("c", 1)]  # one at a time
+    assert made.settings_received(2, 4, NOW) == []
+    assert made.request_stream("d", NOW) == [SendOnConnection("d", 2)]
 
 
 def test_a_limit_that_falls_below_what_is_open_keeps_new_streams_away_until_there_is_room():
     made = pool(connections=1)
     for at in range(60):
-        assert made.ask(at, NOW) == [SendOnConnection(at, 1)]
-    assert made.limited(1, 3, NOW) == []
-    assert made.ask("waits", NOW) == []
+        assert made.request_stream(at, NOW) == [SendOnConnection(at, 1)]
+    assert made.stream_limit_changed(1, 3, NOW) == []
+    assert made.request_stream("waits", NOW) == []
     for _ in range(57):
-        assert made.freed(1, True, NOW) == []
-    assert made.freed(1, True, NOW) == [SendOnConnection("waits", 1)]
+        assert made.stream_ended(1, True, NOW) == []
+    assert made.stream_ended(1, True, NOW) == [SendOnConnection("waits", 1)]
 
 
 def test_a_limit_of_zero_holds_gets_back_for_a_moment_and_not_for_longer():
     made = pool(limit=0, connections=1)
-    assert made.ask("a", NOW) == [] and made.ask("b", NOW + 100 * MS) == []
+    assert made.request_stream("a", NOW) == [] and made.request_stream("b", NOW + 100 * MS) == []
     assert made.due(NOW + 300 * MS) == [RefuseRequest("a", AttemptOutcome.FULL)]
-    assert made.limited(1, 5, NOW + 350 * MS) == [SendOnConnection("b", 1)]
+    assert made.stream_limit_changed(1, 5, NOW + 350 * MS) == [SendOnConnection("b", 1)]
 
 
 def test_waiting_gets_are_bounded_and_one_can_be_withdrawn():
     made = pool(limit=0, connections=1, waiting=2)
-    assert made.ask("a", NOW) == made.ask("b", NOW) == []
-    assert made.ask("c", NOW) == [RefuseRequest("c", AttemptOutcome.FULL)]
+    assert made.request_stream("a", NOW) == made.request_stream("b", NOW) == []
+    assert made.request_stream("c", NOW) == [RefuseRequest("c", AttemptOutcome.FULL)]
     assert made.withdraw("a") and not made.withdraw("a")
 
 
 def test_a_graceful_goaway_brings_a_successor_up_before_the_old_one_has_ended():
     made = pool()
-    made.ask("a", NOW), made.freed(1, True, NOW), made.ask("b", NOW)
+    made.request_stream("a", NOW), made.stream_ended(1, True, NOW), made.request_stream("b", NOW)
     assert made.goaway(1, True, NOW) == [OpenConnection(2)]
-    assert made.ask("c", NOW) == []  # not on the old one
-    assert made.opened(2, 100, NOW) == [SendOnConnection("c", 2)]
+    assert made.request_stream("c", NOW) == []  # not on the old one
+    assert made.settings_received(2, 100, NOW) == [SendOnConnection("c", 2)]
     assert made.goaway(1, True, NOW) == []  # the second one
-    assert made.freed(1, True, NOW) == [CloseConnection(1, "drained")]
+    assert made.stream_ended(1, True, NOW) == [CloseConnection(1, "drained")]
 
 
 def test_an_old_connection_serves_until_its_successor_is_up():
     made = pool(age=20 * S, age_spread=0.0)
-    made.ask("a", NOW + 19 * S)
+    made.request_stream("a", NOW + 19 * S)
     assert made.due(NOW + 20 * S) == [SendPing(1), OpenConnection(2)]
     assert made.connections[1].phase is ConnectionPhase.RETIRING
-    made.heard(1, NOW + 20 * S)
-    assert made.ask("b", NOW + 20 * S) == [SendOnConnection("b", 1)]
-    assert made.opened(2, 100, NOW + 20 * S) == [] and made.connections[1].phase is ConnectionPhase.DRAINING
-    assert made.ask("c", NOW + 20 * S) == [SendOnConnection("c", 2)]
+    made.bytes_received(1, NOW + 20 * S)
+    assert made.request_stream("b", NOW + 20 * S) == [SendOnConnection("b", 1)]
+    assert (
+        made.settings_received(2, 100, NOW + 20 * S) == []
+        and made.connections[1].phase is ConnectionPhase.DRAINING
+    )
+    assert made.request_stream("c", NOW + 20 * S) == [SendOnConnection("c", 2)]
 
 
 def test_ages_are_spread_and_the_same_in_any_process():
     ages = set()
     for server in range(20):
         made = ConnectionPool(Limits(age=100 * S, age_spread=0.5), server, "n0")
-        made.warm(NOW), made.opened(1, 100, NOW)
-        ages.add(made.connections[1].retires - NOW)
+        made.warm(NOW), made.settings_received(1, 100, NOW)
+        ages.add(made.connections[1].retire_at - NOW)
     assert len(ages) > 15 and all(50 * S <= age <= 100 * S for age in ages)
     again = ConnectionPool(Limits(age=100 * S, age_spread=0.5), 7, "n0")
-    again.warm(NOW), again.opened(1, 100, NOW)
-    assert again.connections[1].retires - NOW in ages
+    again.warm(NOW), again.settings_received(1, 100, NOW)
+    assert again.connections[1].retire_at - NOW in ages
 
 
 def test_a_connection_whose_streams_run_out_is_replaced():
     made = pool(ids=10)
     for at in range(9):
-        made.ask(at, NOW), made.freed(1, True, NOW)
-    assert made.ask(9, NOW) == [SendOnConnection(9, 1), OpenConnection(2)]
+        made.request_stream(at, NOW), made.stream_ended(1, True, NOW)
+    assert made.request_stream(9, NOW) == [SendOnConnection(9, 1), OpenConnection(2)]
 
 
 def test_reconnects_wait_longer_each_time_and_gets_are_refused_at_once_meanwhile():
     made, now, waits = ConnectionPool(Limits(), 11, "n0"), NOW, []
     for _ in range(11):
-        (opened,) = made.ask("g", now)
+        (opened,) = made.request_stream("g", now)
         assert isinstance(opened, OpenConnection)
-        assert made.lost(opened.connection, False, now) == [RefuseRequest("g", AttemptOutcome.UNREACHABLE)]
-        assert made.ask("h", now) == [RefuseRequest("h", AttemptOutcome.UNREACHABLE)]
-        waits.append(made.again - now)
-        now = made.again
+        assert made.connection_lost(opened.connection, False, now) == [
+            RefuseRequest("g", AttemptOutcome.UNREACHABLE)
+        ]
+        assert made.request_stream("h", now) == [RefuseRequest("h", AttemptOutcome.UNREACHABLE)]
+        waits.append(made.retry_at - now)
+        now = made.retry_at
     steps = [50 * MS << n for n in range(11)]
     assert all(min(s, 5 * S) / 2 <= w <= min(s, 5 * S) for s, w in zip(steps, waits, strict=True))
 
@@ -123,9 +128,9 @@
 def test_one_that_lets_in_and_sends_away_is_not_dialled_without_end():
     made, now = ConnectionPool(Limits(), 11, "n0"), NOW
     made.warm(now)
-    made.opened(1, 100, now)
-    assert made.goaway(1, True, now) == [CloseConnection(1, "drained")] and made.again > now
-    assert made.ask("a", now) == [
+    made.settings_received(1, 100, now)
+    assert made.goaway(1, True, now) == [CloseConnection(1, "drained")] and made.retry_at > now
+    assert made.request_stream("a", now) == [
         RefuseRequest("a", AttemptOutcome.NOT_SENT)
     ]  # it is there, unlike one not reached
 
@@ -133,10 +138,10 @@
 def test_a_ping_only_where_forwards_wait_and_nothing_is_read():
     made = pool()
     assert made.due(NOW + 2 * S) == []  # nobody waits
-    made.ask("a", NOW + 2 * S)
+    made.request_stream("a", NOW + 2 * S)
     assert made.due(NOW + 2 * S + 499 * MS) == []
     assert made.due(NOW + 2 * S + 500 * MS) == [SendPing(1)]
-    made.heard(1, NOW + 3 * S)  # an answer to it, or anything
+    made.bytes_received(1, NOW + 3 * S)  # an answer to it, or anything
     assert made.due(NOW + 3 * S + 100 * MS) == []
     assert made.due(NOW + 3 * S + 500 * MS) == [SendPing(1)]
     said = made.due(NOW + 4 * S)
@@ -145,24 +150,24 @@
 
 def test_settings_that_are_never_acknowledged_end_the_connection():
     made = ConnectionPool(Limits(), 11, "n0")
-    made.warm(NOW), made.opened(1, 100, NOW)
+    made.warm(NOW), made.settings_received(1, 100, NOW)
     assert made.due(NOW + 399 * MS) == []
     assert made.due(NOW + 400 * MS) == [CloseConnection(1, "settings not acknowledged")]
 
 
 def test_a_server_that_has_gone_keeps_what_is_open_and_takes_nothing_more():
     made = pool(limit=1, connections=1)
-    made.ask("a", NOW), made.ask("b", NOW)
-    assert made.leave(NOW) == [RefuseRequest("b", AttemptOutcome.NOT_SENT)]
-    assert made.ask("c", NOW) == [RefuseRequest("c", AttemptOutcome.NOT_SENT)]
-    assert made.freed(1, True, NOW) == [CloseConnection(1, "drained")]
+    made.request_stream("a", NOW), made.request_stream("b", NOW)
+    assert made.remove(NOW) == [RefuseRequest("b", AttemptOutcome.NOT_SENT)]
+    assert made.request_stream("c", NOW) == [RefuseRequest("c", AttemptOutcome.NOT_SENT)]
+    assert made.stream_ended(1, True, NOW) == [CloseConnection(1, "drained")]
 
 
 def test_nothing_goes_to_a_peer_that_does_not_read():
     made = pool(connections=1)
-    made.blocked(1, True, NOW)
-    assert made.ask("a", NOW) == []
-    assert made.blocked(1, False, NOW) == [SendOnConnection("a", 1)]
+    made.set_blocked(1, True, NOW)
+    assert made.request_stream("a", NOW) == []
+    assert made.set_blocked(1, False, NOW) == [SendOnConnection("a", 1)]
 
 
 @pytest.mark.parametrize(
@@ -170,8 +175,8 @@
 )
 def test_what_waited_for_a_connection_that_never_came_is_refused(reached, outcome):
     made = ConnectionPool(Limits(), 11, "n0")
-    assert made.ask("a", NOW) == [OpenConnection(1)]
-    assert made.lost(1, reached, NOW) == [RefuseRequest("a", outcome)]
+    assert made.request_stream("a", NOW) == [OpenConnection(1)]
+    assert made.connection_lost(1, reached, NOW) == [RefuseRequest("a", outcome)]
 
 
 class PoolMachine(RuleBasedStateMachine):
@@ -224,30 +229,30 @@
     def asks(self):
         self.asked += 1
         self.waiting[self.asked] = self.now
-        self.do(self.pool.ask(self.asked, self.now))
+        self.do(self.pool.request_stream(self.asked, self.now))
 
     @precondition(lambda self: self.some("opening"))
     @rule(limit=st.integers(0, 8), settled=st.booleans())
     def comes_up(self, limit, settled):
         (number,) = self.some("opening")
         self.state[number], self.limit[number] = "up", limit
-        self.do(self.pool.opened(number, limit, self.now))
+        self.do(self.pool.settings_received(number, limit, self.now))
         if settled and self.state[number] == "up":
-            self.pool.acknowledged(number)
+            self.pool.settings_acknowledged(number)
 
     @precondition(lambda self: self.some("up"))
     @rule(data=st.data(), limit=st.integers(0, 8))
     def limit_changes(self, data, limit):
         number = data.draw(st.sampled_from(self.some("up")))
         self.limit[number] = limit
-        self.do(self.pool.limited(number, limit, self.now))
+        self.do(self.pool.stream_limit_changed(number, limit, self.now))
 
     @precondition(lambda self: any(self.open.values()))
     @rule(data=st.data(), well=st.booleans())
     def stream_ends(self, data, well):
         number = data.draw(st.sampled_from(sorted(n for n, o in self.open.items() if o)))
         self.open[number].pop()
-        self.do(self.pool.freed(number, well, self.now))
+        self.do(self.pool.stream_ended(number, well, self.now))
 
     @precondition(lambda self: self.some("up"))
     @rule(data=st.data(), calm=st.booleans())
@@ -261,19 +266,19 @@
     def is_lost(self, data, reached):
         number = data.draw(st.sampled_from(self.some("opening", "up", "draining")))
         self.state[number], self.open[number] = "closed", set()
-        self.do(self.pool.lost(number, reached, self.now))
+        self.do(self.pool.connection_lost(number, reached, self.now))
 
     @precondition(lambda self: self.some("opening"))
     @rule(data=st.data())
     def can_not_be_begun_here(self, data):
         number = data.draw(st.sampled_from(self.some("opening")))
         self.state[number], self.open[number] = "closed", set()
-        self.do(self.pool.lacked(number, self.now))
+        self.do(self.pool.connect_lacked_resources(number, self.now))
 
     @precondition(lambda self: self.some("up"))
     @rule(data=st.data(), blocked=st.booleans())
     def stops_reading(self, data, blocked):
-        self.do(self.pool.blocked(data.draw(st.sampled_from(self.some("up"))), blocked, self.now))
+        self.do(self.pool.set_blocked(data.draw(st.sampled_from(self.some("up"))), blocked, self.now))
 
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
@@ -284,11 +289,11 @@
 
     @rule()
     def has_gone_and_is_back(self):
-        self.do(self.pool.leave(self.now))
+        self.do(self.pool.remove(self.now))
         assert not self.waiting
         for number in self.some("up"):
             self.state[number] = "draining"
-        self.pool.back()
+        self.pool.restore()
 
     @invariant()
     def the_books_agree(self):
@@ -305,22 +310,25 @@
 
 def test_what_waits_for_a_connection_that_this_side_could_not_begin_waits_on():
     made = ConnectionPool(Limits(), 1, "n0")
-    assert made.ask("a", NOW) == [OpenConnection(1)]
-    assert made.lacked(1, NOW) == [] and made.next_due() == NOW + 10 * MS
-    assert made.ask("b", NOW + MS) == []  # nor is what comes meanwhile refused
+    assert made.request_stream("a", NOW) == [OpenConnection(1)]
+    assert made.connect_lacked_resources(1, NOW) == [] and made.next_due() == NOW + 10 * MS
+    assert made.request_stream("b", NOW + MS) == []  # nor is what comes meanwhile refused
     assert made.due(NOW + 10 * MS) == [OpenConnection(2)]
-    assert [one.forward for one in made.opened(2, 100, NOW + 11 * MS)] == ["a", "b"] and not made.failures
+    assert [one.attempt for one in made.settings_received(2, 100, NOW + 11 * MS)] == [
+        "a",
+        "b",
+    ] and not made.failures
 
 
 def test_what_a_lack_here_leaves_waiting_has_its_bound():
     made = ConnectionPool(Limits(), 1, "n0")
-    made.ask("a", NOW)
+    made.request_stream("a", NOW)
     for at in range(0, 400, 10):
         for one in made.due(NOW + at * MS):
             if isinstance(one, RefuseRequest):
                 assert one == RefuseRequest("a", AttemptOutcome.FULL) and at == 300
                 return
-            made.lacked(one.connection, NOW + at * MS)
+            made.connect_lacked_resources(one.connection, NOW + at * MS)
         if at == 0:
-            made.lacked(1, NOW)
+            made.connect_lacked_resources(1, NOW)
     raise AssertionError("it waits for good")
--- a/tests/upstream/test_http2_session.py
+++ b/tests/upstream/test_http2_session.py
@@ -14,14 +14,14 @@
 from sprucegate.upstream.http2 import evidence, mapping
 from sprucegate.upstream.http2.evidence import WriteProgress
 from sprucegate.upstream.http2.session import (
-    Acknowledged,
-    Answered,
-    GoneAway,
+    GoAwayReceived,
     Http2Session,
-    Limited,
-    Ready,
-    Reset,
-    Spoilt,
+    ResetByPeer,
+    ResponseComplete,
+    SettingsAcked,
+    SettingsReceived,
+    StreamAborted,
+    StreamLimitChanged,
 )
 from standins.http2 import frame, goaway
 
@@ -49,7 +49,7 @@
     def turn(self, raw=b""):
         """All that is written reaches the server, all that it says reaches the session; then `raw`."""
         out = bytes(self.session.outgoing)
-        self.session.sent(len(out))
+        self.session.bytes_sent(len(out))
         for event in self.server.receive_data(out) if out else []:
             if isinstance(event, RequestReceived):
                 self.requests.append(event.stream_id)
@@ -61,15 +61,15 @@
                 self.bodies.setdefault(event.stream_id, b"")
             elif isinstance(event, StreamReset):
                 self.resets[event.stream_id] = int(event.error_code)
-        return self.session.feed(self.server.data_to_send() + raw, self.now)
+        return self.session.receive(self.server.data_to_send() + raw, self.now)
 
     def ask(self, out="g", fields=FIELDS, body=b"", cached_only=False):
-        return self.session.request(out, fields, body, cached_only)
+        return self.session.send_request(out, fields, body, cached_only)
 
 
 def test_settings_both_ways_and_an_answer_with_interim_padding_and_trailers():
     pair = Pair(limit=7)
-    assert Ready(7) in pair.said and any(isinstance(s, Acknowledged) for s in pair.said)
+    assert SettingsReceived(7) in pair.said and any(isinstance(s, SettingsAcked) for s in pair.said)
     stream = pair.ask()
     pair.turn()
     pair.server.send_headers(1, [(b":status", b"103"), (b"link", b"x")])
@@ -77,17 +77,19 @@
     pair.server.send_data(1, b"abc", pad_length=200)
     pair.server.send_data(1, b"def")
     pair.server.send_headers(1, [(b"spruce-load", b"busy=0.5"), (b"other", b"x")], end_stream=True)
-    assert pair.turn() == [Answered(stream, 200, {b"etag": b'"t"', b"spruce-load": b"busy=0.5"}, b"abcdef")]
-    assert pair.session.held == 0 and not pair.session.streams
+    assert pair.turn() == [
+        ResponseComplete(stream, 200, {b"etag": b'"t"', b"spruce-load": b"busy=0.5"}, b"abcdef")
+    ]
+    assert pair.session.buffered == 0 and not pair.session.streams
     pair.server.update_settings({SettingCodes.MAX_CONCURRENT_STREAMS: 0})
-    assert pair.turn() == [Limited(0)]
+    assert pair.turn() == [StreamLimitChanged(0)]
 
 
 def test_a_body_goes_as_far_as_the_windows_let_it_and_goes_on_when_they_open():
     pair = Pair(window=1)
     stream = pair.ask(fields=PUT, body=b"b" * 300)
     pair.turn()
-    assert len(pair.bodies[1]) == 1 and pair.session.written(stream) is WriteProgress.WHOLE
+    assert len(pair.bodies[1]) == 1 and pair.session.write_progress(stream) is WriteProgress.COMPLETE
     for _ in range(700):  # each byte is acknowledged, which opens the window by one
         pair.turn()
     assert pair.bodies[1] == b"b" * 300 and not pair.session.uploads
@@ -99,8 +101,8 @@
     get = pair.ask("get")
     pair.turn()
     pair.server.send_headers(3, [(b":status", b"200")], end_stream=True)
-    assert pair.turn() == [Answered(get, 200, {}, b"")]
-    assert pair.session.made < 1000  # nothing of the body was made that could not go
+    assert pair.turn() == [ResponseComplete(get, 200, {}, b"")]
+    assert pair.session.produced < 1000  # nothing of the body was made that could not go
 
 
 def test_a_window_that_overflows_ends_the_connection():
@@ -115,7 +117,7 @@
     stream = pair.ask(fields=PUT, body=b"b" * 100)
     pair.turn()
     pair.server.send_headers(1, [(b":status", b"200")], end_stream=True)
-    assert pair.turn() == [Answered(stream, 200, {}, b"")]
+    assert pair.turn() == [ResponseComplete(stream, 200, {}, b"")]
     pair.turn()
     assert 1 in pair.resets and not pair.session.uploads
 
@@ -124,13 +126,15 @@
     pair = Pair()
     streams = [pair.ask(n) for n in range(6)]
     pair.turn()
-    assert pair.turn(goaway(2**31 - 1)) == [GoneAway(2**31 - 1, 0, [])]
-    assert pair.turn(goaway(7)) == [GoneAway(7, 0, streams[4:])]
-    assert pair.turn(goaway(5)) == [GoneAway(5, 0, [streams[3]])]
-    assert pair.turn(goaway(9)) == [GoneAway(5, 0, [])]  # a higher one takes nothing back
+    assert pair.turn(goaway(2**31 - 1)) == [GoAwayReceived(2**31 - 1, 0, [])]
+    assert pair.turn(goaway(7)) == [GoAwayReceived(7, 0, streams[4:])]
+    assert pair.turn(goaway(5)) == [GoAwayReceived(5, 0, [streams[3]])]
+    assert pair.turn(goaway(9)) == [GoAwayReceived(5, 0, [])]  # a higher one takes nothing back
     pair.server.send_headers(5, [(b":status", b"200")], end_stream=True)
-    assert pair.turn() == [Answered(streams[2], 200, {}, b"")]
-    end = [evidence.of_end(pair.session.written(s), s.id, pair.session.last) for s in streams[:2]]
+    assert pair.turn() == [ResponseComplete(streams[2], 200, {}, b"")]
+    end = [
+        evidence.of_end(pair.session.write_progress(s), s.id, pair.session.goaway_last) for s in streams[:2]
+    ]
     assert end == [evidence.ENDED_AFTER_GOAWAY] * 2 and list(pair.session.streams) == [1, 3]
 
 
@@ -138,32 +142,32 @@
     pair = Pair()
     streams = [pair.ask(n) for n in range(3)]
     pair.turn()
-    assert pair.turn(goaway(0)) == [GoneAway(0, 0, streams)]
+    assert pair.turn(goaway(0)) == [GoAwayReceived(0, 0, streams)]
 
 
 def test_how_far_a_request_came_is_told_by_the_bytes_that_the_socket_took():
     pair = Pair()
     pair.turn()
-    before = pair.session.gone
+    before = pair.session.taken
     one, two = pair.ask(1, PUT, b"b" * 100), pair.ask(2)
-    assert [pair.session.written(s) for s in (one, two)] == [WriteProgress.NOTHING] * 2
-    pair.session.sent(1)
-    assert pair.session.written(one) is WriteProgress.PART
-    pair.session.sent(one.head_end - before - 2)
-    assert pair.session.written(one) is WriteProgress.PART  # all but one byte of its header block
-    pair.session.sent(1)
-    assert pair.session.written(one) is WriteProgress.WHOLE  # though its body has not gone
-    assert pair.session.written(two) is WriteProgress.NOTHING
+    assert [pair.session.write_progress(s) for s in (one, two)] == [WriteProgress.NOTHING] * 2
+    pair.session.bytes_sent(1)
+    assert pair.session.write_progress(one) is WriteProgress.PARTIAL
+    pair.session.bytes_sent(one.head_end - before - 2)
+    assert pair.session.write_progress(one) is WriteProgress.PARTIAL  # all but one byte of its header block
+    pair.session.bytes_sent(1)
+    assert pair.session.write_progress(one) is WriteProgress.COMPLETE  # though its body has not gone
+    assert pair.session.write_progress(two) is WriteProgress.NOTHING
 
 
 @pytest.mark.parametrize(
     "row, proved",
     [
         (evidence.of_end(WriteProgress.NOTHING, 5, None), True),
-        (evidence.of_end(WriteProgress.PART, 5, None), True),
-        (evidence.of_end(WriteProgress.WHOLE, 5, 3), True),
-        (evidence.of_end(WriteProgress.WHOLE, 5, 5), False),
-        (evidence.of_end(WriteProgress.WHOLE, 5, None), False),
+        (evidence.of_end(WriteProgress.PARTIAL, 5, None), True),
+        (evidence.of_end(WriteProgress.COMPLETE, 5, 3), True),
+        (evidence.of_end(WriteProgress.COMPLETE, 5, 5), False),
+        (evidence.of_end(WriteProgress.COMPLETE, 5, None), False),
         (evidence.of_reset(0x7), True),
         (evidence.of_reset(0x8), False),
         (evidence.of_reset(0x2), False),
@@ -188,7 +192,7 @@
     stream = pair.ask()
     pair.turn()
     pair.server.reset_stream(1, 7)
-    assert pair.turn() == [Reset(stream, 7)] and not pair.session.streams
+    assert pair.turn() == [ResetByPeer(stream, 7)] and not pair.session.streams
 
 
 def test_a_cancelled_streams_late_frames_harm_nobody():
@@ -199,8 +203,8 @@
     pair.server.send_data(1, b"x" * 10_000)
     pair.server.send_headers(3, [(b":status", b"200")], end_stream=True)
     pair.session.cancel(stream)
-    assert pair.turn() == [Answered(other, 200, {}, b"")]
-    assert pair.resets == {1: 8} and pair.session.held == 0 and not pair.session.fault
+    assert pair.turn() == [ResponseComplete(other, 200, {}, b"")]
+    assert pair.resets == {1: 8} and pair.session.buffered == 0 and not pair.session.fault
 
 
 BAD = {
@@ -213,7 +217,7 @@
     "priority": (frame(2, 0, 1, b"\0\0\0\0\x01"), 1200, "flood"),
     "continuation": (frame(1, 0, 1, b"\x00") + frame(9, 0, 1, b"") * 20, 1, "header block"),
     "long block": (frame(1, 0, 1, b"\x00" * 9000) + frame(9, 0, 1, b"\x00" * 9000), 1, "header block"),
-    "large frame": (frame(0, 0, 1, b"x" * 16_385), 1, "a frame of 16385 bytes"),
+    "large frame": (frame(0, 0, 1, b"x" * 16_385), 1, "frame of 16385 bytes"),
     "data on no stream": (frame(0, 0, 9, b"x" * 100), 1, ""),
     "answer on no stream": (frame(1, 4, 9, b"\x88"), 1, ""),
     "push": (frame(5, 4, 1, b"\0\0\0\x02\x88"), 1, "push"),
@@ -235,15 +239,17 @@
     pair.server.send_headers(1, [(b":status", b"200")])
     pair.server.send_headers(3, [(b":status", b"200")], end_stream=True)
     said = pair.turn(raw * times)
-    assert [(s.stream.out, s.status) for s in said if isinstance(s, Answered)] == [("second", 200)]
+    assert [(s.stream.request, s.status) for s in said if isinstance(s, ResponseComplete)] == [
+        ("second", 200)
+    ]
     assert pair.session.fault is not None and named in pair.session.fault.text
-    assert first.id in pair.session.streams and len(pair.session.guard.held) < 40_000
+    assert first.id in pair.session.streams and len(pair.session.guard.buffer) < 40_000
 
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 400 Bad Request\r\n\r\n", frame(6, 0, 0, b"8 bytes.")])
 def test_who_does_not_begin_with_settings_speaks_something_else(answer):
     session = Http2Session(1 << 20, 0)
-    session.feed(answer, 0)
+    session.receive(answer, 0)
     assert session.fault is not None and not session.ready
 
 
@@ -253,7 +259,7 @@
     pair.turn()
     pair.server.send_headers(1, [(b":status", b"200"), (b"content-length", b"3000000000")])
     said = pair.turn()
-    assert [type(s) for s in said] == [Spoilt] and said[0].stream is told
+    assert [type(s) for s in said] == [StreamAborted] and said[0].stream is told
     pair.server.send_headers(3, [(b":status", b"200")])
     for _ in range(20):
         for _ in range(4):
@@ -262,7 +268,7 @@
         said += pair.turn()
         if len(said) > 1:
             break
-    assert said[1].stream is untold and pair.session.held == 0
+    assert said[1].stream is untold and pair.session.buffered == 0
     assert not pair.session.fault  # the others on it go on
 
 
@@ -276,8 +282,8 @@
         pair.server.send_headers(2 * n + 1, [(b":status", b"200")])
         pair.server.send_data(2 * n + 1, b"x" * 16_000)
         said += pair.turn()
-        assert pair.session.held <= 262_144
-    assert len([s for s in said if isinstance(s, Spoilt)]) >= 13
+        assert pair.session.buffered <= 262_144
+    assert len([s for s in said if isinstance(s, StreamAborted)]) >= 13
 
 
 @pytest.mark.parametrize("length, sent", [(b"5", b"abc"), (b"2", b"abc")])
@@ -287,15 +293,15 @@
     pair.turn()
     pair.server.send_headers(1, [(b":status", b"200"), (b"content-length", length)])
     pair.server.send_data(1, sent, end_stream=True)
-    assert not [s for s in pair.turn() if isinstance(s, Answered)]
+    assert not [s for s in pair.turn() if isinstance(s, ResponseComplete)]
 
 
 def test_a_second_answer_is_no_ones():
     pair = Pair()
     stream = pair.ask()
     pair.turn()
-    assert pair.turn(frame(1, 5, 1, b"\x88")) == [Answered(stream, 200, {}, b"")]
-    assert [s for s in pair.turn(frame(1, 5, 1, b"\x88")) if isinstance(s, Answered)] == []
+    assert pair.turn(frame(1, 5, 1, b"\x88")) == [ResponseComplete(stream, 200, {}, b"")]
+    assert [s for s in pair.turn(frame(1, 5, 1, b"\x88")) if isinstance(s, ResponseComplete)] == []
 
 
 def test_interim_answers_without_end_spoil_their_stream():
@@ -304,7 +310,7 @@
     pair.turn()
     for _ in range(9):
         pair.server.send_headers(1, [(b":status", b"103")])
-    assert [(type(s), s.stream) for s in pair.turn()] == [(Spoilt, stream)]
+    assert [(type(s), s.stream) for s in pair.turn()] == [(StreamAborted, stream)]
 
 
 def test_silence_after_half_an_answer_is_seen_and_others_may_come_first():
@@ -347,7 +353,7 @@
 
 def test_a_forward_as_a_request():
     fields = dict(
-        mapping.request(
+        mapping.request_fields(
             b"a:1",
             a_get("t1"),
             forward(rank=2, max_age=9_900_000_000, collapse=True, number=1, revalidate=True),
@@ -368,11 +374,15 @@
     }
     tokened = a_get()
     tokened.token = "874c-e5"
-    assert dict(mapping.request(b"a:1", tokened, forward(), None, S))[b"idempotency-key"] == b'"874c-e5"'
-    fields = dict(mapping.request(b"a:1", a_get(), forward(fill_source=1, max_age=10), None, 900_000_000))
+    assert (
+        dict(mapping.request_fields(b"a:1", tokened, forward(), None, S))[b"idempotency-key"] == b'"874c-e5"'
+    )
+    fields = dict(
+        mapping.request_fields(b"a:1", a_get(), forward(fill_source=1, max_age=10), None, 900_000_000)
+    )
     assert fields[b"spruce-wait"] == b"900"  # what is left when it goes, where that is less
     assert fields[b"cache-control"] == b"max-age=0, max-stale=0, only-if-cached"  # never wider than decided
-    fields = dict(mapping.request(b"a:1", a_get(body=b"abc", write=True), forward(), "o", S))
+    fields = dict(mapping.request_fields(b"a:1", a_get(body=b"abc", write=True), forward(), "o", S))
     assert (fields[b":method"], fields[b"content-length"]) == (b"PUT", b"3")
 
 
@@ -416,8 +426,8 @@
     ],
 )
 def test_an_answer_by_its_status_and_cache_status(status, fields, outcome, found):
-    said = mapping.meaning(status, fields, b"x", False)
-    assert (said.outcome, said.found) == (outcome, found)
+    said = mapping.interpret(status, fields, b"x", False)
+    assert (said.outcome, said.cache_status) == (outcome, found)
 
 
 @pytest.mark.parametrize(
@@ -432,17 +442,17 @@
     ],
 )
 def test_a_304_returns_only_a_copy_that_the_client_has_and_it_names(tag, have, outcome):
-    said = mapping.meaning(304, {b"etag": tag}, b"", False, have)
-    assert (said.outcome, said.returned is None) == (outcome, outcome is AttemptOutcome.ERROR)
+    said = mapping.interpret(304, {b"etag": tag}, b"", False, have)
+    assert (said.outcome, said.response is None) == (outcome, outcome is AttemptOutcome.ERROR)
 
 
 def test_a_504_is_a_miss_only_where_only_a_cached_copy_was_asked_for():
-    assert mapping.meaning(504, {}, b"", True).outcome is AttemptOutcome.MISS
-    assert mapping.meaning(504, {}, b"", False).outcome is AttemptOutcome.ERROR
+    assert mapping.interpret(504, {}, b"", True).outcome is AttemptOutcome.MISS
+    assert mapping.interpret(504, {}, b"", False).outcome is AttemptOutcome.ERROR
 
 
 def test_tag_age_wait_and_load_of_an_answer():
-    said = mapping.meaning(
+    said = mapping.interpret(
         200,
         {
             b"etag": b'W/"t1"',
@@ -453,7 +463,7 @@
         b"body",
         False,
     )
-    assert said.returned == (False, "t1", 0, b"body", 8 * S)  # a second more than told: Age is cut to seconds
-    assert said.waited == 12_500_000 and said.load == {"inflight": 7.0, "busy": 0.25}
-    same = mapping.meaning(304, {b"etag": b'"t1"'}, b"", False, "t1")
-    assert same.returned == (True, "t1", 0, b"", None)
+    assert said.response == (False, "t1", 0, b"body", 8 * S)  # a second more than told: Age is cut to seconds
+    assert said.fill_wait == 12_500_000 and said.load == {"inflight": 7.0, "busy": 0.25}
+    same = mapping.interpret(304, {b"etag": b'"t1"'}, b"", False, "t1")
+    assert same.response == (True, "t1", 0, b"", None)
