--- a/sprucegate/upstream/hosts.py
+++ b/sprucegate/upstream/hosts.py
@@ -19,7 +19,7 @@
 
 
 def endpoint_id(name):
-    """Return the id of a server: the hexadecimal number in its name, or a hash of the name; equal at all fronts."""
+    """Return the id of a server, the same at all fronts: the hexadecimal number in its name, or a hash of the name."""
     if match := re.fullmatch(r"[a-z]+-([0-9a-f]{1,15})", name):
         return int(match[1], 16)
     return crc32(name.encode()) << 32 | crc32(name[::-1].encode())
--- a/sprucegate/upstream/lines/codec.py
+++ b/sprucegate/upstream/lines/codec.py
@@ -1,4 +1,4 @@
-"""The lines that caches, parents and the origin speak. Opens no socket, decides nothing."""
+"""Codec of the line protocol that caches, parents and the origin speak; no I/O."""
 
 from math import isfinite
 from typing import NamedTuple
@@ -7,8 +7,8 @@
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.upstream.place import ServerResponse
 
-LINE_MOST = 4096  # bytes of an answer's line
-BODY_MOST = 240_000  # bytes of an object
+LINE_MAX = 4096  # bytes of an answer's head line
+BODY_MAX = 240_000  # bytes of an object
 MS = 1_000_000
 OUTCOMES = {
     b"served": AttemptOutcome.RETURNED,
@@ -43,38 +43,45 @@
 
 
 class MalformedAnswerError(ProtocolError, ValueError):
-    """What a cache sent can't be read: nothing after it on that connection can be trusted."""
+    """A server sent a malformed answer: nothing after it on that connection can be trusted."""
 
 
 class Answer(NamedTuple):
-    """One response: the attempt's id, its word, its fields and its body."""
+    """One answer.
+
+    :ivar id: the call id of its request
+    :ivar status: what came of the request, a key of OUTCOMES
+    :ivar fields: its fields
+    :ivar body: its content
+    """
 
     id: bytes
-    word: bytes
+    status: bytes
     fields: dict
     body: bytes
 
 
-def serve(get_id, ds, thing, part, forward, source, have, body, token="", left=None):
-    """A forward as a line. A rounded limit must not be wider than the decided one, nor 0, which is none.
+def serve(get_id, ds, thing, part, action, source, have, body, token="", time_left=None):
+    """Return the line and body that send an attempt.
 
-    `left` is what the client still waits (ns) when the line is sent, if that is later than it was decided.
+    Limits are rounded down, so that none is wider than decided, but not to 0, which would mean no limit. `time_left` is
+    how long the client still waits (ns) when the line is sent, None if that is when the attempt was decided.
     """
-    wait = forward.timeout if left is None else min(left, forward.timeout)
+    wait = action.timeout if time_left is None else min(time_left, action.timeout)
     fields = f"profile={ds},thing={thing},nth={part},max={max(1, wait // MS)}"
     if source:
         fields += f",src={source}"
-    if forward.rank:
-        fields += f",keep={forward.rank}"
-    if forward.max_age:
-        fields += f",maxage={max(1, forward.max_age // MS)}"
+    if action.rank:
+        fields += f",keep={action.rank}"
+    if action.max_age:
+        fields += f",maxage={max(1, action.max_age // MS)}"
     flags = [
         flag
         for flag, on in (
-            ("j", forward.collapse),
-            ("h", forward.only_if_cached),
-            ("n", forward.bypass_parent),
-            ("r", forward.revalidate),
+            ("j", action.collapse),
+            ("h", action.only_if_cached),
+            ("n", action.bypass_parent),
+            ("r", action.revalidate),
         )
         if on
     ]
@@ -88,95 +95,104 @@
 
 
 def cancel(get_id):
-    """Return the line that cancels an attempt."""
+    """Return the line that cancels a request."""
     return b"cancel %b\r\n" % get_id
 
 
 class AnswerReader:
-    """Answers of one connection, fed in whatever pieces they come; `fault` once they can't be read."""
+    """Parses the answers on one connection, incrementally.
+
+    :ivar buffer: received bytes that are not parsed yet
+    :ivar head: the head of an answer whose body is not complete, or None
+    :ivar fault: the error that ended parsing, or None
+    """
 
     def __init__(self):
-        self.held, self.head, self.fault = bytearray(), None, None
+        self.buffer = bytearray()
+        self.head = None
+        self.fault = None
 
-    def partial(self):
-        """Whether a response has begun and is not whole."""
-        return self.head is not None or bool(self.held)
+    def has_partial_answer(self):
+        """Return whether a part of an answer was received."""
+        return self.head is not None or bool(self.buffer)
 
     def feed(self, data):
-        """The answers made whole: also those before a fault, which were read well."""
-        whole = []
-        self.held += data
+        """Return the answers that are complete now, also those before an error."""
+        complete = []
+        self.buffer += data
         try:
-            self._cut(self.held, whole)
+            self._parse(self.buffer, complete)
         except MalformedAnswerError as fault:
             self.fault = str(fault)
-        return whole
+        return complete
 
-    def _cut(self, held, whole):
-        at = 0
+    def _parse(self, buffer, complete):
+        start = 0
         while True:
             if self.head is None:
-                end = held.find(b"\r\n", at)
+                end = buffer.find(b"\r\n", start)
                 if end < 0:
-                    if len(held) - at > LINE_MOST:
-                        raise MalformedAnswerError("a line without an end")
+                    if len(buffer) - start > LINE_MAX:
+                        raise MalformedAnswerError(f"no line end within {LINE_MAX} bytes")
                     break
-                self.head, at = read_head(bytes(held[at:end])), end + 2
+                self.head, start = read_head(bytes(buffer[start:end])), end + 2
             length = self.head[3]
-            if len(held) - at < length + 2:
+            if len(buffer) - start < length + 2:
                 break
-            if held[at + length : at + length + 2] != b"\r\n":
-                raise MalformedAnswerError("a body without its end")
-            whole.append(Answer(*self.head[:3], bytes(held[at : at + length])))
-            self.head, at = None, at + length + 2
-        del held[:at]
+            if buffer[start + length : start + length + 2] != b"\r\n":
+                raise MalformedAnswerError("line end missing after the body")
+            complete.append(Answer(*self.head[:3], bytes(buffer[start : start + length])))
+            self.head, start = None, start + length + 2
+        del buffer[:start]
 
 
 def read_head(line):
-    """Return the head of a response: id, word, fields and length; raises MalformedAnswerError."""
-    words = line.split(b" ")
-    if len(words) != 4 or not words[3].isdigit() or int(words[3]) > BODY_MOST:
-        raise MalformedAnswerError(f"no answer: {line[:60]!r}")
+    """Return the head of an answer: id, status, fields and length of the body; raise MalformedAnswerError."""
+    parts = line.split(b" ")
+    if len(parts) != 4 or not parts[3].isdigit() or int(parts[3]) > BODY_MAX:
+        raise MalformedAnswerError(f"malformed head line: {line[:60]!r}")
     fields = {}
-    if words[2] != b"-":
+    if parts[2] != b"-":
         try:
-            text = words[2].decode()
+            text = parts[2].decode()
         except UnicodeDecodeError:
-            raise MalformedAnswerError(f"fields are not text: {line[:60]!r}") from None
+            raise MalformedAnswerError(f"fields are not UTF-8: {line[:60]!r}") from None
         for pair in text.split(","):
-            name, mark, value = pair.partition("=")
-            if not mark:
-                raise MalformedAnswerError(f"a field without '=': {line[:60]!r}")
+            name, separator, value = pair.partition("=")
+            if not separator:
+                raise MalformedAnswerError(f"field without '=': {line[:60]!r}")
             fields[name] = value
-    return words[0], words[1], fields, int(words[3])
+    return parts[0], parts[1], fields, int(parts[3])
 
 
 def meaning(answer, have):
-    """Outcome, where it was found, time waited for the source and load report, as the module knows them.
+    """Return (outcome, cache status, time that the server waited for the source of a fill in ns, load report).
 
-    `have` is the tag of the client's copy that was sent along, "" for none.
+    `have` is the entity tag of the client's stored response that was sent along, "" for none.
     """
-    fields, outcome, report = answer.fields, OUTCOMES.get(answer.word), {}
+    fields = answer.fields
+    outcome = OUTCOMES.get(answer.status)
+    load = {}
     if outcome is None:
-        raise MalformedAnswerError(f"an unknown word {answer.word[:30]!r}")
-    if answer.word == b"still_good" and (not have or fields.get("etag") != have):
-        # Passed on, it would tell a client to show a copy that no cache has named.
+        raise MalformedAnswerError(f"unknown status {answer.status[:30]!r}")
+    if answer.status == b"still_good" and (not have or fields.get("etag") != have):
+        # If it were passed on, the client would use a stored response that no cache has validated.
         raise MalformedAnswerError(
-            f"still_good of another copy: {fields.get('etag', '')[:30]!r}, asked {have!r}"
+            f"still_good for another entity tag: {fields.get('etag', '')[:30]!r} instead of {have!r}"
         )
     try:
         for pair in filter(None, fields.get("report", "").split(";")):
             name, _, value = pair.partition(":")
-            if name in LOADS:  # what is not known is skipped
-                report[LOADS[name]] = _figure(value)
-        waited = int(_figure(fields.get("ttfb", 0)) * MS)
+            if name in LOADS:  # unknown names are skipped
+                load[LOADS[name]] = _parse_number(value)
+        fill_wait = int(_parse_number(fields.get("ttfb", 0)) * MS)
     except ValueError:
-        raise MalformedAnswerError(f"no number where one belongs: {fields}"[:200]) from None
-    return outcome, REMARKS.get(fields.get("remark"), CacheStatus.UNKNOWN), waited, report
+        raise MalformedAnswerError(f"not a number: {fields}"[:200]) from None
+    return outcome, REMARKS.get(fields.get("remark"), CacheStatus.UNKNOWN), fill_wait, load
 
 
-def _figure(text):
-    """Against what is a number to Python and tells nothing: compared, NaN is neither less nor more."""
+def _parse_number(text):
+    """Parse a number of at least 0. Infinity and NaN are refused: comparisons with NaN are always false."""
     value = float(text)
     if not isfinite(value):
         raise ValueError(text)
@@ -184,10 +200,10 @@
 
 
 def returned(answer):
-    """What goes on to the client of an answer whose outcome is RETURNED."""
+    """Return the response that is passed to the client, of an answer whose outcome is RETURNED."""
     made = answer.fields.get("made", "")
     return ServerResponse(
-        answer.word == b"still_good",
+        answer.status == b"still_good",
         answer.fields.get("etag", ""),
         int(made) * MS if made.isdecimal() else 0,
         answer.body,
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -145,7 +145,7 @@
         """
         return (
             len(connection.attempts),
-            connection.reader.partial(),
+            connection.reader.has_partial_answer(),
             not connection.up,
             -connection.last_used,
         )
@@ -170,7 +170,7 @@
         full = len(server.held) >= CONNECTIONS or servers.connections >= servers.most - reserved
         # A partly received answer that nobody waits for may never be completed: its connection would then be closed
         # as stalled, with all attempts on it.
-        if best is not None and (not best.attempts and not best.reader.partial() or full):
+        if best is not None and (not best.attempts and not best.reader.has_partial_answer() or full):
             return best
         if not self.servers.make_room():
             return best
@@ -312,7 +312,7 @@
                 self.driver.log("cache_unreadable", cache=connection.server.name, error=fault)
             if fault or not size:
                 self.close(connection)
-            elif connection.reader.partial() and not connection.stall_check_armed:
+            elif connection.reader.has_partial_answer() and not connection.stall_check_armed:
                 self._arm_stall_check(connection)
         except OSError:
             self.close(connection)
@@ -391,7 +391,7 @@
         while self.stall_checks and self.stall_checks[0][0] <= now:
             connection = self.stall_checks.popleft()[1]
             connection.stall_check_armed = False
-            if connection.closed or not connection.reader.partial():
+            if connection.closed or not connection.reader.has_partial_answer():
                 continue
             if connection.last_read + STALLED > now:
                 self._arm_stall_check(connection)
--- a/sprucegate/upstream/place.py
+++ b/sprucegate/upstream/place.py
@@ -1,14 +1,14 @@
-"""The record of an upstream server, and of a response that a transport hands on."""
+"""The records of an upstream server and of a response that a transport passes on."""
 
 from typing import NamedTuple
 
 
 class UpstreamServer:
-    """A cache, parent or origin. Known by its id, since a new one may take the address of one that is gone.
+    """A cache, parent or origin. Identified by its id, as a new server may take over the address of a removed one.
 
     :ivar transport: the transport by which it is reached
-    :ivar held: state that this transport keeps for it
-    :ivar gone: it was removed from the list
+    :ivar held: that transport's state for it
+    :ivar gone: it was removed from the endpoint list
     """
 
     __slots__ = ("id", "name", "address", "transport", "held", "gone")
@@ -25,11 +25,11 @@
 class ServerResponse(NamedTuple):
     """A response of a server, the same for all protocols.
 
-    :ivar still_good: the client's stored response is still valid (304): no body
-    :ivar tag: the entity tag, without quotes; "" where there is none
-    :ivar made: Unix time at which the origin generated it (ns); 0 where unknown
+    :ivar still_good: the client's stored response is still valid (304), and there is no body
+    :ivar tag: the entity tag, without quotes; "" if there is none
+    :ivar made: Unix time at which the origin generated it (ns); 0 if unknown
     :ivar body: its content
-    :ivar age: its greatest age when it was requested (ns), of a protocol that gives ages; None otherwise
+    :ivar age: its greatest possible age (ns) when it was requested, if the protocol reports ages; else None
     """
 
     still_good: bool
