--- a/tests/upstream/test_http2_front.py
+++ b/tests/upstream/test_http2_front.py
@@ -1,4 +1,4 @@
-"""The program itself between HTTP/2 stand-ins: what its clients get, and what ran."""
+"""A front process between HTTP/2 stand-ins: what its clients get, and what the servers executed."""
 
 import signal
 import threading
@@ -14,44 +14,46 @@
 
 
 @pytest.fixture
-def boxes():
+def stand_ins():
     made = [Running(name="s-0b"), Running(name="s-1f")]
     yield made
-    for box in made:
-        box.stop()
+    for stand_in in made:
+        stand_in.stop()
 
 
-def start(path, boxes, kdl=KDL):
-    box, root = boxes
-    return Front(path, host("s-0b", box.address, "std"), host("s-1f", root.address, "origin"), kdl=kdl)
+def start_front(path, stand_ins, kdl=KDL):
+    stand_in, origin = stand_ins
+    return Front(path, host("s-0b", stand_in.address, "std"), host("s-1f", origin.address, "origin"), kdl=kdl)
 
 
-def order(front, call_id="a" * 16, **more):
+def send_order(front, call_id="a" * 16, **more):
     return front.ask(get_text(call_id, ds="order", method="PUT", **more))[0]
 
 
-def until(true):
+def wait_until(condition):
     end = time.monotonic() + 10
-    while not true():
+    while not condition():
         assert time.monotonic() < end
         time.sleep(0.005)
 
 
-def holding(box):
-    """The box holds what comes; returns the list of (peer, request)."""
-    held = []
-    box.server.came = lambda peer, request: held.append((peer, request))
-    return held
+def hold_requests(stand_in):
+    """Leave the stand-in's requests unanswered; return the list of (peer, request) that they are added to."""
+    pending = []
+    stand_in.server.came = lambda peer, request: pending.append((peer, request))
+    return pending
 
 
-def answer(box, held):
-    box.do(lambda: [peer.run(request) and peer.answer(request.stream) for peer, request in held] or True)
+def answer_pending(stand_in, pending):
+    stand_in.do(
+        lambda: [peer.run(request) and peer.answer(request.stream) for peer, request in pending] or True
+    )
 
 
-def test_a_get_with_its_tag_and_an_order_with_its_body(tmp_path, boxes):
+def test_a_get_with_an_entity_tag_and_a_put_with_a_body(tmp_path, stand_ins):
     seen = []
 
-    def came(peer, request):
+    def on_request(peer, request):
         seen.append(request)
         peer.run(request)
         peer.answer(
@@ -61,48 +63,48 @@
             b"" if len(seen) > 1 else b"xxxxx",
         )
 
-    boxes[0].server.came = came
-    with start(tmp_path, boxes) as front:
+    stand_ins[0].server.came = on_request
+    with start_front(tmp_path, stand_ins) as front:
         status, headers, body = front.ask(get_text())
         assert (status, headers["ETag"], body) == (200, '"t1"', b"xxxxx")
         assert front.ask(get_text(extra='If-None-Match: "t1"\r\n'))[::2] == (304, b"")
         assert seen[0].fields[b"spruce-fill"].startswith(b'source="s-1f", rank=1')
         assert seen[0].fields[b":path"] == b"/svc/media/7f3a9c21e0b4d655/slice-3"
         assert 1000 < int(seen[0].fields[b"spruce-wait"]) <= 1500
-        assert order(front, body=b"b" * 48_000) == 200
-        assert boxes[1].server.ran == [("a" * 16, 0)] and boxes[0].server.made == 1
+        assert send_order(front, body=b"b" * 48_000) == 200
+        assert stand_ins[1].server.ran == [("a" * 16, 0)] and stand_ins[0].server.made == 1
 
 
-def test_a_server_that_speaks_lines_stands_beside_one_that_speaks_http2(tmp_path, boxes):
-    box = cache(served)
+def test_one_front_uses_the_line_protocol_and_http2_side_by_side(tmp_path, stand_ins):
+    stand_in = cache(served)
     with Front(
         tmp_path,
-        host("s-0b", box.address, "std"),
-        host("s-1f", boxes[1].address, "origin"),
+        host("s-0b", stand_in.address, "std"),
+        host("s-1f", stand_ins[1].address, "origin"),
         kdl=KDL.replace("kind=std", "kind=parent"),
     ) as front:
-        assert front.ask(get_text())[0] == order(front) == 200
-        assert box.heard.get(timeout=5)[0] == b"serve" and boxes[1].server.ran == [("a" * 16, 0)]
+        assert front.ask(get_text())[0] == send_order(front) == 200
+        assert stand_in.heard.get(timeout=5)[0] == b"serve" and stand_ins[1].server.ran == [("a" * 16, 0)]
 
 
-def test_an_order_that_may_have_run_is_errored_and_never_sent_again(tmp_path, boxes):
-    def came(peer, request):
+def test_a_put_that_may_have_run_is_answered_with_an_error_and_never_repeated(tmp_path, stand_ins):
+    def on_request(peer, request):
         peer.run(request)
         peer.abort()
 
-    boxes[1].server.came = came
-    with start(tmp_path, boxes) as front:
-        assert order(front) == 502
-        boxes[1].server.heads = lambda peer, request: peer.abort()  # between HEADERS and the first DATA
-        # 503 while the pool keeps away from a server that has just broken off: those never left.
+    stand_ins[1].server.came = on_request
+    with start_front(tmp_path, stand_ins) as front:
+        assert send_order(front) == 502
+        stand_ins[1].server.heads = lambda peer, request: peer.abort()  # between HEADERS and the first DATA
+        # 503 while the pool backs off after the lost connection: those requests were not sent.
         ids = iter(f"{n:016x}" for n in range(100))
-        until(lambda: order(front, next(ids), body=b"b" * 40_000) == 502)
-    assert boxes[1].server.ran == [("a" * 16, 0)]
+        wait_until(lambda: send_order(front, next(ids), body=b"b" * 40_000) == 502)
+    assert stand_ins[1].server.ran == [("a" * 16, 0)]
 
 
 @pytest.mark.parametrize("how", ["goaway", "refused", "503"])
-def test_an_order_that_never_ran_is_sent_again_and_runs_once(tmp_path, boxes, how):
-    def came(peer, request):
+def test_a_put_that_never_ran_is_repeated_and_runs_once(tmp_path, stand_ins, how):
+    def on_request(peer, request):
         if request.attempt:
             peer.run(request)
             peer.answer(request.stream)
@@ -113,89 +115,89 @@
         else:
             peer.answer(request.stream, 503, ((b"spruce-ran", b"?0"),), b"")
 
-    boxes[1].server.came = came
-    with start(tmp_path, boxes) as front:
-        assert order(front) == 200
-    assert boxes[1].server.ran == [("a" * 16, 1)]
+    stand_ins[1].server.came = on_request
+    with start_front(tmp_path, stand_ins) as front:
+        assert send_order(front) == 200
+    assert stand_ins[1].server.ran == [("a" * 16, 1)]
 
 
-def test_a_503_that_says_nothing_of_running_is_no_proof(tmp_path, boxes):
-    boxes[1].server.came = lambda peer, request: peer.answer(request.stream, 503, (), b"")
-    with start(tmp_path, boxes) as front:
-        assert order(front) == 502
+def test_a_503_without_spruce_ran_does_not_prove_that_the_request_never_ran(tmp_path, stand_ins):
+    stand_ins[1].server.came = lambda peer, request: peer.answer(request.stream, 503, (), b"")
+    with start_front(tmp_path, stand_ins) as front:
+        assert send_order(front) == 502
 
 
-def test_a_window_that_never_opens_costs_its_order_alone(tmp_path, boxes):
-    boxes[1].stop()
-    boxes[1] = Running(window=1, opens=False)
-    with start(tmp_path, boxes) as front:
-        assert order(front, body=b"b" * 48_000, patience=400) == 502
+def test_a_stream_window_that_never_opens_fails_only_its_own_put(tmp_path, stand_ins):
+    stand_ins[1].stop()
+    stand_ins[1] = Running(window=1, opens=False)
+    with start_front(tmp_path, stand_ins) as front:
+        assert send_order(front, body=b"b" * 48_000, patience=400) == 502
         assert front.ask(get_text())[0] == 200
-        assert boxes[1].server.ran == [] and boxes[1].server.made <= 2
+        assert stand_ins[1].server.ran == [] and stand_ins[1].server.made <= 2
 
 
-def test_sigterm_answers_what_is_open_on_streams_and_says_goodbye(tmp_path, boxes):
-    held = holding(boxes[0])
-    with start(tmp_path, boxes) as front:
+def test_sigterm_lets_open_streams_be_answered_and_closes_the_connections(tmp_path, stand_ins):
+    pending = hold_requests(stand_ins[0])
+    with start_front(tmp_path, stand_ins) as front:
         sock = front.connect()
         sock.sendall(get_text())
-        until(lambda: held)
+        wait_until(lambda: pending)
         front.process.send_signal(signal.SIGTERM)
         front.until("stopping")
-        answer(boxes[0], held)
+        answer_pending(stand_ins[0], pending)
         assert sock.recv(4096).startswith(b"HTTP/1.1 200") and front.process.wait(10) == 0
-        until(lambda: not boxes[0].server.peers)
+        wait_until(lambda: not stand_ins[0].server.peers)
 
 
-def test_a_drain_with_streams_open_lets_them_end_and_sends_nothing_new(tmp_path, boxes):
-    held = holding(boxes[0])
-    with start(tmp_path, boxes) as front:
+def test_a_draining_server_finishes_its_open_streams_and_gets_no_new_ones(tmp_path, stand_ins):
+    pending = hold_requests(stand_ins[0])
+    with start_front(tmp_path, stand_ins) as front:
         sock = front.connect()
         sock.sendall(get_text())
-        until(lambda: held)
+        wait_until(lambda: pending)
         front.tells.put(
             {
                 "offset": 2,
                 "topology": {
                     "seq": 2,
                     "whole": False,
-                    "hosts": [host("s-0b", boxes[0].address, "std", "draining")],
+                    "hosts": [host("s-0b", stand_ins[0].address, "std", "draining")],
                 },
             }
         )
         front.until("told")
         assert front.ask(get_text("b" * 16))[0] == 200  # by the origin
-        answer(boxes[0], held)
+        answer_pending(stand_ins[0], pending)
         assert sock.recv(4096).startswith(b"HTTP/1.1 200")
-        assert boxes[0].server.ran == [("9b1f03aa5c7e2d41", 0)]
+        assert stand_ins[0].server.ran == [("9b1f03aa5c7e2d41", 0)]
         front.tells.put(
             {
                 "offset": 3,
                 "topology": {
                     "seq": 3,
                     "whole": False,
-                    "hosts": [host("s-0b", boxes[0].address, "std", "removed")],
+                    "hosts": [host("s-0b", stand_ins[0].address, "std", "removed")],
                 },
             }
         )
-        until(lambda: not boxes[0].server.peers)
+        wait_until(lambda: not stand_ins[0].server.peers)
 
 
-def test_a_client_that_leaves_has_its_stream_reset(tmp_path, boxes):
-    held = holding(boxes[0])
-    with start(tmp_path, boxes) as front:
+def test_a_clients_disconnect_resets_its_stream(tmp_path, stand_ins):
+    pending = hold_requests(stand_ins[0])
+    with start_front(tmp_path, stand_ins) as front:
         sock = front.connect()
         sock.sendall(get_text())
-        until(lambda: held)
+        wait_until(lambda: pending)
         sock.close()
-        until(lambda: boxes[0].server.cancelled == ["9b1f03aa5c7e2d41"])
+        wait_until(lambda: stand_ins[0].server.cancelled == ["9b1f03aa5c7e2d41"])
 
 
-def test_a_bad_server_costs_its_own_connection_and_others_go_on(tmp_path, boxes):
+def test_a_flood_of_frames_ends_only_the_connection_to_its_server(tmp_path, stand_ins):
     from standins.http2 import frame
 
-    boxes[0].server.came = lambda peer, request: peer.raw(frame(6, 0, 0, b"8 bytes.") * 2000)
-    with start(tmp_path, boxes) as front:
+    stand_ins[0].server.came = lambda peer, request: peer.raw(frame(6, 0, 0, b"8 bytes.") * 2000)
+    with start_front(tmp_path, stand_ins) as front:
         answers = {}
         threads = [
             threading.Thread(target=lambda n=n: answers.update({n: front.ask(get_text(f"{n:016x}"))[0]}))
@@ -207,16 +209,21 @@
             thread.join(10)
         assert "flood" in front.until("cache_unreadable")["error"]
         assert set(answers.values()) <= {200, 503} and len(answers) == 5
-        assert order(front) == 200
-
-
-def test_a_soak_with_closes_at_random_points():
-    said = soak(1500, 40, clients=32)
-    assert said["closes"] >= 15 and said["orders"] >= 20 and said["never_executed"] > 0
-    assert (said["orders_duplicated"], said["gets_lost"], said["false_never_ran"], said["faults"]) == (
+        assert send_order(front) == 200
+
+
+def test_a_soak_with_connections_closed_at_random_points():
+    result = soak(1500, 40, clients=32)
+    assert result["closes"] >= 15 and result["orders"] >= 20 and result["never_executed"] > 0
+    assert (
+        result["orders_duplicated"],
+        result["gets_lost"],
+        result["false_never_ran"],
+        result["faults"],
+    ) == (
         0,
         0,
         0,
         0,
     )
-    assert said["returned"] + said["shed"] + said["errored"] == said["gets"] == 1500
+    assert result["returned"] + result["shed"] + result["errored"] == result["gets"] == 1500
--- a/tests/upstream/test_http2_session.py
+++ b/tests/upstream/test_http2_session.py
@@ -1,4 +1,4 @@
-"""One connection without a socket: what is read, what is bounded, and what its ends prove."""
+"""The HTTP/2 session without a socket: events, bounds, evidence, and the mapping of requests and responses."""
 
 import struct
 
@@ -32,7 +32,7 @@
 
 
 class Pair:
-    """A session and an h2 server, their bytes carried by hand."""
+    """A session and an h2 server that exchange bytes in memory."""
 
     def __init__(self, held=4 << 20, **settings):
         self.session, self.now, self.requests, self.bodies, self.resets = Http2Session(held, 0), 0, [], {}, {}
@@ -44,10 +44,13 @@
             client=False, initial_values={codes[k]: v for k, v in {"limit": 100, **settings}.items()}
         )
         self.server.initiate_connection()
-        self.said = self.turn() + self.turn()
+        self.events = self.exchange() + self.exchange()
 
-    def turn(self, raw=b""):
-        """All that is written reaches the server, all that it says reaches the session; then `raw`."""
+    def exchange(self, raw=b""):
+        """Pass the session's output to the server, and the server's output and then `raw` to the session.
+
+        Return the session's events.
+        """
         out = bytes(self.session.outgoing)
         self.session.bytes_sent(len(out))
         for event in self.server.receive_data(out) if out else []:
@@ -63,100 +66,101 @@
                 self.resets[event.stream_id] = int(event.error_code)
         return self.session.receive(self.server.data_to_send() + raw, self.now)
 
-    def ask(self, out="g", fields=FIELDS, body=b"", cached_only=False):
-        return self.session.send_request(out, fields, body, cached_only)
+    def request(self, request="g", fields=FIELDS, body=b"", cached_only=False):
+        return self.session.send_request(request, fields, body, cached_only)
 
 
-def test_settings_both_ways_and_an_answer_with_interim_padding_and_trailers():
+def test_settings_exchange_and_a_response_with_interim_response_padding_and_trailers():
     pair = Pair(limit=7)
-    assert SettingsReceived(7) in pair.said and any(isinstance(s, SettingsAcked) for s in pair.said)
-    stream = pair.ask()
-    pair.turn()
+    assert SettingsReceived(7) in pair.events and any(isinstance(s, SettingsAcked) for s in pair.events)
+    stream = pair.request()
+    pair.exchange()
     pair.server.send_headers(1, [(b":status", b"103"), (b"link", b"x")])
     pair.server.send_headers(1, [(b":status", b"200"), (b"etag", b'"t"')])
     pair.server.send_data(1, b"abc", pad_length=200)
     pair.server.send_data(1, b"def")
     pair.server.send_headers(1, [(b"spruce-load", b"busy=0.5"), (b"other", b"x")], end_stream=True)
-    assert pair.turn() == [
+    assert pair.exchange() == [
         ResponseComplete(stream, 200, {b"etag": b'"t"', b"spruce-load": b"busy=0.5"}, b"abcdef")
     ]
     assert pair.session.buffered == 0 and not pair.session.streams
     pair.server.update_settings({SettingCodes.MAX_CONCURRENT_STREAMS: 0})
-    assert pair.turn() == [StreamLimitChanged(0)]
+    assert pair.exchange() == [StreamLimitChanged(0)]
 
 
-def test_a_body_goes_as_far_as_the_windows_let_it_and_goes_on_when_they_open():
+def test_a_request_body_is_sent_as_the_flow_control_windows_allow():
     pair = Pair(window=1)
-    stream = pair.ask(fields=PUT, body=b"b" * 300)
-    pair.turn()
+    stream = pair.request(fields=PUT, body=b"b" * 300)
+    pair.exchange()
     assert len(pair.bodies[1]) == 1 and pair.session.write_progress(stream) is WriteProgress.COMPLETE
-    for _ in range(700):  # each byte is acknowledged, which opens the window by one
-        pair.turn()
+    for _ in range(700):  # the server acknowledges each byte, which opens the window by one
+        pair.exchange()
     assert pair.bodies[1] == b"b" * 300 and not pair.session.uploads
 
 
-def test_a_window_that_never_opens_holds_no_other_stream_up():
+def test_a_closed_stream_window_does_not_block_other_streams():
     pair = Pair(window=0)
-    pair.ask("put", PUT, b"b" * 48_000)
-    get = pair.ask("get")
-    pair.turn()
+    pair.request("put", PUT, b"b" * 48_000)
+    get = pair.request("get")
+    pair.exchange()
     pair.server.send_headers(3, [(b":status", b"200")], end_stream=True)
-    assert pair.turn() == [ResponseComplete(get, 200, {}, b"")]
-    assert pair.session.produced < 1000  # nothing of the body was made that could not go
+    assert pair.exchange() == [ResponseComplete(get, 200, {}, b"")]
+    assert pair.session.produced < 1000  # no DATA beyond the window was produced
 
 
-def test_a_window_that_overflows_ends_the_connection():
+def test_an_overflow_of_the_connection_window_is_a_connection_error():
     pair = Pair()
-    pair.ask()
-    pair.turn(frame(8, 0, 0, struct.pack(">I", 2**31 - 1)))
+    pair.request()
+    pair.exchange(frame(8, 0, 0, struct.pack(">I", 2**31 - 1)))
     assert pair.session.fault is not None
 
 
-def test_an_answer_before_the_whole_body_is_an_answer():
+def test_a_response_before_the_end_of_the_request_body_is_complete():
     pair = Pair(window=10)
-    stream = pair.ask(fields=PUT, body=b"b" * 100)
-    pair.turn()
+    stream = pair.request(fields=PUT, body=b"b" * 100)
+    pair.exchange()
     pair.server.send_headers(1, [(b":status", b"200")], end_stream=True)
-    assert pair.turn() == [ResponseComplete(stream, 200, {}, b"")]
-    pair.turn()
+    assert pair.exchange() == [ResponseComplete(stream, 200, {}, b"")]
+    pair.exchange()
     assert 1 in pair.resets and not pair.session.uploads
 
 
-def test_a_goaway_proves_what_is_above_its_last_stream_and_the_others_are_still_answered():
+def test_a_goaway_ends_the_streams_above_its_last_one_and_the_others_are_still_answered():
     pair = Pair()
-    streams = [pair.ask(n) for n in range(6)]
-    pair.turn()
-    assert pair.turn(goaway(2**31 - 1)) == [GoAwayReceived(2**31 - 1, 0, [])]
-    assert pair.turn(goaway(7)) == [GoAwayReceived(7, 0, streams[4:])]
-    assert pair.turn(goaway(5)) == [GoAwayReceived(5, 0, [streams[3]])]
-    assert pair.turn(goaway(9)) == [GoAwayReceived(5, 0, [])]  # a higher one takes nothing back
+    streams = [pair.request(n) for n in range(6)]
+    pair.exchange()
+    assert pair.exchange(goaway(2**31 - 1)) == [GoAwayReceived(2**31 - 1, 0, [])]
+    assert pair.exchange(goaway(7)) == [GoAwayReceived(7, 0, streams[4:])]
+    assert pair.exchange(goaway(5)) == [GoAwayReceived(5, 0, [streams[3]])]
+    assert pair.exchange(goaway(9)) == [GoAwayReceived(5, 0, [])]  # a higher last stream id revokes nothing
     pair.server.send_headers(5, [(b":status", b"200")], end_stream=True)
-    assert pair.turn() == [ResponseComplete(streams[2], 200, {}, b"")]
+    assert pair.exchange() == [ResponseComplete(streams[2], 200, {}, b"")]
     end = [
         evidence.of_end(pair.session.write_progress(s), s.id, pair.session.goaway_last) for s in streams[:2]
     ]
     assert end == [evidence.ENDED_AFTER_GOAWAY] * 2 and list(pair.session.streams) == [1, 3]
 
 
-def test_last_stream_0_proves_that_none_ran():
+def test_a_goaway_with_last_stream_0_ends_all_streams():
     pair = Pair()
-    streams = [pair.ask(n) for n in range(3)]
-    pair.turn()
-    assert pair.turn(goaway(0)) == [GoAwayReceived(0, 0, streams)]
+    streams = [pair.request(n) for n in range(3)]
+    pair.exchange()
+    assert pair.exchange(goaway(0)) == [GoAwayReceived(0, 0, streams)]
 
 
-def test_how_far_a_request_came_is_told_by_the_bytes_that_the_socket_took():
+def test_write_progress_follows_the_bytes_that_the_socket_took():
     pair = Pair()
-    pair.turn()
+    pair.exchange()
     before = pair.session.taken
-    one, two = pair.ask(1, PUT, b"b" * 100), pair.ask(2)
+    one, two = pair.request(1, PUT, b"b" * 100), pair.request(2)
     assert [pair.session.write_progress(s) for s in (one, two)] == [WriteProgress.NOTHING] * 2
     pair.session.bytes_sent(1)
     assert pair.session.write_progress(one) is WriteProgress.PARTIAL
     pair.session.bytes_sent(one.head_end - before - 2)
-    assert pair.session.write_progress(one) is WriteProgress.PARTIAL  # all but one byte of its header block
+    # One byte of its header block is missing.
+    assert pair.session.write_progress(one) is WriteProgress.PARTIAL
     pair.session.bytes_sent(1)
-    assert pair.session.write_progress(one) is WriteProgress.COMPLETE  # though its body has not gone
+    assert pair.session.write_progress(one) is WriteProgress.COMPLETE  # though its body was not sent
     assert pair.session.write_progress(two) is WriteProgress.NOTHING
 
 
@@ -182,32 +186,32 @@
         (evidence.of_status(504, False, True), True),
     ],
 )
-def test_each_row_is_never_ran_only_where_it_is_proved(row, proved):
+def test_each_row_of_evidence_proves_never_executed_only_where_the_protocol_does(row, proved):
     assert row in evidence.ROWS and row.outcome.never_executed is proved
     assert len({one.name for one in evidence.ROWS}) == len(evidence.ROWS)
 
 
-def test_a_reset_is_told_with_its_code_and_frees_the_stream():
+def test_a_reset_is_reported_with_its_code_and_removes_the_stream():
     pair = Pair()
-    stream = pair.ask()
-    pair.turn()
+    stream = pair.request()
+    pair.exchange()
     pair.server.reset_stream(1, 7)
-    assert pair.turn() == [ResetByPeer(stream, 7)] and not pair.session.streams
+    assert pair.exchange() == [ResetByPeer(stream, 7)] and not pair.session.streams
 
 
-def test_a_cancelled_streams_late_frames_harm_nobody():
+def test_late_frames_of_a_cancelled_stream_are_ignored():
     pair = Pair()
-    stream, other = pair.ask(), pair.ask("o")
-    pair.turn()
+    stream, other = pair.request(), pair.request("o")
+    pair.exchange()
     pair.server.send_headers(1, [(b":status", b"200")])
     pair.server.send_data(1, b"x" * 10_000)
     pair.server.send_headers(3, [(b":status", b"200")], end_stream=True)
     pair.session.cancel(stream)
-    assert pair.turn() == [ResponseComplete(other, 200, {}, b"")]
+    assert pair.exchange() == [ResponseComplete(other, 200, {}, b"")]
     assert pair.resets == {1: 8} and pair.session.buffered == 0 and not pair.session.fault
 
 
-BAD = {
+MALFORMED = {
     "settings": (EMPTY_SETTINGS, 1200, "flood"),
     "ping": (frame(6, 0, 0, b"8 bytes."), 1200, "flood"),
     "reset": (frame(3, 0, 3, b"\0\0\0\x08"), 1200, "flood"),
@@ -218,119 +222,119 @@
     "continuation": (frame(1, 0, 1, b"\x00") + frame(9, 0, 1, b"") * 20, 1, "header block"),
     "long block": (frame(1, 0, 1, b"\x00" * 9000) + frame(9, 0, 1, b"\x00" * 9000), 1, "header block"),
     "large frame": (frame(0, 0, 1, b"x" * 16_385), 1, "frame of 16385 bytes"),
-    "data on no stream": (frame(0, 0, 9, b"x" * 100), 1, ""),
-    "answer on no stream": (frame(1, 4, 9, b"\x88"), 1, ""),
+    "data on an idle stream": (frame(0, 0, 9, b"x" * 100), 1, ""),
+    "response on an idle stream": (frame(1, 4, 9, b"\x88"), 1, ""),
     "push": (frame(5, 4, 1, b"\0\0\0\x02\x88"), 1, "push"),
     "short goaway": (frame(7, 0, 0, b"\0"), 1, "GOAWAY"),
     "goaway on a stream": (frame(7, 0, 1, b"\0" * 8), 1, "GOAWAY"),
-    "odd settings": (frame(4, 0, 0, b"\0"), 1, ""),
+    "settings of a wrong length": (frame(4, 0, 0, b"\0"), 1, ""),
     "lone continuation": (frame(9, 4, 1, b""), 1, ""),
     "hpack": (frame(1, 4, 1, b"\xff" * 6), 1, ""),
     "padding": (frame(0, 8, 1, b"\xffab"), 1, "padding"),
 }
 
 
-@pytest.mark.parametrize("kind", list(BAD))
-def test_bad_frames_cost_the_connection_alone_and_what_came_well_before_is_kept(kind):
-    raw, times, named = BAD[kind]
+@pytest.mark.parametrize("kind", list(MALFORMED))
+def test_malformed_frames_end_the_connection_and_events_before_them_are_kept(kind):
+    raw, times, expected = MALFORMED[kind]
     pair = Pair()
-    first, _ = pair.ask("first"), pair.ask("second")
-    pair.turn()
+    first, _ = pair.request("first"), pair.request("second")
+    pair.exchange()
     pair.server.send_headers(1, [(b":status", b"200")])
     pair.server.send_headers(3, [(b":status", b"200")], end_stream=True)
-    said = pair.turn(raw * times)
-    assert [(s.stream.request, s.status) for s in said if isinstance(s, ResponseComplete)] == [
+    events = pair.exchange(raw * times)
+    assert [(s.stream.request, s.status) for s in events if isinstance(s, ResponseComplete)] == [
         ("second", 200)
     ]
-    assert pair.session.fault is not None and named in pair.session.fault.text
+    assert pair.session.fault is not None and expected in pair.session.fault.text
     assert first.id in pair.session.streams and len(pair.session.guard.buffer) < 40_000
 
 
 @pytest.mark.parametrize("answer", [b"HTTP/1.1 400 Bad Request\r\n\r\n", frame(6, 0, 0, b"8 bytes.")])
-def test_who_does_not_begin_with_settings_speaks_something_else(answer):
+def test_a_peer_that_does_not_begin_with_settings_is_a_connection_error(answer):
     session = Http2Session(1 << 20, 0)
     session.receive(answer, 0)
     assert session.fault is not None and not session.ready
 
 
-def test_an_answer_of_3_gb_is_left_at_once_or_at_its_bound():
+def test_a_response_of_3_gb_is_aborted_by_its_content_length_or_at_the_bound():
     pair = Pair()
-    told, untold = pair.ask("told"), pair.ask("untold")
-    pair.turn()
+    announced, unannounced = pair.request("announced"), pair.request("unannounced")
+    pair.exchange()
     pair.server.send_headers(1, [(b":status", b"200"), (b"content-length", b"3000000000")])
-    said = pair.turn()
-    assert [type(s) for s in said] == [StreamAborted] and said[0].stream is told
+    events = pair.exchange()
+    assert [type(s) for s in events] == [StreamAborted] and events[0].stream is announced
     pair.server.send_headers(3, [(b":status", b"200")])
     for _ in range(20):
         for _ in range(4):
             if pair.server.open_outbound_streams or 3 in pair.server.streams and 3 not in pair.resets:
                 pair.server.send_data(3, b"x" * 8000)
-        said += pair.turn()
-        if len(said) > 1:
+        events += pair.exchange()
+        if len(events) > 1:
             break
-    assert said[1].stream is untold and pair.session.buffered == 0
-    assert not pair.session.fault  # the others on it go on
+    assert events[1].stream is unannounced and pair.session.buffered == 0
+    assert not pair.session.fault  # other streams of the connection are unaffected
 
 
-def test_what_half_answers_hold_on_a_connection_is_bounded():
+def test_the_bytes_of_partial_responses_on_one_connection_are_bounded():
     pair = Pair(held=262_144)
     for n in range(30):
-        pair.ask(n)
-    pair.turn()
-    said = []
+        pair.request(n)
+    pair.exchange()
+    events = []
     for n in range(30):
         pair.server.send_headers(2 * n + 1, [(b":status", b"200")])
         pair.server.send_data(2 * n + 1, b"x" * 16_000)
-        said += pair.turn()
+        events += pair.exchange()
         assert pair.session.buffered <= 262_144
-    assert len([s for s in said if isinstance(s, StreamAborted)]) >= 13
+    assert len([s for s in events if isinstance(s, StreamAborted)]) >= 13
 
 
 @pytest.mark.parametrize("length, sent", [(b"5", b"abc"), (b"2", b"abc")])
-def test_more_or_less_than_the_content_length_is_no_answer(length, sent):
+def test_a_body_that_contradicts_its_content_length_completes_no_response(length, sent):
     pair = Pair()
-    pair.ask()
-    pair.turn()
+    pair.request()
+    pair.exchange()
     pair.server.send_headers(1, [(b":status", b"200"), (b"content-length", length)])
     pair.server.send_data(1, sent, end_stream=True)
-    assert not [s for s in pair.turn() if isinstance(s, ResponseComplete)]
+    assert not [s for s in pair.exchange() if isinstance(s, ResponseComplete)]
 
 
-def test_a_second_answer_is_no_ones():
+def test_a_second_response_on_a_stream_is_ignored():
     pair = Pair()
-    stream = pair.ask()
-    pair.turn()
-    assert pair.turn(frame(1, 5, 1, b"\x88")) == [ResponseComplete(stream, 200, {}, b"")]
-    assert [s for s in pair.turn(frame(1, 5, 1, b"\x88")) if isinstance(s, ResponseComplete)] == []
+    stream = pair.request()
+    pair.exchange()
+    assert pair.exchange(frame(1, 5, 1, b"\x88")) == [ResponseComplete(stream, 200, {}, b"")]
+    assert [s for s in pair.exchange(frame(1, 5, 1, b"\x88")) if isinstance(s, ResponseComplete)] == []
 
 
-def test_interim_answers_without_end_spoil_their_stream():
+def test_too_many_interim_responses_abort_their_stream():
     pair = Pair()
-    stream = pair.ask()
-    pair.turn()
+    stream = pair.request()
+    pair.exchange()
     for _ in range(9):
         pair.server.send_headers(1, [(b":status", b"103")])
-    assert [(type(s), s.stream) for s in pair.turn()] == [(StreamAborted, stream)]
+    assert [(type(s), s.stream) for s in pair.exchange()] == [(StreamAborted, stream)]
 
 
-def test_silence_after_half_an_answer_is_seen_and_others_may_come_first():
+def test_stalled_responses_are_found_and_get_more_time_while_other_streams_move():
     pair = Pair()
-    half, other = pair.ask("half"), pair.ask("other")
-    pair.turn()
+    half, other = pair.request("half"), pair.request("other")
+    pair.exchange()
     pair.now = S
     for number in (1, 3):
         pair.server.send_headers(number, [(b":status", b"200")])
         pair.server.send_data(number, b"x")
-    pair.turn()
+    pair.exchange()
     assert pair.session.stalled(300, S + 299) == []
     pair.now = S + 299
     pair.server.send_data(3, b"x")
-    pair.turn()
-    assert pair.session.stalled(300, S + 400) == []  # the other one moves
+    pair.exchange()
+    assert pair.session.stalled(300, S + 400) == []  # the other stream received data
     assert pair.session.stalled(300, S + 1200) == [half, other]
 
 
-def forward(**changed):
+def send_attempt(**changed):
     base = SendAttempt(
         number=0,
         cache=1,
@@ -346,17 +350,17 @@
     return base._replace(**changed)
 
 
-def a_get(have="", body=b"", write=False):
+def open_request(have="", body=b"", write=False):
     asked = Request("9b1f03aa5c7e2d41", 1, 3, 17, 0, 4, write, False, S)
     return OpenRequest(None, b"9b1f03aa5c7e2d41", "media", "7f3a", 3, have, body, asked)
 
 
-def test_a_forward_as_a_request():
+def test_the_header_fields_of_an_attempt():
     fields = dict(
         mapping.request_fields(
             b"a:1",
-            a_get("t1"),
-            forward(rank=2, max_age=9_900_000_000, collapse=True, number=1, revalidate=True),
+            open_request("t1"),
+            send_attempt(rank=2, max_age=9_900_000_000, collapse=True, number=1, revalidate=True),
             's-"1f',
             5 * S,
         )
@@ -372,17 +376,22 @@
         b"cache-control": b"max-age=9, max-stale=9",
         b"spruce-fill": b'source="s-\\"1f", rank=2, try=1, join, renew',
     }
-    tokened = a_get()
-    tokened.token = "874c-e5"
+    with_token = open_request()
+    with_token.token = "874c-e5"
     assert (
-        dict(mapping.request_fields(b"a:1", tokened, forward(), None, S))[b"idempotency-key"] == b'"874c-e5"'
+        dict(mapping.request_fields(b"a:1", with_token, send_attempt(), None, S))[b"idempotency-key"]
+        == b'"874c-e5"'
+    )
+    fields = dict(
+        mapping.request_fields(
+            b"a:1", open_request(), send_attempt(fill_source=1, max_age=10), None, 900_000_000
+        )
     )
+    assert fields[b"spruce-wait"] == b"900"  # the client's remaining wait, if that is shorter
+    assert fields[b"cache-control"] == b"max-age=0, max-stale=0, only-if-cached"  # rounded down, never up
     fields = dict(
-        mapping.request_fields(b"a:1", a_get(), forward(fill_source=1, max_age=10), None, 900_000_000)
+        mapping.request_fields(b"a:1", open_request(body=b"abc", write=True), send_attempt(), "o", S)
     )
-    assert fields[b"spruce-wait"] == b"900"  # what is left when it goes, where that is less
-    assert fields[b"cache-control"] == b"max-age=0, max-stale=0, only-if-cached"  # never wider than decided
-    fields = dict(mapping.request_fields(b"a:1", a_get(body=b"abc", write=True), forward(), "o", S))
     assert (fields[b":method"], fields[b"content-length"]) == (b"PUT", b"3")
 
 
@@ -425,9 +434,9 @@
         (421, {}, AttemptOutcome.FULL, CacheStatus.UNKNOWN),
     ],
 )
-def test_an_answer_by_its_status_and_cache_status(status, fields, outcome, found):
-    said = mapping.interpret(status, fields, b"x", False)
-    assert (said.outcome, said.cache_status) == (outcome, found)
+def test_outcome_and_cache_status_of_a_response(status, fields, outcome, found):
+    meaning = mapping.interpret(status, fields, b"x", False)
+    assert (meaning.outcome, meaning.cache_status) == (outcome, found)
 
 
 @pytest.mark.parametrize(
@@ -441,18 +450,18 @@
         (b"", "t1", AttemptOutcome.ERROR),
     ],
 )
-def test_a_304_returns_only_a_copy_that_the_client_has_and_it_names(tag, have, outcome):
-    said = mapping.interpret(304, {b"etag": tag}, b"", False, have)
-    assert (said.outcome, said.response is None) == (outcome, outcome is AttemptOutcome.ERROR)
+def test_a_304_is_returned_only_with_the_entity_tag_of_the_clients_stored_response(tag, have, outcome):
+    meaning = mapping.interpret(304, {b"etag": tag}, b"", False, have)
+    assert (meaning.outcome, meaning.response is None) == (outcome, outcome is AttemptOutcome.ERROR)
 
 
-def test_a_504_is_a_miss_only_where_only_a_cached_copy_was_asked_for():
+def test_a_504_is_a_miss_only_for_an_only_if_cached_request():
     assert mapping.interpret(504, {}, b"", True).outcome is AttemptOutcome.MISS
     assert mapping.interpret(504, {}, b"", False).outcome is AttemptOutcome.ERROR
 
 
-def test_tag_age_wait_and_load_of_an_answer():
-    said = mapping.interpret(
+def test_entity_tag_age_fill_wait_and_load_of_a_response():
+    meaning = mapping.interpret(
         200,
         {
             b"etag": b'W/"t1"',
@@ -463,7 +472,8 @@
         b"body",
         False,
     )
-    assert said.response == (False, "t1", 0, b"body", 8 * S)  # a second more than told: Age is cut to seconds
-    assert said.fill_wait == 12_500_000 and said.load == {"inflight": 7.0, "busy": 0.25}
-    same = mapping.interpret(304, {b"etag": b'"t1"'}, b"", False, "t1")
-    assert same.response == (True, "t1", 0, b"", None)
+    # A second more than Age, which is truncated to seconds.
+    assert meaning.response == (False, "t1", 0, b"body", 8 * S)
+    assert meaning.fill_wait == 12_500_000 and meaning.load == {"inflight": 7.0, "busy": 0.25}
+    not_modified = mapping.interpret(304, {b"etag": b'"t1"'}, b"", False, "t1")
+    assert not_modified.response == (True, "t1", 0, b"", None)
--- a/tests/upstream/test_http2_transport.py
+++ b/tests/upstream/test_http2_transport.py
@@ -1,4 +1,4 @@
-"""HTTP/2 over real sockets against the stand-in: what the front is told of each forward, against what really ran."""
+"""HTTP/2 over real sockets against the stand-in: the reported outcome of each attempt, against what was executed."""
 
 import asyncio
 import socket
@@ -12,26 +12,28 @@
 from standins.http2 import REFUSED_STREAM, Running, goaway
 
 
-def on(*scripts, limits=None, most=341):
-    """Runs `body(recorder, *stand-ins)` on a loop; places are numbered from 1."""
+def with_servers(*scripts, limits=None, most=341):
+    """Run `body(recorder, *stand-ins)` on an event loop; the ids of the servers begin at 1."""
 
     def wrap(body):
         def test():
-            boxes = [Running(**script) for script in scripts]
+            stand_ins = [Running(**script) for script in scripts]
 
             async def run():
                 recorder = Recorder(
-                    {n: box.address for n, box in enumerate(boxes, 1)}, limits=limits or Limits(), most=most
+                    {n: stand_in.address for n, stand_in in enumerate(stand_ins, 1)},
+                    limits=limits or Limits(),
+                    most=most,
                 )
-                await body(recorder, *boxes)
+                await body(recorder, *stand_ins)
                 recorder.servers.stop()
                 await asyncio.sleep(0)
 
             try:
                 uvloop.run(run())
             finally:
-                for box in boxes:
-                    box.stop()
+                for stand_in in stand_ins:
+                    stand_in.stop()
 
         test.__name__ = body.__name__
         return test
@@ -39,16 +41,16 @@
     return wrap
 
 
-def after(count, action):
-    """A script: requests are held until `count` are there; then `action(peer, requests)`."""
-    there = []
+def after_requests(count, action):
+    """Return a handler that collects requests until it has `count`, and then calls `action(peer, requests)`."""
+    received = []
 
-    def came(peer, request):
-        there.append(request)
-        if len(there) == count:
-            action(peer, there)
+    def on_request(peer, request):
+        received.append(request)
+        if len(received) == count:
+            action(peer, received)
 
-    return came
+    return on_request
 
 
 def run_all(peer, requests):
@@ -57,204 +59,224 @@
             peer.answer(request.stream)
 
 
-async def ends(recorder, outs):
-    return [await recorder.end(out) for out in outs]
+async def outcomes(recorder, attempts):
+    return [await recorder.end(attempt) for attempt in attempts]
 
 
-ONE = Limits(connections=1, streams=300, waiting=300)
+ONE_CONNECTION = Limits(connections=1, streams=300, waiting=300)
 
 
-@on({"limit": 300}, {"limit": 300}, limits=ONE)
-async def test_a_goaway_mid_burst_with_half_of_200_streams_above_it(recorder, box, other):
-    def half(peer, requests):
+@with_servers({"limit": 300}, {"limit": 300}, limits=ONE_CONNECTION)
+async def test_a_goaway_with_half_of_200_open_streams_above_its_last_one(recorder, stand_in, other):
+    def send_goaway(peer, requests):
         peer.goaway(requests[99].stream)
         run_all(peer, requests[:100])
 
-    box.server.came = after(200, half)
-    outs = [recorder.send(1, f"{n:016x}") for n in range(200)]
-    assert await ends(recorder, outs) == [AttemptOutcome.RETURNED] * 100 + [AttemptOutcome.NOT_SENT] * 100
-    assert [ran for ran, _ in box.server.ran] == [f"{n:016x}" for n in range(100)]
+    stand_in.server.came = after_requests(200, send_goaway)
+    attempts = [recorder.send(1, f"{n:016x}") for n in range(200)]
+    assert (
+        await outcomes(recorder, attempts)
+        == [AttemptOutcome.RETURNED] * 100 + [AttemptOutcome.NOT_SENT] * 100
+    )
+    assert [ran for ran, _ in stand_in.server.ran] == [f"{n:016x}" for n in range(100)]
     again = [recorder.send(2, f"{n:016x}", number=1) for n in range(100, 200)]
-    assert set(await ends(recorder, again)) == {AttemptOutcome.RETURNED} and len(other.server.ran) == 100
+    assert set(await outcomes(recorder, again)) == {AttemptOutcome.RETURNED} and len(other.server.ran) == 100
 
 
-@on({}, limits=ONE)
-async def test_two_goaways_the_second_lower_and_a_successor_meanwhile(recorder, box):
-    def leave(peer, requests):
+@with_servers({}, limits=ONE_CONNECTION)
+async def test_two_goaways_with_a_lower_last_stream_in_the_second_and_a_successor_in_between(
+    recorder, stand_in
+):
+    def send_goaways(peer, requests):
         peer.goaway(2**31 - 1)
         peer.loop.call_later(0.1, lambda: (peer.goaway(requests[3].stream), run_all(peer, requests[:4])))
 
-    box.server.came = after(8, leave)
-    outs = [recorder.send(1, f"{n:016x}") for n in range(8)]
+    stand_in.server.came = after_requests(8, send_goaways)
+    attempts = [recorder.send(1, f"{n:016x}") for n in range(8)]
     while not any(event == "cache_goaway" for event, _ in recorder.logged):
         await asyncio.sleep(0.005)
-    box.server.came = lambda peer, request: run_all(peer, [request])
-    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED and box.server.made == 2
-    assert not any(out.ended for out in outs)  # the old ones still wait for theirs
-    assert await ends(recorder, outs) == [AttemptOutcome.RETURNED] * 4 + [AttemptOutcome.NOT_SENT] * 4
+    stand_in.server.came = lambda peer, request: run_all(peer, [request])
+    assert (
+        await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED
+        and stand_in.server.made == 2
+    )
+    assert not any(attempt.ended for attempt in attempts)  # the attempts on the old connection still wait
+    assert await outcomes(recorder, attempts) == [AttemptOutcome.RETURNED] * 4 + [AttemptOutcome.NOT_SENT] * 4
 
 
-@on({}, limits=ONE)
-async def test_a_goaway_with_last_stream_0_proves_that_none_ran(recorder, box):
-    box.server.came = after(5, lambda peer, requests: (peer.goaway(0), peer.loop.call_soon(peer.end)))
-    outs = [recorder.send(1, f"{n:016x}") for n in range(5)]
-    assert await ends(recorder, outs) == [AttemptOutcome.NOT_SENT] * 5 and box.server.ran == []
+@with_servers({}, limits=ONE_CONNECTION)
+async def test_a_goaway_with_last_stream_0_proves_that_none_ran(recorder, stand_in):
+    stand_in.server.came = after_requests(
+        5, lambda peer, requests: (peer.goaway(0), peer.loop.call_soon(peer.end))
+    )
+    attempts = [recorder.send(1, f"{n:016x}") for n in range(5)]
+    assert await outcomes(recorder, attempts) == [AttemptOutcome.NOT_SENT] * 5 and stand_in.server.ran == []
 
 
-@on({"window": 1000, "opens": False}, {"window": 1000}, limits=ONE)
-async def test_a_goaway_while_a_body_is_half_sent(recorder, box, other):
-    box.server.heads = lambda peer, request: peer.loop.call_later(0.05, peer.goaway, 0)
+@with_servers({"window": 1000, "opens": False}, {"window": 1000}, limits=ONE_CONNECTION)
+async def test_a_goaway_while_a_request_body_is_partly_sent(recorder, stand_in, other):
+    stand_in.server.heads = lambda peer, request: peer.loop.call_later(0.05, peer.goaway, 0)
     assert await recorder.end(recorder.send(1, "a" * 16, b"b" * 48_000)) is AttemptOutcome.NOT_SENT
-    # At or below the last stream the body goes on, as the peer opens its window, and is answered.
+    # A request up to the last stream is sent to its end, as the peer opens the window, and is answered.
     other.server.heads = lambda peer, request: peer.goaway(request.stream)
     other.server.came = lambda peer, request: run_all(peer, [request])
     assert await recorder.end(recorder.send(2, "b" * 16, b"b" * 48_000)) is AttemptOutcome.RETURNED
     assert other.server.ran == [("b" * 16, 0)]
 
 
-@on({"limit": 100}, limits=Limits(connections=1, waiting=100))
-async def test_the_limit_falls_from_100_to_3_with_60_open(recorder, box):
-    opened, most = [], []
+@with_servers({"limit": 100}, limits=Limits(connections=1, waiting=100))
+async def test_the_stream_limit_falls_from_100_to_3_with_60_open_streams(recorder, stand_in):
+    lowered, open_counts = [], []
 
-    def fall(peer, requests):
+    def lower_limit(peer, requests):
         peer.settings(limit=3)
         peer.loop.call_later(0.02, run_all, peer, list(requests))
-        box.server.came = count
+        stand_in.server.came = count
 
     def count(peer, request):
-        opened.append(request)
-        most.append(len(peer.open))
+        lowered.append(request)
+        open_counts.append(len(peer.open))
         peer.loop.call_later(0.01, run_all, peer, [request])
 
-    box.server.came = after(60, fall)
-    outs = [recorder.send(1, f"{n:016x}") for n in range(60)]
-    while not opened and not all(out.ended for out in outs):
+    stand_in.server.came = after_requests(60, lower_limit)
+    attempts = [recorder.send(1, f"{n:016x}") for n in range(60)]
+    while not lowered and not all(attempt.ended for attempt in attempts):
         await asyncio.sleep(0.002)
     more = [recorder.send(1, f"{n:016x}") for n in range(60, 80)]
-    assert set(await ends(recorder, outs + more)) == {AttemptOutcome.RETURNED}
-    assert len(most) == 20 and max(most) <= 3
+    assert set(await outcomes(recorder, attempts + more)) == {AttemptOutcome.RETURNED}
+    assert len(open_counts) == 20 and max(open_counts) <= 3
 
 
-@on({"limit": 0}, limits=Limits(connections=1, wait=2000 * MS))
-async def test_a_limit_of_0_for_a_while_and_back(recorder, box):
-    outs = [recorder.send(1, f"{n:016x}") for n in range(5)]
+@with_servers({"limit": 0}, limits=Limits(connections=1, wait=2000 * MS))
+async def test_requests_wait_while_the_stream_limit_is_0(recorder, stand_in):
+    attempts = [recorder.send(1, f"{n:016x}") for n in range(5)]
     await asyncio.sleep(0.2)
-    assert not any(out.ended for out in outs) and box.server.ran == []
+    assert not any(attempt.ended for attempt in attempts) and stand_in.server.ran == []
 
-    def back():
-        for peer in box.server.peers:
+    def raise_limit():
+        for peer in stand_in.server.peers:
             peer.settings(limit=10)
         return True
 
-    await asyncio.to_thread(box.do, back)
-    assert await ends(recorder, outs) == [AttemptOutcome.RETURNED] * 5
+    await asyncio.to_thread(stand_in.do, raise_limit)
+    assert await outcomes(recorder, attempts) == [AttemptOutcome.RETURNED] * 5
 
 
-@on({"limit": 0}, limits=Limits(connections=1, wait=100 * MS))
-async def test_a_limit_that_stays_0_refuses_in_time_what_never_left(recorder, box):
-    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.FULL and box.server.ran == []
+@with_servers({"limit": 0}, limits=Limits(connections=1, wait=100 * MS))
+async def test_a_stream_limit_that_stays_0_refuses_requests_in_time(recorder, stand_in):
+    assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.FULL and stand_in.server.ran == []
 
 
-@on({"window": 10, "opens": False}, limits=ONE)
-async def test_a_reset_between_headers_and_the_first_data_may_have_run(recorder, box):
-    box.server.heads = lambda peer, request: peer.abort()
+@with_servers({"window": 10, "opens": False}, limits=ONE_CONNECTION)
+async def test_a_reset_between_headers_and_the_first_data_may_have_run(recorder, stand_in):
+    stand_in.server.heads = lambda peer, request: peer.abort()
     assert await recorder.end(recorder.send(1, "a" * 16, b"order")) is AttemptOutcome.RESET
 
 
-@on({}, limits=ONE)
-async def test_a_server_that_restarts_under_a_new_id_at_its_address_gets_a_connection_of_its_own(
-    recorder, box
+@with_servers({}, limits=ONE_CONNECTION)
+async def test_a_server_restarted_under_a_new_id_at_the_same_address_gets_its_own_connection(
+    recorder, stand_in
 ):
-    held = []
-    box.server.came = lambda peer, request: held.append((peer, request))
-    out = recorder.send(1, "a" * 16)
-    while not held:
+    pending = []
+    stand_in.server.came = lambda peer, request: pending.append((peer, request))
+    attempt = recorder.send(1, "a" * 16)
+    while not pending:
         await asyncio.sleep(0.005)
-    recorder.list({9: box.address})  # the whole list: 1 has gone, 9 stands at its address
-    box.server.came = lambda peer, request: run_all(peer, [request])
-    assert await recorder.end(recorder.send(9, "b" * 16)) is AttemptOutcome.RETURNED and box.server.made == 2
-    peer, request = held[0]
-    await asyncio.to_thread(box.do, lambda: run_all(peer, [request]) or True)
-    assert await recorder.end(out) is AttemptOutcome.RETURNED  # what was open there is still answered
+    recorder.list({9: stand_in.address})  # a complete list: 1 is removed, 9 has its address
+    stand_in.server.came = lambda peer, request: run_all(peer, [request])
+    assert (
+        await recorder.end(recorder.send(9, "b" * 16)) is AttemptOutcome.RETURNED
+        and stand_in.server.made == 2
+    )
+    peer, request = pending[0]
+    await asyncio.to_thread(stand_in.do, lambda: run_all(peer, [request]) or True)
+    # The open attempt to the removed server is still answered.
+    assert await recorder.end(attempt) is AttemptOutcome.RETURNED
     while 1 in recorder.servers.places:
         await asyncio.sleep(0.005)
-    assert len(box.server.peers) <= 1 or recorder.servers.connections == 1
+    assert len(stand_in.server.peers) <= 1 or recorder.servers.connections == 1
 
 
-@on({}, limits=ONE)
-async def test_ends_of_one_connection_are_told_with_one_time(recorder, box):
-    box.server.came = after(50, lambda peer, requests: peer.abort())
-    outs = [recorder.send(1, f"{n:016x}") for n in range(50)]
-    assert set(await ends(recorder, outs)) == {AttemptOutcome.RESET}
-    assert len({recorder.ends[out][2] for out in outs}) == 1
+@with_servers({}, limits=ONE_CONNECTION)
+async def test_attempts_that_end_with_their_connection_are_reported_with_one_time(recorder, stand_in):
+    stand_in.server.came = after_requests(50, lambda peer, requests: peer.abort())
+    attempts = [recorder.send(1, f"{n:016x}") for n in range(50)]
+    assert set(await outcomes(recorder, attempts)) == {AttemptOutcome.RESET}
+    assert len({recorder.ends[attempt][2] for attempt in attempts}) == 1
 
 
-@on({}, limits=ONE)
-async def test_a_cancel_resets_its_stream_and_frees_it(recorder, box):
-    held = []
-    box.server.came = lambda peer, request: held.append((peer, request))
-    out = recorder.send(1, "a" * 16)
-    while not held:
+@with_servers({}, limits=ONE_CONNECTION)
+async def test_a_cancel_resets_the_stream_and_frees_its_place(recorder, stand_in):
+    pending = []
+    stand_in.server.came = lambda peer, request: pending.append((peer, request))
+    attempt = recorder.send(1, "a" * 16)
+    while not pending:
         await asyncio.sleep(0.005)
-    assert recorder.servers.cancel(out) is None  # it may have run
-    while box.server.cancelled != ["a" * 16]:
+    assert recorder.servers.cancel(attempt) is None  # it may have run
+    while stand_in.server.cancelled != ["a" * 16]:
         await asyncio.sleep(0.005)
     pool = recorder.servers.places[1].held.pool
     assert [at.open for at in pool.connections.values()] == [0]
-    peer, request = held[0]
-    await asyncio.to_thread(box.do, lambda: peer.answer(request.stream) or True)  # late: nobody's
-    box.server.came = lambda peer, request: run_all(peer, [request])
-    assert await recorder.end(recorder.send(1, "b" * 16)) is AttemptOutcome.RETURNED and box.server.made == 1
+    peer, request = pending[0]
+    # A late response, which is ignored.
+    await asyncio.to_thread(stand_in.do, lambda: peer.answer(request.stream) or True)
+    stand_in.server.came = lambda peer, request: run_all(peer, [request])
+    assert (
+        await recorder.end(recorder.send(1, "b" * 16)) is AttemptOutcome.RETURNED
+        and stand_in.server.made == 1
+    )
 
 
-@on({"limit": 0}, limits=ONE)
-async def test_a_cancel_of_one_that_waited_proves_that_it_never_ran(recorder, box):
+@with_servers({"limit": 0}, limits=ONE_CONNECTION)
+async def test_a_cancelled_attempt_that_waited_for_a_stream_never_ran(recorder, stand_in):
     assert recorder.servers.cancel(recorder.send(1, "a" * 16), timed_out=True) is AttemptOutcome.NOT_SENT
 
 
-@on({}, limits=ONE)
-async def test_refused_streams_never_ran_and_other_resets_may_have(recorder, box):
-    box.server.came = lambda peer, request: peer.reset(request.stream, REFUSED_STREAM)
+@with_servers({}, limits=ONE_CONNECTION)
+async def test_refused_streams_never_ran_and_other_resets_may_have(recorder, stand_in):
+    stand_in.server.came = lambda peer, request: peer.reset(request.stream, REFUSED_STREAM)
     assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.NOT_SENT
     for code in (2, 8, 0xB, 0xD):
-        box.server.came = lambda peer, request, code=code: peer.reset(request.stream, code)
+        stand_in.server.came = lambda peer, request, code=code: peer.reset(request.stream, code)
         assert await recorder.end(recorder.send(1, f"{code:016x}")) is AttemptOutcome.RESET
 
 
-@on({}, limits=Limits(connections=1, stalled=60 * MS))
-async def test_silence_after_half_an_answer_costs_its_stream_alone(recorder, box):
-    def came(peer, request):
+@with_servers({}, limits=Limits(connections=1, stalled=60 * MS))
+async def test_a_stalled_response_ends_only_its_own_stream(recorder, stand_in):
+    def on_request(peer, request):
         peer.run(request)
         if request.id == "a" * 16:
             peer.answer(request.stream, 200, (), b"half", end=False, length=False)
         else:
             peer.loop.call_later(0.2, peer.answer, request.stream)
 
-    box.server.came = came
-    half, whole = recorder.send(1, "a" * 16), recorder.send(1, "b" * 16)
-    assert await recorder.end(half) is AttemptOutcome.RESET and not whole.ended
-    assert await recorder.end(whole) is AttemptOutcome.RETURNED and box.server.made == 1
+    stand_in.server.came = on_request
+    stalled, delayed = recorder.send(1, "a" * 16), recorder.send(1, "b" * 16)
+    assert await recorder.end(stalled) is AttemptOutcome.RESET and not delayed.ended
+    assert await recorder.end(delayed) is AttemptOutcome.RETURNED and stand_in.server.made == 1
 
 
-@on({}, limits=Limits(connections=1, ping_after=50 * MS, ping_wait=50 * MS))
-async def test_a_peer_that_answers_no_ping_is_left_and_a_slow_one_that_does_is_not(recorder, box):
-    box.server.came = lambda peer, request: peer.loop.call_later(0.4, run_all, peer, [request])
+@with_servers({}, limits=Limits(connections=1, ping_after=50 * MS, ping_wait=50 * MS))
+async def test_a_connection_is_closed_without_an_answer_to_a_ping_and_kept_for_a_slow_server(
+    recorder, stand_in
+):
+    stand_in.server.came = lambda peer, request: peer.loop.call_later(0.4, run_all, peer, [request])
     assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED
-    box.server.came = lambda peer, request: peer.loop.remove_reader(peer.sock)
+    stand_in.server.came = lambda peer, request: peer.loop.remove_reader(peer.sock)
     assert await recorder.end(recorder.send(1, "b" * 16), 2) is AttemptOutcome.RESET
 
 
-def test_a_server_that_speaks_no_http2_or_nothing_is_not_reached_and_nothing_ran():
-    def talk(sock, said):
+def test_a_server_that_speaks_another_protocol_or_nothing_never_executed_the_attempt():
+    def serve(sock, response):
         near, _ = sock.accept()
         near.recv(100)
-        near.sendall(said)
+        near.sendall(response)
         near.recv(10_000)
         near.recv(10_000)
 
-    async def run(said):
+    async def run(response):
         with socket.create_server(("127.0.0.1", 0)) as sock:
-            thread = threading.Thread(target=talk, args=(sock, said), daemon=True)
+            thread = threading.Thread(target=serve, args=(sock, response), daemon=True)
             thread.start()
             recorder = Recorder({1: f"127.0.0.1:{sock.getsockname()[1]}"}, limits=Limits(connect=100 * MS))
             outcome = await recorder.end(recorder.send(1, "a" * 16))
@@ -262,59 +284,63 @@
             await asyncio.sleep(0)
             return outcome
 
-    for said in (b"HTTP/1.1 400 Bad Request\r\n\r\n", b""):
-        assert uvloop.run(run(said)).never_executed
+    for response in (b"HTTP/1.1 400 Bad Request\r\n\r\n", b""):
+        assert uvloop.run(run(response)).never_executed
 
 
-@on({"window": 0, "opens": False}, limits=ONE)
-async def test_a_peer_that_does_not_read_costs_no_memory_beyond_its_bound(recorder, box):
+@with_servers({"window": 0, "opens": False}, limits=ONE_CONNECTION)
+async def test_memory_for_a_peer_that_does_not_read_is_bounded(recorder, stand_in):
     first = recorder.send(1, "a" * 16)
     await recorder.end(first)
-    await asyncio.to_thread(box.do, lambda: [p.loop.remove_reader(p.sock) for p in box.server.peers] and True)
-    outs = [recorder.send(1, f"{n:016x}", b"b" * 48_000, 400_000_000) for n in range(250)]
+    await asyncio.to_thread(
+        stand_in.do, lambda: [p.loop.remove_reader(p.sock) for p in stand_in.server.peers] and True
+    )
+    attempts = [recorder.send(1, f"{n:016x}", b"b" * 48_000, 400_000_000) for n in range(250)]
     await asyncio.sleep(0.1)
     (connection,) = recorder.servers.places[1].held.connections.values()
     assert len(connection.session.outgoing) < 300_000
-    for out in outs:
-        recorder.servers.cancel(out, timed_out=True)
+    for attempt in attempts:
+        recorder.servers.cancel(attempt, timed_out=True)
     assert not connection.session.uploads
 
 
-@on({}, {}, {}, limits=ONE, most=2)
-async def test_connections_are_bounded_over_all_servers_and_an_idle_one_makes_room(recorder, *boxes):
-    for place in (1, 2, 3, 1):
-        assert await recorder.end(recorder.send(place, f"{place:016x}")) is AttemptOutcome.RETURNED
+@with_servers({}, {}, {}, limits=ONE_CONNECTION, most=2)
+async def test_connections_to_all_servers_are_bounded_and_an_idle_one_is_closed_for_another(
+    recorder, *stand_ins
+):
+    for server_id in (1, 2, 3, 1):
+        assert await recorder.end(recorder.send(server_id, f"{server_id:016x}")) is AttemptOutcome.RETURNED
         assert recorder.servers.connections <= 2
 
 
-@on({}, limits=ONE)
-async def test_a_server_listed_as_gone_and_listed_again_serves(recorder, box):
+@with_servers({}, limits=ONE_CONNECTION)
+async def test_a_server_that_is_removed_and_listed_again_is_used(recorder, stand_in):
     assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED
-    recorder.list({1: box.address}, whole=False, state=EndpointState.GONE)
+    recorder.list({1: stand_in.address}, whole=False, state=EndpointState.GONE)
     while 1 in recorder.servers.places:
         await asyncio.sleep(0.005)
     assert await recorder.end(recorder.send(1, "b" * 16)) is AttemptOutcome.NOT_SENT
-    recorder.list({1: box.address}, whole=False)
+    recorder.list({1: stand_in.address}, whole=False)
     assert await recorder.end(recorder.send(1, "c" * 16)) is AttemptOutcome.RETURNED
 
 
-def test_a_raw_goaway_is_what_the_rfc_says():
+def test_the_raw_goaway_frame_of_the_stand_in():
     assert goaway(5, 11) == b"\0\0\x08\x07\0\0\0\0\0" + b"\0\0\0\x05" + b"\0\0\0\x0b"
 
 
-@on({})
-async def test_servers_that_have_gone_are_kept_in_no_table(recorder, box):
-    """Listed and gone without a connection, so that no timer of theirs comes by; and after one."""
+@with_servers({})
+async def test_removed_servers_are_dropped_from_the_transports_table(recorder, stand_in):
+    """Also servers that are removed before they had a connection, whose timer never runs."""
     transport = recorder.servers.transports["http2"]
     for number in range(10, 60):
-        recorder.list({number: box.address}, whole=False)
-        recorder.list({number: box.address}, whole=False, state=EndpointState.GONE)
+        recorder.list({number: stand_in.address}, whole=False)
+        recorder.list({number: stand_in.address}, whole=False, state=EndpointState.GONE)
     assert set(transport.active) <= {1}
-    recorder.list({60: box.address}, whole=False)
+    recorder.list({60: stand_in.address}, whole=False)
     assert (
         await recorder.end(recorder.send(60, "a" * 16)) is AttemptOutcome.RETURNED and 60 in transport.active
     )
-    recorder.list({60: box.address}, whole=False, state=EndpointState.GONE)
+    recorder.list({60: stand_in.address}, whole=False, state=EndpointState.GONE)
     for _ in range(50):
         await asyncio.sleep(0.01)
     assert set(transport.active) <= {1}
