--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -137,7 +137,7 @@
 
     # The methods that every transport has.
 
-    def kept(self, server):
+    def create_state(self, server):
         """Return the transport's state for one server."""
         authority = "{}:{}".format(*server.address).encode()
         return ServerState(ConnectionPool(self.limits, server.id, self.instance), authority)
@@ -150,7 +150,7 @@
         """Return whether a connection that is still up was established at or after `since`."""
         return any(c.up and c.up_since >= since for c in server.held.connections.values())
 
-    def moved(self, server):
+    def address_changed(self, server):
         """Use the new address for new connections; those to the former address stay in use."""
         server.held.authority = "{}:{}".format(*server.address).encode()
 
--- a/sprucegate/upstream/lines/codec.py
+++ b/sprucegate/upstream/lines/codec.py
@@ -135,7 +135,7 @@
                     if len(buffer) - start > LINE_MAX:
                         raise MalformedAnswerError(f"no line end within {LINE_MAX} bytes")
                     break
-                self.head, start = read_head(bytes(buffer[start:end])), end + 2
+                self.head, start = parse_head(bytes(buffer[start:end])), end + 2
             length = self.head[3]
             if len(buffer) - start < length + 2:
                 break
@@ -146,7 +146,7 @@
         del buffer[:start]
 
 
-def read_head(line):
+def parse_head(line):
     """Return the head of an answer: id, status, fields and length of the body; raise MalformedAnswerError."""
     parts = line.split(b" ")
     if len(parts) != 4 or not parts[3].isdigit() or int(parts[3]) > BODY_MAX:
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -41,7 +41,7 @@
         self.stall_checks = deque()  # (when due, connection): connections with a partly received answer
         self.idle_connections = OrderedDict()  # established ones without attempts, the longest idle first
 
-    def kept(self, server):
+    def create_state(self, server):
         """Return the transport's state for one server: a list of its connections."""
         return []
 
@@ -53,7 +53,7 @@
         """Return whether a connection that is still up was established at or after `since`."""
         return any(c.up and c.up_since >= since for c in server.held)
 
-    def moved(self, server):
+    def address_changed(self, server):
         """Do nothing: connections to the former address stay in use, new ones go to the new address."""
 
     def leave(self, server):
--- a/sprucegate/upstream/place.py
+++ b/sprucegate/upstream/place.py
@@ -18,7 +18,7 @@
         self.name = name
         self.address = address
         self.transport = transport
-        self.held = transport.kept(self)
+        self.held = transport.create_state(self)
         self.gone = False
 
 
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -1,9 +1,9 @@
 """Upstream servers by id: each attempt goes to the transport of the protocol that its server speaks.
 
-Every transport has the same methods: `kept` (creates its state for a server), `open_connections`, `came_up`, `warm`,
-`forward`, `withdraw`, `cancel`, `moved`, `leave`, `sweep`, `due`, `next_due`, `oldest_idle`, `stop`. It reports the end
-of an attempt to the driver's `ended`: the outcome, the cache status, the time that the server waited for the source
-of a fill (ns) and the server's load report. The outcome tells how much of the attempt was executed.
+Every transport has the same methods: `create_state`, `open_connections`, `came_up`, `warm`, `forward`, `withdraw`,
+`cancel`, `address_changed`, `leave`, `sweep`, `due`, `next_due`, `oldest_idle`, `stop`. It reports the end of an
+attempt to the driver's `ended`: the outcome, the cache status, the time that the server waited for the source of a fill
+(ns) and the server's load report. The outcome also tells whether the attempt may have been executed.
 """
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
@@ -54,7 +54,7 @@
                 server.gone = False  # it may have been removed and listed again
                 if address and (host, int(port)) != server.address:
                     server.address = host, int(port)
-                    server.transport.moved(server)
+                    server.transport.address_changed(server)
         if endpoint_list.whole:
             for server in [
                 server for server_id, server in self.places.items() if server_id not in endpoint_list.names
