--- a/sprucegate/upstream/http2/limits.py
+++ b/sprucegate/upstream/http2/limits.py
@@ -30,21 +30,15 @@
 
     connections: number(1, 64) = 4  # to one server that accept streams; one more while one is being replaced
     streams: number(1, 10_000) = 100  # open on one connection; the peer's own limit applies as well
-    open_above: Share = (
-        0.5  # share of its streams in use on the least full connection above which another is opened
-    )
+    open_above: Share = 0.5  # another is opened when even the least full one uses this share of its streams
     waiting: number(0, 10_000) = 200  # attempts that wait for a stream to one server
     wait: time(MS, 10 * S) = 300 * MS  # how long an attempt waits for a stream
-    connect: time(MS, 30 * S) = (
-        400 * MS
-    )  # until the peer's SETTINGS arrive, and again until it acknowledges ours
+    connect: time(MS, 30 * S) = 400 * MS  # until the peer's SETTINGS arrive, and again until it acks ours
     idle: time(100 * MS, 3600 * S) = 14 * S
     age: time(S, 30 * 86_400 * S) = 600 * S  # after which a connection is replaced
     age_spread: Share = 0.2  # connections are replaced earlier by up to this share of `age`
     ids: number(10, 1 << 29) = 1 << 29  # streams opened on one connection before it is replaced
-    ping_after: time(10 * MS, 60 * S) = (
-        500 * MS
-    )  # time without received data on a connection with open streams
+    ping_after: time(10 * MS, 60 * S) = 500 * MS  # nothing received while streams are open
     ping_wait: time(10 * MS, 60 * S) = 500 * MS  # until the answer to a PING
     stalled: time(10 * MS, 60 * S) = 300 * MS  # time without data on a partly received response
     reconnect_first: time(MS, 60 * S) = 50 * MS  # back-off after the first failure; it doubles with each
--- a/sprucegate/upstream/http2/pool.py
+++ b/sprucegate/upstream/http2/pool.py
@@ -68,7 +68,7 @@
 class Connection:
     """What the pool knows of one connection.
 
-    :ivar number: its number, which actions bear
+    :ivar number: its number, by which actions refer to it
     :ivar phase: its ConnectionPhase
     :ivar limit: the peer's limit on concurrent streams
     :ivar open: number of open streams
@@ -218,7 +218,7 @@
     def goaway(self, number, graceful, now):
         """A GOAWAY arrived, the first or a further one: no new streams there.
 
-        `graceful` is False if it bears an error code.
+        `graceful` is False if its error code is not NO_ERROR.
         """
         connection = self.connections[number]
         if connection.phase is ConnectionPhase.DRAINING:
--- a/sprucegate/upstream/http2/session.py
+++ b/sprucegate/upstream/http2/session.py
@@ -1,8 +1,8 @@
 """One HTTP/2 connection without I/O: h2 behind the frame guard, its streams, and how much of each request was sent.
 
-Received bytes and the time (ns) give events as values; bytes to send collect in `outgoing`, and `bytes_sent` is told
-how many of them the socket took. A connection error is a value too (`fault`): the caller then sends what is left,
-closes the connection and determines the outcome of each stream.
+`receive` turns received bytes into events; bytes to send collect in `outgoing`, and the caller reports by `bytes_sent`
+how many of them the socket took. Times are passed in (ns). A connection error is a value too (`fault`): the caller then
+sends what is left, closes the connection and determines the outcome of each stream.
 """
 
 from typing import NamedTuple
@@ -99,7 +99,7 @@
 
     :ivar id: the stream id
     :ivar request: the caller's handle of the request
-    :ivar cached_only: whether the request bears only-if-cached
+    :ivar cached_only: whether the request has the directive only-if-cached
     :ivar head_start: position of its header block among all bytes to send
     :ivar head_end: position of the end of its header block
     :ivar unsent_body: the part of the request's body that was not handed to h2 yet
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -77,7 +77,7 @@
             )
             return
         # A later attempt of this request must not use the same connection: a late answer, or a duplicate of one,
-        # would bear the same id.
+        # would have the same id.
         get.left_on.append(connection)
         self.idle_connections.pop(connection, None)
         attempt.connection = connection
