--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -68,7 +68,7 @@
     bad = sum(recorder.ends[out][0] is not AttemptOutcome.RETURNED for out in recorder.ends)
     for one in ends:
         latencies.record_value(int(one * 1e6))
-    place = recorder.servers.places[1]
+    place = recorder.servers.by_id[1]
     used = len(place.held) if speaks == "lines" else len(place.held.connections)
     recorder.servers.stop()
     worst = latencies.get_value_at_percentile(99) / 1000
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -90,7 +90,7 @@
         log("stopped", **driver.book.taken())
         return 0 if stop.is_set() else 1
     now = driver.clock()
-    driver.servers.warm_up(driver.router.endpoints_to_connect(driver.servers.most), now)
+    driver.servers.warm_up(driver.router.endpoints_to_connect(driver.servers.max_connections), now)
     subscription = Subscription(driver, wanted)
     subscription.start()
     loop.add_signal_handler(signal.SIGHUP, reload, subscription, wanted, log)
@@ -103,7 +103,7 @@
         if not listed:
             await driver.membership.start()
     driver.ready = True
-    log("ready", listen="{}:{}".format(*wanted.listen), caches=len(driver.servers.places), last=wanted.offset)
+    log("ready", listen="{}:{}".format(*wanted.listen), caches=len(driver.servers.by_id), last=wanted.offset)
     await stop.wait()
     if driver.fleet is not None:
         driver.fleet.leave()
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -127,7 +127,7 @@
 
     def _place(self, box, rows):
         row = rows.get(box)
-        return self.driver.servers.places.get(row.server.entry.id) if row is not None else None
+        return self.driver.servers.by_id.get(row.server.entry.id) if row is not None else None
 
     @property
     def drained(self):
@@ -145,7 +145,7 @@
 
     def forwarded(self, cache, outcome, found, took, objective):
         """One forward's end at a box, for the gates of releases."""
-        place = self.driver.servers.places.get(cache)
+        place = self.driver.servers.by_id.get(cache)
         if place is None or outcome is AttemptOutcome.CANCELLED:
             return
         if outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT):
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -106,7 +106,7 @@
         kinds = {value: name for name, value in self.driver.wanted.kinds.items()}
         slots = {}
         for source in [*router.group("parent"), *router.group("origin")]:
-            server = self.driver.servers.places.get(source.id)
+            server = self.driver.servers.by_id.get(source.id)
             name = server.name if server is not None else ""
             count = self.node.counts.get(name) or self.node.counts.get(kinds.get(source.entry.kind, ""))
             if count:
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -140,7 +140,7 @@
         names = [
             place.name if place is not None else f"{at:x}"
             for at in (forward.cache, forward.fill_source)
-            for place in [self.servers.places.get(at)]
+            for place in [self.servers.by_id.get(at)]
         ]
         return (
             f"to {names[0]}"
@@ -240,7 +240,7 @@
 
     def apply(self, hosts):
         """A list as it now holds: from the bus alone, or merged from all sources."""
-        self.servers.listed(hosts)
+        self.servers.apply_endpoints(hosts)
         self.router.update_endpoints(hosts.entries, hosts.whole, self.clock())
         serves = {entry.id for entry in hosts.entries if entry.state is EndpointState.SERVING}
         named = hosts.names.keys()
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -174,7 +174,7 @@
         pending = attempt.connection
         if pending is None or pending.connection is not None:
             return False
-        server = self.servers.places.get(pending.action.cache)
+        server = self.servers.by_id.get(pending.action.cache)
         return server is not None and server.held.pool.withdraw(pending)
 
     def cancel(self, attempt, timed_out=False):
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -166,8 +166,8 @@
             best = self._least_busy(server, get, now)
         servers = self.servers
         # One connection per server is kept in reserve, up to half of the bound over all servers.
-        reserved = min(len(servers.places), servers.most // 2)
-        full = len(server.held) >= CONNECTIONS or servers.connections >= servers.most - reserved
+        reserved = min(len(servers.by_id), servers.max_connections // 2)
+        full = len(server.held) >= CONNECTIONS or servers.connections >= servers.max_connections - reserved
         # A partly received answer that nobody waits for may never be completed: its connection would then be closed
         # as stalled, with all attempts on it.
         if best is not None and (not best.attempts and not best.reader.has_partial_answer() or full):
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -14,15 +14,15 @@
 class UpstreamServers:
     """The servers of the endpoint list, and the transports by which they are reached."""
 
-    def __init__(self, driver, pool, settings, most, server_config=None):
-        """`most` bounds the connections to all servers.
+    def __init__(self, driver, pool, settings, max_connections, server_config=None):
+        """`max_connections` bounds the connections to all servers together.
 
         `server_config` is the `servers` node of the operator's file; without it all servers speak the line protocol.
         """
         self.driver = driver
-        self.most = most
+        self.max_connections = max_connections
         self.connections = 0
-        self.places = {}  # id -> UpstreamServer
+        self.by_id = {}  # id -> UpstreamServer
         self.server_config = server_config
         self.transports = {"lines": LineTransport(self, driver, pool, settings)}
         if server_config is not None and server_config.speaks("http2"):
@@ -31,12 +31,12 @@
 
             self.transports["http2"] = Http2Transport(self, driver, pool, settings, server_config.http2)
 
-    def listed(self, endpoint_list):
+    def apply_endpoints(self, endpoint_list):
         """Apply an endpoint list."""
         for entry in endpoint_list.entries:
             name, address = endpoint_list.names[entry.id]
             host, _, port = address.rpartition(":")
-            server = self.places.get(entry.id)
+            server = self.by_id.get(entry.id)
             gone = entry.state is EndpointState.GONE
             if server is None:
                 if not gone:
@@ -45,7 +45,7 @@
                         if self.server_config
                         else "lines"
                     )
-                    self.places[entry.id] = UpstreamServer(
+                    self.by_id[entry.id] = UpstreamServer(
                         entry.id, name, (host, int(port)), self.transports[protocol]
                     )
             elif gone:
@@ -57,7 +57,7 @@
                     server.transport.address_changed(server)
         if endpoint_list.whole:
             for server in [
-                server for server_id, server in self.places.items() if server_id not in endpoint_list.names
+                server for server_id, server in self.by_id.items() if server_id not in endpoint_list.names
             ]:
                 self.remove(server)
 
@@ -73,15 +73,15 @@
         if (
             server.gone
             and not server.transport.open_connections(server)
-            and self.places.get(server.id) is server
+            and self.by_id.get(server.id) is server
         ):
-            del self.places[server.id]
+            del self.by_id[server.id]
 
     def warm_up(self, server_ids, now):
         """Connect to these servers ahead of the first request."""
         for server_id in server_ids:
-            if server_id in self.places:
-                self.warm(self.places[server_id], now)
+            if server_id in self.by_id:
+                self.warm(self.by_id[server_id], now)
 
     def warm(self, server, now):
         """Connect to a server ahead of its first attempt."""
@@ -92,13 +92,13 @@
 
         Its end is reported from a later turn of the event loop, never from within this call.
         """
-        server = self.places.get(action.cache)
+        server = self.by_id.get(action.cache)
         if server is None:  # the attempt says nothing about the cache
             self.driver.loop.call_soon(
                 self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return
-        source = self.places.get(action.fill_source) if action.fill_source != action.cache else None
+        source = self.by_id.get(action.fill_source) if action.fill_source != action.cache else None
         attempt.transport = server.transport
         server.transport.forward(server, attempt, action, source and source.name)
 
@@ -116,7 +116,7 @@
 
     def make_room(self):
         """Return whether another connection may be opened; at the bound, close the one idle for longest."""
-        if self.connections < self.most:
+        if self.connections < self.max_connections:
             return True
         idle = [
             found for transport in self.transports.values() if (found := transport.oldest_idle()) is not None
--- a/standins/driver.py
+++ b/standins/driver.py
@@ -32,7 +32,7 @@
 
     def list(self, addresses, whole=True, state=EndpointState.SERVING):
         entries = [Endpoint(at, 0, 0, 0, state, 1.0, 0) for at in addresses]
-        self.servers.listed(
+        self.servers.apply_endpoints(
             EndpointList(whole, entries, {at: (f"s-{at:02x}", a) for at, a in addresses.items()})
         )
 
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -501,7 +501,7 @@
     )
     agent.driver = SimpleNamespace(
         clock=lambda: 20,
-        servers=SimpleNamespace(places={1: place}, warm=lambda *_: None),
+        servers=SimpleNamespace(by_id={1: place}, warm=lambda *_: None),
         router=SimpleNamespace(settings=RoutingSettings()),
     )
     agent.merged, agent.members = SimpleNamespace(view=SimpleNamespace(generation=1)), dict
--- a/tests/upstream/test_http2_transport.py
+++ b/tests/upstream/test_http2_transport.py
@@ -192,7 +192,7 @@
     await asyncio.to_thread(stand_in.do, lambda: run_all(peer, [request]) or True)
     # The open attempt to the removed server is still answered.
     assert await recorder.end(attempt) is AttemptOutcome.RETURNED
-    while 1 in recorder.servers.places:
+    while 1 in recorder.servers.by_id:
         await asyncio.sleep(0.005)
     assert len(stand_in.server.peers) <= 1 or recorder.servers.connections == 1
 
@@ -215,7 +215,7 @@
     assert recorder.servers.cancel(attempt) is None  # it may have run
     while stand_in.server.cancelled != ["a" * 16]:
         await asyncio.sleep(0.005)
-    pool = recorder.servers.places[1].held.pool
+    pool = recorder.servers.by_id[1].held.pool
     assert [at.open for at in pool.connections.values()] == [0]
     peer, request = pending[0]
     # A late response, which is ignored.
@@ -297,7 +297,7 @@
     )
     attempts = [recorder.send(1, f"{n:016x}", b"b" * 48_000, 400_000_000) for n in range(250)]
     await asyncio.sleep(0.1)
-    (connection,) = recorder.servers.places[1].held.connections.values()
+    (connection,) = recorder.servers.by_id[1].held.connections.values()
     assert len(connection.session.outgoing) < 300_000
     for attempt in attempts:
         recorder.servers.cancel(attempt, timed_out=True)
@@ -317,7 +317,7 @@
 async def test_a_server_that_is_removed_and_listed_again_is_used(recorder, stand_in):
     assert await recorder.end(recorder.send(1, "a" * 16)) is AttemptOutcome.RETURNED
     recorder.list({1: stand_in.address}, whole=False, state=EndpointState.GONE)
-    while 1 in recorder.servers.places:
+    while 1 in recorder.servers.by_id:
         await asyncio.sleep(0.005)
     assert await recorder.end(recorder.send(1, "b" * 16)) is AttemptOutcome.NOT_SENT
     recorder.list({1: stand_in.address}, whole=False)
