--- a/benchmarks/http2.py
+++ b/benchmarks/http2.py
@@ -69,7 +69,7 @@
     for one in ends:
         latencies.record_value(int(one * 1e6))
     place = recorder.servers.by_id[1]
-    used = len(place.held) if speaks == "lines" else len(place.held.connections)
+    used = len(place.transport_state) if speaks == "lines" else len(place.transport_state.connections)
     recorder.servers.stop()
     worst = latencies.get_value_at_percentile(99) / 1000
     return {
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -120,7 +120,7 @@
                 place = self._place(permit.box, rows)
                 if place is not None:
                     self.missed.pop(permit.box, None)
-                    place.transport.leave(place)  # what was open to the former start says nothing of this one
+                    place.transport.drain(place)  # what was open to the former start says nothing of this one
                     self.driver.servers.warm(place, now)
         open_now = machine.permits.of_box
         self.cold = {box: one for box, one in self.cold.items() if box in open_now}
@@ -202,7 +202,7 @@
         else:
             need = router.settings.warm_time
         answered = self.counts.get(box, [0])[0] > seen[2]
-        if not answered and not place.transport.came_up(place, seen[1]):
+        if not answered and not place.transport.connected_since(place, seen[1]):
             # No GET came that way: a connection says as much, once it is made. One that is being made, or was made to
             # the start before, made a front call a box warm that had never come back.
             self.driver.servers.warm(place, now)
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -144,30 +144,30 @@
 
     def open_connections(self, server):
         """Return the number of connections to a server."""
-        return len(server.held.connections)
+        return len(server.transport_state.connections)
 
-    def came_up(self, server, since):
+    def connected_since(self, server, since):
         """Return whether a connection that is still up was established at or after `since`."""
-        return any(c.up and c.up_since >= since for c in server.held.connections.values())
+        return any(c.up and c.up_since >= since for c in server.transport_state.connections.values())
 
     def address_changed(self, server):
         """Use the new address for new connections; those to the former address stay in use."""
-        server.held.authority = "{}:{}".format(*server.address).encode()
+        server.transport_state.authority = "{}:{}".format(*server.address).encode()
 
     def warm(self, server, now):
         """Connect to a server ahead of its first attempt."""
-        server.held.pool.restore()
-        self._perform(server, server.held.pool.warm(now))
+        server.transport_state.pool.restore()
+        self._perform(server, server.transport_state.pool.warm(now))
 
-    def leave(self, server):
+    def drain(self, server):
         """Close the idle connections to a server that was removed, and the others once their streams have ended."""
-        self._perform(server, server.held.pool.remove(self.driver.clock()))
+        self._perform(server, server.transport_state.pool.remove(self.driver.clock()))
 
     def forward(self, server, attempt, action, source):
         """Send an attempt; its end is reported to the driver."""
-        server.held.pool.restore()
+        server.transport_state.pool.restore()
         attempt.connection = pending = PendingAttempt(attempt, action, source)
-        self._perform(server, server.held.pool.request_stream(pending, attempt.at))
+        self._perform(server, server.transport_state.pool.request_stream(pending, attempt.at))
 
     def withdraw(self, attempt):
         """Withdraw an attempt that still waits for a stream; return whether that was possible."""
@@ -175,7 +175,7 @@
         if pending is None or pending.connection is not None:
             return False
         server = self.servers.by_id.get(pending.action.cache)
-        return server is not None and server.held.pool.withdraw(pending)
+        return server is not None and server.transport_state.pool.withdraw(pending)
 
     def cancel(self, attempt, timed_out=False):
         """Cancel an attempt: reset its stream with CANCEL.
@@ -192,7 +192,9 @@
             self._schedule_flush(connection)
             self._perform(
                 connection.server,
-                connection.server.held.pool.stream_ended(connection.number, False, self.driver.clock()),
+                connection.server.transport_state.pool.stream_ended(
+                    connection.number, False, self.driver.clock()
+                ),
             )
         return None
 
@@ -211,22 +213,22 @@
         found = [
             (connection.last_used, server, number)
             for server in self._active_servers()
-            for number, connection in server.held.pool.connections.items()
+            for number, connection in server.transport_state.pool.connections.items()
             if not connection.open
-            and number in server.held.connections
-            and server.held.connections[number].up
+            and number in server.transport_state.connections
+            and server.transport_state.connections[number].up
         ]
         if not found:
             return None
         last_used, server, number = min(found, key=lambda entry: entry[0])
         return last_used, lambda: self.close(
-            server.held.connections[number], "closed to make room for another connection"
+            server.transport_state.connections[number], "closed to make room for another connection"
         )
 
     def stop(self):
         """Close all connections, each with a GOAWAY; what is still open is given up."""
         for server in self._active_servers():
-            for connection in list(server.held.connections.values()):
+            for connection in list(server.transport_state.connections.values()):
                 self.close(connection, "stopping")
         if self.timer is not None:
             self.timer.cancel()
@@ -254,21 +256,22 @@
                         {},
                     )
                 case SendPing():
-                    connection = server.held.connections[action.connection]
+                    connection = server.transport_state.connections[action.connection]
                     connection.session.ping()
                     self._schedule_flush(connection)
                 case CloseConnection():
-                    if (connection := server.held.connections.get(action.connection)) is not None:
+                    if (connection := server.transport_state.connections.get(action.connection)) is not None:
                         # Deferred, as the caller may be processing events of this connection.
                         self.loop.call_soon(self.close, connection, action.why)
         self._arm(server)
 
     def _send(self, server, action):
-        pending, connection = action.attempt, server.held.connections[action.connection]
+        pending, connection = action.attempt, server.transport_state.connections[action.connection]
         attempt = pending.attempt
         if attempt.ended:  # cancelled in the same turn of the event loop
             return self._perform(
-                server, server.held.pool.stream_ended(action.connection, False, self.driver.clock())
+                server,
+                server.transport_state.pool.stream_ended(action.connection, False, self.driver.clock()),
             )
         time_left = self.driver.sending.time_left(attempt, self.driver.clock())
         if time_left is None:
@@ -276,10 +279,11 @@
                 self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return self._perform(
-                server, server.held.pool.stream_ended(action.connection, False, self.driver.clock())
+                server,
+                server.transport_state.pool.stream_ended(action.connection, False, self.driver.clock()),
             )
         fields = mapping.request_fields(
-            server.held.authority, attempt.get, pending.action, pending.source, time_left
+            server.transport_state.authority, attempt.get, pending.action, pending.source, time_left
         )
         stream = connection.session.send_request(
             pending, fields, attempt.get.body, mapping.only_if_cached(pending.action)
@@ -289,7 +293,8 @@
                 self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return self._perform(
-                server, server.held.pool.stream_ended(action.connection, False, self.driver.clock())
+                server,
+                server.transport_state.pool.stream_ended(action.connection, False, self.driver.clock()),
             )
         pending.connection = connection
         pending.stream = stream
@@ -299,7 +304,7 @@
 
     def _open(self, server, number):
         session = Http2Session(self.limits.held, self.driver.clock())
-        connection = server.held.connections[number] = Http2Connection(server, number, session)
+        connection = server.transport_state.connections[number] = Http2Connection(server, number, session)
         if not self.servers.make_room():
             connection.lacks_resources = True  # it says nothing about the server
             self.loop.call_soon(self._ended, connection, "limit on connections reached")
@@ -343,7 +348,7 @@
         If it happens twice in a row, the server resets connections at once.
         """
         unconnected = isinstance(fault, OSError) and fault.errno == errno.ENOTCONN
-        return unconnected and not connection.server.held.pool.lacks_resources
+        return unconnected and not connection.server.transport_state.pool.lacks_resources
 
     def _check_ready(self, connection):
         if not connection.closed and not connection.session.ready:
@@ -368,7 +373,7 @@
             self.buffers.give_back(buffer)
 
     def _on_bytes(self, connection, data):
-        now, pool, session = self.driver.clock(), connection.server.held.pool, connection.session
+        now, pool, session = self.driver.clock(), connection.server.transport_state.pool, connection.session
         if connection.number in pool.connections:
             pool.bytes_received(connection.number, now)
         for event in session.receive(data, now):
@@ -426,7 +431,7 @@
                     self._report(stream.request.attempt, evidence.ABOVE_GOAWAY, now)
 
     def _free_stream(self, connection, answered, now):
-        pool = connection.server.held.pool
+        pool = connection.server.transport_state.pool
         if connection.number in pool.connections:
             self._perform(connection.server, pool.stream_ended(connection.number, answered, now))
 
@@ -473,12 +478,12 @@
                 self.loop.remove_writer(connection.sock)
         if (
             session.is_write_blocked() is not connection.blocked
-            and connection.number in connection.server.held.pool.connections
+            and connection.number in connection.server.transport_state.pool.connections
         ):
             connection.blocked = not connection.blocked
             self._perform(
                 connection.server,
-                connection.server.held.pool.set_blocked(
+                connection.server.transport_state.pool.set_blocked(
                     connection.number, connection.blocked, self.driver.clock()
                 ),
             )
@@ -517,7 +522,7 @@
             connection.connect_task.cancel()
         elif sock is not None:
             sock.close()
-        server.held.connections.pop(connection.number, None)
+        server.transport_state.connections.pop(connection.number, None)
         self.servers.connections -= 1
         streams = list(session.streams.values())
         if streams or not session.ready and why != "stopping":
@@ -527,8 +532,8 @@
                 forwards=len(streams),
                 why=why,
             )
-        if connection.number in server.held.pool.connections:
-            pool, reached = server.held.pool, connection.up or connection.reachable
+        if connection.number in server.transport_state.pool.connections:
+            pool, reached = server.transport_state.pool, connection.up or connection.reachable
             self._perform(
                 server,
                 pool.connect_lacked_resources(connection.number, now)
@@ -572,8 +577,8 @@
             self._arm_stall_check(connection)
 
     def _arm(self, server):
-        due = server.held.pool.next_due()
-        if due is None and not server.held.connections:
+        due = server.transport_state.pool.next_due()
+        if due is None and not server.transport_state.connections:
             self.active.pop(server.id, None)
         elif due is not None and (self.timer_due is None or due < self.timer_due):
             self._arm_at(due, self.driver.clock())
@@ -588,7 +593,7 @@
         self.timer_due = self.timer = None
         now = self.driver.clock()
         for server in self._active_servers():
-            if (due := server.held.pool.next_due()) is not None and due <= now:
-                self._perform(server, server.held.pool.due(now))
+            if (due := server.transport_state.pool.next_due()) is not None and due <= now:
+                self._perform(server, server.transport_state.pool.due(now))
             else:
                 self._arm(server)
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -47,24 +47,24 @@
 
     def open_connections(self, server):
         """Return the number of connections to a server."""
-        return len(server.held)
+        return len(server.transport_state)
 
-    def came_up(self, server, since):
+    def connected_since(self, server, since):
         """Return whether a connection that is still up was established at or after `since`."""
-        return any(c.up and c.up_since >= since for c in server.held)
+        return any(c.up and c.up_since >= since for c in server.transport_state)
 
     def address_changed(self, server):
         """Do nothing: connections to the former address stay in use, new ones go to the new address."""
 
-    def leave(self, server):
+    def drain(self, server):
         """Close the idle connections to a server that was removed."""
-        for connection in list(server.held):
+        for connection in list(server.transport_state):
             if not connection.attempts:
                 self.close(connection)
 
     def warm(self, server, now):
         """Connect to a server ahead of its first attempt."""
-        if not server.held:
+        if not server.transport_state:
             self._connect(server, now)
 
     def forward(self, server, attempt, action, source):
@@ -128,7 +128,7 @@
 
     def _least_busy(self, server, get, now):
         best = None
-        for connection in list(server.held):
+        for connection in list(server.transport_state):
             if not connection.attempts and connection.up and now - connection.last_used > self.idle_timeout:
                 self.close(connection)
             elif connection in get.left_on or len(connection.attempts) >= self.attempts_max:
@@ -167,7 +167,10 @@
         servers = self.servers
         # One connection per server is kept in reserve, up to half of the bound over all servers.
         reserved = min(len(servers.by_id), servers.max_connections // 2)
-        full = len(server.held) >= CONNECTIONS or servers.connections >= servers.max_connections - reserved
+        full = (
+            len(server.transport_state) >= CONNECTIONS
+            or servers.connections >= servers.max_connections - reserved
+        )
         # A partly received answer that nobody waits for may never be completed: its connection would then be closed
         # as stalled, with all attempts on it.
         if best is not None and (not best.attempts and not best.reader.has_partial_answer() or full):
@@ -187,7 +190,7 @@
 
     def _connect(self, server, now):
         connection = LineConnection(server, now)
-        server.held.append(connection)
+        server.transport_state.append(connection)
         self.servers.connections += 1
         connection.connect_task = self.loop.create_task(self._establish(connection))
         return connection
@@ -285,7 +288,7 @@
             connection.reachable = (
                 isinstance(fault, ConnectionResetError)
                 or is_local(fault)
-                or any(other.up for other in connection.server.held)
+                or any(other.up for other in connection.server.transport_state)
             )
             self.close(connection)
         if connection.closed:
@@ -331,7 +334,7 @@
         connection.closed = True
         connection.up = False
         self.idle_connections.pop(connection, None)
-        connection.server.held.remove(connection)
+        connection.server.transport_state.remove(connection)
         self.servers.connections -= 1
         if was_up:
             self.loop.remove_reader(sock)
--- a/sprucegate/upstream/place.py
+++ b/sprucegate/upstream/place.py
@@ -7,18 +7,18 @@
     """A cache, parent or origin. Identified by its id, as a new server may take over the address of a removed one.
 
     :ivar transport: the transport by which it is reached
-    :ivar held: that transport's state for it
+    :ivar transport_state: that transport's state for it
     :ivar gone: it was removed from the endpoint list
     """
 
-    __slots__ = ("id", "name", "address", "transport", "held", "gone")
+    __slots__ = ("id", "name", "address", "transport", "transport_state", "gone")
 
     def __init__(self, number, name, address, transport):
         self.id = number
         self.name = name
         self.address = address
         self.transport = transport
-        self.held = transport.create_state(self)
+        self.transport_state = transport.create_state(self)
         self.gone = False
 
 
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -1,9 +1,9 @@
 """Upstream servers by id: each attempt goes to the transport of the protocol that its server speaks.
 
-Every transport has the same methods: `create_state`, `open_connections`, `came_up`, `warm`, `forward`, `withdraw`,
-`cancel`, `address_changed`, `leave`, `sweep`, `due`, `next_due`, `oldest_idle`, `stop`. It reports the end of an
-attempt to the driver's `ended`: the outcome, the cache status, the time that the server waited for the source of a fill
-(ns) and the server's load report. The outcome also tells whether the attempt may have been executed.
+Every transport has the same methods: `create_state`, `open_connections`, `connected_since`, `warm`, `forward`,
+`withdraw`, `cancel`, `address_changed`, `drain`, `sweep`, `due`, `next_due`, `oldest_idle`, `stop`. It reports the end
+of an attempt to the driver's `ended`: the outcome, the cache status, the time that the server waited for the source of
+a fill (ns) and the server's load report. The outcome also tells whether the attempt may have been executed.
 """
 
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
@@ -65,7 +65,7 @@
         """Remove a server that is no longer listed."""
         # Attempts that are open there may still be answered: only idle connections are closed at once.
         server.gone = True
-        server.transport.leave(server)
+        server.transport.drain(server)
         self.drop_if_unused(server)
 
     def drop_if_unused(self, server):
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -478,13 +478,13 @@
     def __init__(self, connected_at=None):
         self.connected_at = connected_at
 
-    def came_up(self, place, since):
+    def connected_since(self, place, since):
         return self.connected_at is not None and self.connected_at >= since
 
     def warm(self, place, now):
         pass
 
-    leave = open_connections = warm
+    drain = open_connections = warm
 
 
 @pytest.mark.parametrize("connected_at, warm", [(None, False), (5, False), (15, True)])
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -476,7 +476,7 @@
     first = made.send(1, "a" * 16)
     sock, _ = await loop.sock_accept(listener)
     assert await answered(made, sock, first) is AttemptOutcome.RETURNED
-    (held,) = made.servers.by_id[1].held
+    (held,) = made.servers.by_id[1].transport_state
     return loop, listener, made, sock, held
 
 
@@ -531,7 +531,7 @@
         first = made.send(1, "a" * 16)
         sock, _ = await loop.sock_accept(listener)
         assert b"a" * 16 in await loop.sock_recv(sock, 4096)
-        (held,) = made.servers.by_id[1].held
+        (held,) = made.servers.by_id[1].transport_state
         await loop.sock_sendall(sock, served(b"f" * 16, {}))  # it lives: a time-out there does not end it
         while held.answered < first.at:
             await asyncio.sleep(0)
--- a/tests/upstream/test_http2_transport.py
+++ b/tests/upstream/test_http2_transport.py
@@ -215,7 +215,7 @@
     assert recorder.servers.cancel(attempt) is None  # it may have run
     while stand_in.server.cancelled != ["a" * 16]:
         await asyncio.sleep(0.005)
-    pool = recorder.servers.by_id[1].held.pool
+    pool = recorder.servers.by_id[1].transport_state.pool
     assert [at.open for at in pool.connections.values()] == [0]
     peer, request = pending[0]
     # A late response, which is ignored.
@@ -297,7 +297,7 @@
     )
     attempts = [recorder.send(1, f"{n:016x}", b"b" * 48_000, 400_000_000) for n in range(250)]
     await asyncio.sleep(0.1)
-    (connection,) = recorder.servers.by_id[1].held.connections.values()
+    (connection,) = recorder.servers.by_id[1].transport_state.connections.values()
     assert len(connection.session.outgoing) < 300_000
     for attempt in attempts:
         recorder.servers.cancel(attempt, timed_out=True)
