--- a/sprucegate/front/client_connections.py
+++ b/sprucegate/front/client_connections.py
@@ -6,7 +6,7 @@
 
 from sprucegate.errors import SprucegateError
 from sprucegate.front.protocol.http import RequestReader
-from sprucegate.upstream.sockets import ended
+from sprucegate.upstream.sockets import peer_has_closed
 
 
 class ConnectionState(Enum):
@@ -116,7 +116,7 @@
 
     def peer_has_closed(self):
         """Return whether the client has closed, even where the event loop has not reported that yet."""
-        return ended(self.sock)
+        return peer_has_closed(self.sock)
 
     def accepts_requests(self):
         """Return whether bytes that arrive may still become a request."""
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from sprucegate.front.client_connections import ClientConnection, ConnectionState
-from sprucegate.upstream.sockets import receive_into, set_no_delay, waited
+from sprucegate.upstream.sockets import receive_into, set_no_delay, time_since_last_data
 
 TURN = 3  # requests begun in one turn of the loop
 LOOKS = 16  # connections looked at for one that may give way to a new one
@@ -162,7 +162,7 @@
     def _fed(self, client, data):
         now, begun = self.driver.clock(), client.reader.begun
         requests = client.reader.feed(data)
-        came = now - waited(client.sock) if requests else now
+        came = now - time_since_last_data(client.sock) if requests else now
         if client.reader.begun and not begun and client.asked and client.state is ConnectionState.IDLE:
             client.since = now  # not moved by later bytes: one that dribbles is bounded too
         for request in requests:
--- a/sprucegate/upstream/sockets.py
+++ b/sprucegate/upstream/sockets.py
@@ -57,7 +57,7 @@
         raise
 
 
-def waited(sock):
+def time_since_last_data(sock):
     """Return the time since a socket last received data (ns): how long the data just read waited in the kernel.
 
     0 if the system does not report it.
@@ -87,7 +87,7 @@
     return True
 
 
-def ended(sock):
+def peer_has_closed(sock):
     """Return whether the peer has closed or reset a connection, even if the event loop has not reported it yet.
 
     Unread bytes before the end of the stream hide it.
