--- a/sprucegate/upstream/lines/codec.py
+++ b/sprucegate/upstream/lines/codec.py
@@ -61,7 +61,7 @@
     body: bytes
 
 
-def serve(get_id, ds, thing, part, action, source, have, body, token="", time_left=None):
+def encode_request(get_id, ds, thing, part, action, source, have, body, token="", time_left=None):
     """Return the line and body that send an attempt.
 
     Limits are rounded down, so that none is wider than decided, but not to 0, which would mean no limit. `time_left` is
@@ -94,7 +94,7 @@
     return b"serve %b %b %d\r\n%b\r\n" % (get_id, fields.encode(), len(body), body)
 
 
-def cancel(get_id):
+def encode_cancel(get_id):
     """Return the line that cancels a request."""
     return b"cancel %b\r\n" % get_id
 
@@ -165,7 +165,7 @@
     return parts[0], parts[1], fields, int(parts[3])
 
 
-def meaning(answer, have):
+def interpret(answer, have):
     """Return (outcome, cache status, time that the server waited for the source of a fill in ns, load report).
 
     `have` is the entity tag of the client's stored response that was sent along, "" for none.
@@ -199,7 +199,7 @@
     return max(0.0, value)
 
 
-def returned(answer):
+def to_response(answer):
     """Return the response that is passed to the client, of an answer whose outcome is RETURNED."""
     made = answer.fields.get("made", "")
     return ServerResponse(
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -121,7 +121,7 @@
         # attempts on it have waited in vain too; after a client's disconnect they may still be answered.
         silent = connection.answered < attempt.at
         if not connection.closed and not silent:
-            self._enqueue(connection, codec.cancel(attempt.get.id), None)
+            self._enqueue(connection, codec.encode_cancel(attempt.get.id), None)
         if not connection.attempts and (silent or connection.server.gone) or silent and timed_out:
             self.loop.call_soon(self.close, connection)
         return None
@@ -245,7 +245,7 @@
     def _encode(attempt, time_left):
         get = attempt.get
         action, source = attempt.said
-        return codec.serve(
+        return codec.encode_request(
             get.id, get.ds, get.thing, get.part, action, source, get.have, get.body, get.token, time_left
         )
 
@@ -373,14 +373,14 @@
         if attempt is None:
             return  # a late answer: the attempt has already ended
         try:
-            outcome, cache_status, fill_wait, load = codec.meaning(answer, attempt.get.have)
+            outcome, cache_status, fill_wait, load = codec.interpret(answer, attempt.get.have)
         except codec.MalformedAnswerError as fault:
             connection.reader.fault = connection.reader.fault or str(fault)
             return
         del connection.attempts[answer.id]
         self._update_idle(connection)
         if outcome is AttemptOutcome.RETURNED:
-            self.driver.returned(attempt, codec.returned(answer))
+            self.driver.returned(attempt, codec.to_response(answer))
         self.driver.ended(attempt, outcome, cache_status, fill_wait, load)
         if connection.server.gone and not connection.attempts:
             self.close(connection)
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -78,7 +78,7 @@
     reader = codec.AnswerReader()
     first, second = reader.feed(ANSWERS[:cut]) + reader.feed(ANSWERS[cut:])
     assert (first.id, first.body, first.fields["etag"]) == (b"aa", b"xxxxx", "t1")
-    assert codec.meaning(second, "") == (
+    assert codec.interpret(second, "") == (
         AttemptOutcome.MISS,
         CacheStatus.FILL_SOURCE_MISS,
         1_500_000,
@@ -118,20 +118,20 @@
 )
 def test_an_answer_without_a_meaning_is_unreadable(word, fields):
     with pytest.raises(codec.MalformedAnswerError):
-        codec.meaning(codec.Answer(b"aa", word, fields, b""), "")
+        codec.interpret(codec.Answer(b"aa", word, fields, b""), "")
 
 
 def test_a_copy_is_current_only_by_its_own_tag():
     said = codec.Answer(b"aa", b"still_good", {"etag": "t1"}, b"")
-    assert codec.meaning(said, "t1")[0] is AttemptOutcome.RETURNED
+    assert codec.interpret(said, "t1")[0] is AttemptOutcome.RETURNED
     with pytest.raises(codec.MalformedAnswerError):
-        codec.meaning(said, "t2")
+        codec.interpret(said, "t2")
 
 
 @pytest.mark.parametrize("oldest, said", [(0, None), (999_999, "1"), (1_999_999, "1"), (2_000_000, "2")])
 def test_an_age_is_never_rounded_up_nor_to_no_limit_at_all(oldest, said):
     forward = SendAttempt(0, 1, 1, 2, oldest, 1_500_999_999, False, True, False, True)
-    line = codec.serve(b"aa", "media", "7f", 3, forward, None, "", b"")
+    line = codec.encode_request(b"aa", "media", "7f", 3, forward, None, "", b"")
     fields = dict(pair.split("=") for pair in line.split()[2].decode().split(","))
     assert fields.get("maxage") == said and fields["max"] == "1500" and fields["flags"] == "h+r"
 
