--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -162,7 +162,7 @@
 
     def returned(self, out, said):
         """The first answer that a server returns goes to the client as it is."""
-        if said.still_good:
+        if said.not_modified:
             self.relay.answer(out.get, 304, headers=tagged(said.tag))
         else:
             self.relay.answer(out.get, 200, said.body, tagged(said.tag))
@@ -176,9 +176,9 @@
         """When a copy was made, at the earliest, on this front's clock; None where that can't be told."""
         if said.age is not None:
             return out.at - said.age
-        self.platform.copy_stamped(said.made, out.cache, now)
+        self.platform.copy_stamped(said.generated_at, out.cache, now)
         self.router.platform_clock_offset = self.platform.least_offset
-        age = self.platform.copy_age(said.made, now) if said.made else None
+        age = self.platform.copy_age(said.generated_at, now) if said.generated_at else None
         return None if age is None else now - age
 
     def left(self, get):
--- a/sprucegate/upstream/lines/connection.py
+++ b/sprucegate/upstream/lines/connection.py
@@ -25,7 +25,7 @@
     :ivar reachable: the failed connect does not show an unreachable server
     :ivar up_since: when it was established (ns)
     :ivar last_read: time of the last bytes from the server (ns)
-    :ivar answered: time of the last complete answer (ns)
+    :ivar last_answer: time of the last complete answer (ns)
     """
 
     __slots__ = (
@@ -43,7 +43,7 @@
         "attempts",
         "last_used",
         "last_read",
-        "answered",
+        "last_answer",
         "stall_check_armed",
         "reachable",
         "up_since",
@@ -67,4 +67,4 @@
         self.reachable = False
         self.up_since = 0
         self.last_read = now
-        self.answered = now
+        self.last_answer = now
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -119,7 +119,7 @@
         # A connection without an answer since this attempt was decided may be out of step after a corrupt answer,
         # and would then serve nothing more if it were kept. After a time-out it is closed at once, since the other
         # attempts on it have waited in vain too; after a client's disconnect they may still be answered.
-        silent = connection.answered < attempt.at
+        silent = connection.last_answer < attempt.at
         if not connection.closed and not silent:
             self._enqueue(connection, codec.encode_cancel(attempt.get.id), None)
         if not connection.attempts and (silent or connection.server.gone) or silent and timed_out:
@@ -368,7 +368,7 @@
             self.driver.ended(attempt, outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
     def _on_answer(self, connection, answer):
-        connection.last_used = connection.answered = connection.last_read
+        connection.last_used = connection.last_answer = connection.last_read
         attempt = connection.attempts.get(answer.id)
         if attempt is None:
             return  # a late answer: the attempt has already ended
--- a/sprucegate/upstream/place.py
+++ b/sprucegate/upstream/place.py
@@ -25,15 +25,15 @@
 class ServerResponse(NamedTuple):
     """A response of a server, the same for all protocols.
 
-    :ivar still_good: the client's stored response is still valid (304), and there is no body
+    :ivar not_modified: the client's stored response is still valid (304), and there is no body
     :ivar tag: the entity tag, without quotes; "" if there is none
-    :ivar made: Unix time at which the origin generated it (ns); 0 if unknown
+    :ivar generated_at: Unix time at which the origin generated it (ns); 0 if unknown
     :ivar body: its content
     :ivar age: its greatest possible age (ns) when it was requested, if the protocol reports ages; else None
     """
 
-    still_good: bool
+    not_modified: bool
     tag: str
-    made: int
+    generated_at: int
     body: bytes
     age: int | None = None
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -533,7 +533,7 @@
         assert b"a" * 16 in await loop.sock_recv(sock, 4096)
         (held,) = made.servers.by_id[1].transport_state
         await loop.sock_sendall(sock, served(b"f" * 16, {}))  # it lives: a time-out there does not end it
-        while held.answered < first.at:
+        while held.last_answer < first.at:
             await asyncio.sleep(0)
         made.list({1: hill.address})  # the cache has moved, and its new address hangs
         assert made.servers.withdraw(made.send(1, "c" * 16))  # whose connection goes on coming up, for nobody
