--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -144,14 +144,14 @@
                 if upstream is not None:
                     self.unreached.pop(permit.box, None)
                     # Connections to the former start prove nothing of this one.
-                    upstream.transport.leave(upstream)
+                    upstream.transport.drain(upstream)
                     self.driver.servers.warm(upstream, now)
         open_permits = machine.permits.open_by_box
         self.cold = {box: one for box, one in self.cold.items() if box in open_permits}
 
     def _upstream(self, box, rows):
         row = rows.get(box)
-        return self.driver.servers.places.get(row.server.entry.id) if row is not None else None
+        return self.driver.servers.by_id.get(row.server.entry.id) if row is not None else None
 
     @property
     def drained_boxes(self):
@@ -169,7 +169,7 @@
 
     def attempt_ended(self, cache, outcome, cache_status, duration, objective):
         """Count an attempt that ended at a box, for the gates of releases."""
-        upstream = self.driver.servers.places.get(cache)
+        upstream = self.driver.servers.by_id.get(cache)
         if upstream is None or outcome is AttemptOutcome.CANCELLED:
             return
         if outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT):
@@ -234,7 +234,7 @@
         else:
             need = router.settings.warm_time
         answered = self.counts.get(box, [0])[0] > seen[2]
-        if not answered and not upstream.transport.came_up(upstream, seen[1]):
+        if not answered and not upstream.transport.connected_since(upstream, seen[1]):
             # No GET was sent to it, but an established connection proves that it answers. A connection still being
             # made, or one made to the former start, does not: by such a one a front reported a box as warm that had
             # never come back.
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -478,13 +478,13 @@
     def __init__(self, connected_at=None):
         self.connected_at = connected_at
 
-    def came_up(self, place, since):
+    def connected_since(self, place, since):
         return self.connected_at is not None and self.connected_at >= since
 
     def warm(self, place, now):
         pass
 
-    leave = open_connections = warm
+    drain = open_connections = warm
 
 
 @pytest.mark.parametrize("connected_at, warm", [(None, False), (5, False), (15, True)])
@@ -501,7 +501,7 @@
     )
     agent.driver = SimpleNamespace(
         clock=lambda: 20,
-        servers=SimpleNamespace(places={1: place}, warm=lambda *_: None),
+        servers=SimpleNamespace(by_id={1: place}, warm=lambda *_: None),
         router=SimpleNamespace(settings=RoutingSettings()),
     )
     agent.merged, agent.members = SimpleNamespace(view=SimpleNamespace(generation=1)), dict
