--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -1,4 +1,4 @@
-"""Membership in a front: the file is watched, lists are loaded elsewhere, changes of the view handed over in pieces."""
+"""Service discovery with a watched list of servers: reloads it on changes and applies them to the driver in batches."""
 
 import asyncio
 import gc
@@ -19,80 +19,113 @@
 from sprucegate.storage.disk import Disk
 from sprucegate.storage.snapshots import SnapshotStore
 
-MANY = 1000  # entries of a change after which the collector is told that they stay
-PIECE = 100  # entries handed over in one turn of the loop
-TURN = 0.001  # seconds between two such turns, so that a GET comes in between
-UNSETTLED = 1.0  # seconds after which a list that does not become whole is logged
-AGAIN = 0.05  # seconds until one that is being written is read again
-LINE_MOST = 4 << 20
-S = 1_000_000_000
+FREEZE_ENTRIES_MIN = 1000  # a larger change is excluded from garbage collection
+BATCH_SIZE = 100  # entries applied in one iteration of the event loop
+BATCH_INTERVAL_S = 0.001  # between two batches, so that requests are served in between
+INCOMPLETE_LOG_DELAY_S = 1.0  # until a list that stays incomplete is logged
+RETRY_DELAY_S = 0.05  # until an incomplete list is read again
+WORKER_LINE_BYTES_MAX = 4 << 20
+WORKER_TIMEOUT_S = 30
+NS_PER_S = 1_000_000_000
 
 
 class Membership(MergedEndpoints):
-    """Between the sources and the driver, with a list that is watched."""
-
-    def __init__(self, driver, wanted, node, disk=None):
-        super().__init__(driver, View(node.order, node.ramp, driver.clock()))
-        self.wanted, self.node, self.log = wanted, node, driver.log
-        self.loop, self.gate = asyncio.get_running_loop(), SafetyGate(node.most_removed, node.hold)
+    """The merged view of the bus and of a watched list.
+
+    :ivar queue: partial endpoint lists that are still to be applied to the driver, in order
+    :ivar apply_timer: handle of the next batch's timer, or None
+    :ivar digest: SHA-256 of the list that was loaded last
+    :ivar held_digest: digest of the list that the safety gate holds, or ""
+    :ivar last_refusal: text of the last list error that was logged, or None
+    :ivar incomplete: (when the list was first found incomplete, whether that was logged), or None
+    :ivar batching: whether changes are applied in batches, as while serving, or wait for `_apply_queue`
+    :ivar snapshot_entries: count of entries recovered from a snapshot, or None
+    """
+
+    def __init__(self, driver, configuration, settings, disk=None):
+        super().__init__(driver, View(settings.order, settings.ramp, driver.clock()))
+        self.configuration = configuration
+        self.settings = settings
+        self.log = driver.log
+        self.loop = asyncio.get_running_loop()
+        self.gate = SafetyGate(settings.most_removed, settings.hold)
         self.snapshots = (
-            SnapshotStore(disk or Disk(), node.state, "servers", node.keep) if node.state else None
+            SnapshotStore(disk or Disk(), settings.state, "servers", settings.keep)
+            if settings.state
+            else None
         )
-        self.queue, self.handing, self.held_digest = [], None, ""
-        self.wake, self.digest, self.refused, self.unsettled = asyncio.Event(), "", None, None
-        self.worker, self.dirty, self.tasks, self.seen, self.events = None, False, [], None, 0
-        self.polled, self.telling = False, asyncio.Lock()
-        self.serving, self.kept = False, None  # whether changes go on by pieces; entries of the snapshot
+        self.queue = []
+        self.apply_timer = None
+        self.held_digest = ""
+        self.reload_requested = asyncio.Event()
+        self.digest = ""
+        self.last_refusal = None
+        self.incomplete = None
+        self.worker = None
+        self.snapshot_outdated = False
+        self.tasks = []
+        self.last_signature = None
+        self.watch_events = 0
+        self.missed_event_logged = False
+        self.file_list_lock = asyncio.Lock()
+        self.batching = False
+        self.snapshot_entries = None
 
     # The bus.
 
     def merged(self, hosts, now):
-        """What the bus tells, through the view: Hosts to apply now, or None."""
+        """Take a list of the bus into the view; return what is to be applied now, or None."""
         change = self._bus_change(hosts, now)
         if change is None:
             return None
-        self.dirty = True
-        if self.queue:  # in order behind what is being handed over
+        self.snapshot_outdated = True
+        if self.queue:  # changes are applied in order, so this one waits for those queued before
             self.hand_over(change)
             return None
         return endpoint_list_of(change.servers)
 
-    # Start and end.
+    # Start and stop.
 
     async def recovers(self):
-        """The last good snapshot, where there is one: whether the front has servers by it."""
-        if (kept := self._recovered()) is None:
+        """Recover the servers of the newest usable snapshot; return whether there was one."""
+        if (stored := self._recovered()) is None:
             return False
-        # First, so that a list that takes away too much is held at a restart as well.
-        await self._file_told([server_of(row) for row in kept["file"]], True)
-        self._all_handed()
-        self.kept = len(kept["file"])
+        # Applied before the list is read, so that the safety gate compares that list with the previous run's.
+        await self._apply_file_list([server_of(row) for row in stored["file"]], True)
+        self._apply_queue()
+        self.snapshot_entries = len(stored["file"])
         return True
 
     async def start(self):
-        """The list of the file, before the front is ready."""
-        loaded = await self._loaded()
+        """Load and apply the list, then start the background tasks; the front is ready only after this."""
+        loaded = await self._load()
         if isinstance(loaded, list):
-            await self._taken(loaded)
-        elif self.kept is not None:
-            self.log("servers_from_snapshot", generation=self.view.generation, entries=self.kept)
-        if not self.serving:
-            self._all_handed()
+            await self._offer(loaded)
+        elif self.snapshot_entries is not None:
+            self.log("servers_from_snapshot", generation=self.view.generation, entries=self.snapshot_entries)
+        if not self.batching:
+            self._apply_queue()
         while self.queue:
-            await asyncio.sleep(TURN)
-        await asyncio.to_thread(int)  # the first thread takes a tenth of a second: now, not in service
+            await asyncio.sleep(BATCH_INTERVAL_S)
+        await asyncio.to_thread(
+            int
+        )  # the first thread takes 0.1 s to start: do it before requests are served
         self.tasks = [
-            self.loop.create_task(each()) for each in (self._watch, self._poll, self._run, self._keep)
+            self.loop.create_task(each())
+            for each in (self._watch_loop, self._poll_loop, self._reload_loop, self._snapshot_loop)
         ]
 
-    def _all_handed(self):
-        """What waits at once, and from here on in pieces: words of other fronts come before the first reading."""
+    def _apply_queue(self):
+        """Apply all queued changes at once, and later ones in batches.
+
+        Later ones may come before the list is loaded: other fronts report drains as soon as they are connected.
+        """
         while self.queue:
             self.driver.apply(self.queue.pop(0))
-        self.serving = True
+        self.batching = True
 
     def stop(self):
-        """Cancel the watch and the hand-over, and end the reading process."""
+        """Cancel the background tasks and kill the worker process."""
         for task in self.tasks:
             task.cancel()
         if self.worker is not None and self.worker.returncode is None:
@@ -102,50 +135,51 @@
         if self.snapshots is None:
             return None
         now = clock.unix()
-        taken, refused = self.snapshots.newest(now, self.node.state_oldest)
-        for one in refused:
+        snapshot, rejected = self.snapshots.newest(now, self.settings.state_oldest)
+        for one in rejected:
             self.log("snapshot_refused", name=one.name, error=one.why)
-        if taken is None:
+        if snapshot is None:
             return None
         try:
-            kept = orjson.loads(taken.payload)
-            kept["file"] = [row for piece in kept["file"] for row in piece]
-            self.view.restored(kept, clock.since_unix)
+            stored = orjson.loads(snapshot.payload)
+            stored["file"] = [row for batch in stored["file"] for row in batch]
+            self.view.restored(stored, clock.since_unix)
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as fault:
             self.log("snapshot_refused", name="servers", error=f"{type(fault).__name__}: {fault}")
             return None
         self.log(
             "snapshot_read",
-            generation=taken.generation,
-            age_s=(now - taken.at) // S,
-            entries=len(kept["file"]),
+            generation=snapshot.generation,
+            age_s=(now - snapshot.at) // NS_PER_S,
+            entries=len(stored["file"]),
         )
-        return kept
+        return stored
 
     # Loading.
 
-    async def _loaded(self):
-        """Servers of a new list; None where there is nothing new to use."""
+    async def _load(self):
+        """Return the servers of a new list, or None if it is unchanged, incomplete or invalid, or the worker failed."""
         try:
-            said = await self._asked()
+            result = await self._ask_worker()
         except (OSError, ValueError, asyncio.IncompleteReadError) as fault:
             self.log("servers_worker_lost", error=f"{type(fault).__name__}: {fault}")
             if self.worker is not None and self.worker.returncode is None:
                 self.worker.kill()
             self.worker = None
-            await asyncio.sleep(AGAIN)
-            self.wake.set()
+            await asyncio.sleep(RETRY_DELAY_S)
+            self.reload_requested.set()
             return None
-        if isinstance(said, OperatorFileError):
-            self._refuse(said)
+        if isinstance(result, OperatorFileError):
+            self._on_invalid(result)
             return None
-        if isinstance(said, str):
-            self._wait(said)
+        if isinstance(result, str):
+            self._on_incomplete(result)
             return None
-        self.unsettled = self.refused = None
-        return said
+        self.incomplete = self.last_refusal = None
+        return result
 
-    async def _asked(self):
+    async def _ask_worker(self):
+        """Return the servers of a new list, None if unchanged, an OperatorFileError, or why it is incomplete."""
         if self.worker is None or self.worker.returncode is not None:
             self.worker = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -153,41 +187,44 @@
                 "sprucegate.discovery.worker",
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                limit=LINE_MOST,
+                limit=WORKER_LINE_BYTES_MAX,
             )
         self.worker.stdin.write(
             orjson.dumps(
                 {
-                    "path": self.node.file,
+                    "path": self.settings.file,
                     "digest": self.digest,
-                    "locations": self.wanted.locations,
-                    "kinds": self.wanted.kinds,
+                    "locations": self.configuration.locations,
+                    "kinds": self.configuration.kinds,
                 }
             )
             + b"\n"
         )
-        servers, digest = [], ""
+        servers = []
+        digest = ""
         while True:
-            async with asyncio.timeout(30):
-                said = orjson.loads(await self.worker.stdout.readuntil(b"\n"))
-            if "faulty" in said:
-                return OperatorFileError(*said["faulty"])
-            if "unsettled" in said:
-                return said["unsettled"]
-            if "same" in said:
-                self.unsettled = self.refused = None
+            async with asyncio.timeout(WORKER_TIMEOUT_S):
+                answer = orjson.loads(await self.worker.stdout.readuntil(b"\n"))
+            if "faulty" in answer:
+                return OperatorFileError(*answer["faulty"])
+            if "unsettled" in answer:
+                return answer["unsettled"]
+            if "same" in answer:
+                self.incomplete = self.last_refusal = None
                 return None
-            servers += [server_of(row) for row in said["servers"]]
-            digest = said["digest"]
-            if not said["more"]:
+            servers += [server_of(row) for row in answer["servers"]]
+            digest = answer["digest"]
+            if not answer["more"]:
                 self.digest = digest
                 return servers
-            await asyncio.sleep(0)  # lines that lie ready must not become one long turn
-
-    def _refuse(self, fault):
-        self.unsettled = None
-        if str(fault) != self.refused:  # once, however often it is read again
-            self.refused = str(fault)
+            await asyncio.sleep(
+                0
+            )  # lines that are buffered already would otherwise block the loop until the last
+
+    def _on_invalid(self, fault):
+        self.incomplete = None
+        if str(fault) != self.last_refusal:  # logged once, however often the same list is read again
+            self.last_refusal = str(fault)
             self.log(
                 "servers_refused",
                 file=fault.file,
@@ -197,83 +234,88 @@
                 generation=self.view.generation,
             )
 
-    def _wait(self, why):
-        """Being written, or gone for a moment: the last list stands; after a second it is told."""
+    def _on_incomplete(self, why):
+        """Keep the last list while the file is being written or is missing; log that after INCOMPLETE_LOG_DELAY_S."""
         now = time.monotonic()
-        begun, told = self.unsettled or (now, False)
-        if not told and now - begun > UNSETTLED:
+        since, logged = self.incomplete or (now, False)
+        if not logged and now - since > INCOMPLETE_LOG_DELAY_S:
             self.log("servers_unsettled", error=why, generation=self.view.generation)
-            told = True
-        self.unsettled = begun, told
-        self.loop.call_later(AGAIN if not told else UNSETTLED, self.wake.set)
+            logged = True
+        self.incomplete = since, logged
+        self.loop.call_later(
+            RETRY_DELAY_S if not logged else INCOMPLETE_LOG_DELAY_S, self.reload_requested.set
+        )
 
-    # Taking.
+    # Applying.
 
-    async def _taken(self, servers):
+    async def _offer(self, servers):
+        """Pass a loaded list through the safety gate and apply what it lets through."""
         now = self.driver.clock()
-        fleet, digest = self.driver.fleet, self.digest
+        fleet = self.driver.fleet
+        digest = self.digest
         held = fleet is not None and fleet.is_list_held(digest)
-        passed = self.gate.offer(self.view.lists["file"], servers, now, held)
-        self.held_digest = digest if passed.held is not None else ""
+        decision = self.gate.offer(self.view.lists["file"], servers, now, held)
+        self.held_digest = digest if decision.held is not None else ""
         if self.held_digest and fleet is not None:
             fleet.record_held_list(digest, confirmed=False)
         await asyncio.sleep(0)
-        if passed.held is not None:
-            held = passed.held
+        if decision.held is not None:
+            held = decision.held
             self.log(
                 "servers_held",
                 number=held.number,
-                location=_name(self.wanted.locations, held.location),
+                location=_location_name(self.configuration.locations, held.location),
                 share=round(held.share, 3),
-                until_s=(held.until - now) // S,
+                until_s=(held.until - now) // NS_PER_S,
                 entries=len(held.servers),
                 generation=self.view.generation,
             )
-        await self._file_told(passed.servers, passed.whole)
+        await self._apply_file_list(decision.servers, decision.whole)
 
-    async def _file_told(self, servers, whole):
-        """A list of the file, worked out and handed over a piece a turn of the loop, under one generation."""
+    async def _apply_file_list(self, servers, whole):
+        """Merge a list of the file into the view, a batch per iteration of the event loop, as one generation."""
         changed = 0
-        async with self.telling:
-            for change in self.view.changes("file", servers, whole, self.driver.clock(), PIECE):
+        async with self.file_list_lock:
+            for change in self.view.changes("file", servers, whole, self.driver.clock(), BATCH_SIZE):
                 if change is not None:
                     changed += len(change.servers)
                     self.hand_over(change)
-                await asyncio.sleep(TURN)
-        self.dirty = True
+                await asyncio.sleep(BATCH_INTERVAL_S)
+        self.snapshot_outdated = True
         if self.driver.fleet is not None:
             self.driver.fleet.on_endpoints_changed()
         if changed:
             self.log(
                 "servers_taken", generation=self.view.generation, changed=changed, entries=len(self.view.rows)
             )
-        if changed > MANY:
-            # What such a list built stays: the collector need not walk it, which would take longer than a turn.
+        if changed > FREEZE_ENTRIES_MIN:
+            # These objects live long, and a collection that traverses them would take longer than BATCH_INTERVAL_S.
             gc.freeze()
 
     def hand_over(self, change):
-        """Queue a change of the merged view; it goes to the driver in pieces, so that requests come in between."""
+        """Queue a change of the merged view; it is applied to the driver in batches, with requests in between."""
         self.queue += [
-            endpoint_list_of(change.servers[at : at + PIECE]) for at in range(0, len(change.servers), PIECE)
+            endpoint_list_of(change.servers[at : at + BATCH_SIZE])
+            for at in range(0, len(change.servers), BATCH_SIZE)
         ]
-        if self.serving and self.handing is None:
-            self._piece()
+        if self.batching and self.apply_timer is None:
+            self._apply_batch()
 
-    def _piece(self):
-        """One piece a turn of the loop, in the order of the changes; the first one at once."""
-        self.handing = None
+    def _apply_batch(self):
+        """Apply the first queued batch, and schedule the next one if there is more."""
+        self.apply_timer = None
         if self.queue:
             self.driver.apply(self.queue.pop(0))
         if self.queue:
-            self.handing = self.loop.call_later(TURN, self._piece)
+            self.apply_timer = self.loop.call_later(BATCH_INTERVAL_S, self._apply_batch)
 
-    # Watching.
+    # Background tasks.
 
-    async def _watch(self):
-        """Events of the folder that holds the file, and of the folder itself where the list is one."""
+    async def _watch_loop(self):
+        """Request a reload on events of the folder that holds the list, and of the list itself if it is a folder."""
         while True:
-            base = os.path.dirname(os.path.abspath(self.node.file))
-            folders = [base] + ([self.node.file] if os.path.isdir(self.node.file) else [])
+            parent = os.path.dirname(os.path.abspath(self.settings.file))
+            folders = [parent] + ([self.settings.file] if os.path.isdir(self.settings.file) else [])
             try:
                 async for _ in watchfiles.awatch(
                     *folders,
@@ -284,85 +326,97 @@
                     rust_timeout=1000,
                     yield_on_timeout=False,
                 ):
-                    self.events += 1
-                    self.wake.set()
-                    if len(folders) == 1 and os.path.isdir(self.node.file):
+                    self.watch_events += 1
+                    self.reload_requested.set()
+                    if len(folders) == 1 and os.path.isdir(self.settings.file):
                         break
             except (OSError, RuntimeError) as fault:
                 self.log("servers_unwatched", error=f"{type(fault).__name__}: {fault}")
             await asyncio.sleep(1)
 
-    async def _poll(self):
-        """Beside the events, which do not come from every file system."""
+    async def _poll_loop(self):
+        """Poll the list for changes, as some file systems send no events; also run the timers of gate and view."""
         while True:
-            events, before = self.events, self.seen
-            await asyncio.sleep(self.node.poll / S)
-            self.seen = list_reader.signature(self.node.file)
-            if self.seen != before:
-                if events == self.events and before is not None and not self.polled:
-                    self.polled = True
-                    self.log("servers_polled", error="a change came without an event")
-                self.wake.set()
+            events_before = self.watch_events
+            signature_before = self.last_signature
+            await asyncio.sleep(self.settings.poll / NS_PER_S)
+            self.last_signature = list_reader.signature(self.settings.file)
+            if self.last_signature != signature_before:
+                if (
+                    events_before == self.watch_events
+                    and signature_before is not None
+                    and not self.missed_event_logged
+                ):
+                    self.missed_event_logged = True
+                    self.log("servers_polled", error="the list changed without a file system event")
+                self.reload_requested.set()
             now = self.driver.clock()
-            if (passed := self.gate.on_timer(now)) is not None:
+            if (decision := self.gate.on_timer(now)) is not None:
                 self.log("servers_hold_over")
-                await self._file_told(passed.servers, True)
+                await self._apply_file_list(decision.servers, True)
             if (change := self.view.due(now)) is not None:
                 self.hand_over(change)
-            await self._confirm()
+            await self._check_confirmation()
 
-    async def _confirm(self):
-        """`servers confirm NUMBER` leaves its number in the state folder; or it was left at another front."""
+    async def _check_confirmation(self):
+        """Apply the held list once it is confirmed, by its number in the state folder or at another front."""
         fleet = self.driver.fleet
         if self.gate.held is not None and fleet is not None and fleet.is_list_confirmed(self.held_digest):
-            passed = self.gate.confirm(self.gate.held.number)
+            decision = self.gate.confirm(self.gate.held.number)
             self.log("servers_confirmed", number=0)
-            return await self._file_told(passed.servers, True)
-        if self.gate.held is None or not self.node.state:
+            return await self._apply_file_list(decision.servers, True)
+        if self.gate.held is None or not self.settings.state:
             return
+        # `servers confirm NUMBER` writes this file.
         try:
-            with open(os.path.join(self.node.state, "confirm")) as file:
+            with open(os.path.join(self.settings.state, "confirm")) as file:
                 number = int(file.read(20))
         except (OSError, ValueError):
             return
-        if (passed := self.gate.confirm(number)) is not None:
+        if (decision := self.gate.confirm(number)) is not None:
             self.log("servers_confirmed", number=number)
             if self.driver.fleet is not None:
                 self.driver.fleet.record_held_list(self.held_digest, confirmed=True)
-            await self._file_told(passed.servers, True)
+            await self._apply_file_list(decision.servers, True)
 
-    async def _run(self):
-        """Loads after a change, never more often than `least`; what changes meanwhile is read after it."""
+    async def _reload_loop(self):
+        """Load the list on request, at most once per `settings.least`; requests in between lead to one more load."""
         while True:
-            await self.wake.wait()
-            while self.queue:  # a storm of large lists must not pile up what is to be handed over
-                await asyncio.sleep(TURN)
-            self.wake.clear()
-            loaded = await self._loaded()
+            await self.reload_requested.wait()
+            while self.queue:  # or frequent large lists would make the queue grow without bound
+                await asyncio.sleep(BATCH_INTERVAL_S)
+            self.reload_requested.clear()
+            loaded = await self._load()
             if isinstance(loaded, list):
-                await self._taken(loaded)
-            await asyncio.sleep(self.node.least / S)
+                await self._offer(loaded)
+            await asyncio.sleep(self.settings.least / NS_PER_S)
 
-    # What lasts.
+    # Snapshots.
 
-    async def _keep(self):
-        """A snapshot at most once a second, made in pieces and written in a thread."""
+    async def _snapshot_loop(self):
+        """Save a snapshot after changes, at most once a second."""
         while True:
             await asyncio.sleep(1)
-            if self.snapshots is not None and self.dirty and not self.queue:
+            if self.snapshots is not None and self.snapshot_outdated and not self.queue:
                 await self.keep()
 
     async def keep(self):
-        """What a restart needs (the file's list, all drains) and what `servers show` prints (the view's rows)."""
-        self.dirty, generation, pieces = False, self.view.generation, []
-        rows = list(self.view.lists["file"].values())
+        """Save a snapshot: the file's list and all drains for a restart, the view's rows for `servers show`.
+
+        It is encoded in batches and written in a thread, so that the event loop isn't blocked.
+        """
+        self.snapshot_outdated = False
+        generation = self.view.generation
+        file_batches = []
+        servers = list(self.view.lists["file"].values())
         head = orjson.dumps(self.view.kept(clock.unix_of))[:-1]
-        for at in range(0, len(rows), PIECE):
-            pieces.append(orjson.dumps([flat(server) for server in rows[at : at + PIECE]]))
+        for at in range(0, len(servers), BATCH_SIZE):
+            file_batches.append(orjson.dumps([flat(server) for server in servers[at : at + BATCH_SIZE]]))
             await asyncio.sleep(0)
-        shown, rows = [], list(self.view.rows.values())
-        for at in range(0, len(rows), PIECE):
-            shown.append(
+        row_batches = []
+        rows = list(self.view.rows.values())
+        for at in range(0, len(rows), BATCH_SIZE):
+            row_batches.append(
                 orjson.dumps(
                     [
                         [
@@ -373,16 +427,18 @@
                             clock.unix_of(row.since),
                             row.server.entry.weight,
                         ]
-                        for row in rows[at : at + PIECE]
+                        for row in rows[at : at + BATCH_SIZE]
                     ]
                 )
             )
             await asyncio.sleep(0)
-        payload = head + b',"file":[' + b",".join(pieces) + b'],"rows":[' + b",".join(shown) + b"]}"
+        payload = (
+            head + b',"file":[' + b",".join(file_batches) + b'],"rows":[' + b",".join(row_batches) + b"]}"
+        )
         fault = await asyncio.to_thread(self.snapshots.save, generation, clock.unix(), payload)
         if fault:
             self.log("snapshot_failed", error=fault, generation=generation)
 
 
-def _name(names, at):
-    return next((name for name, index in names.items() if index == at), str(at))
+def _location_name(numbers, location):
+    return next((name for name, number in numbers.items() if number == location), str(location))
