--- a/sprucegate/discovery/merged_endpoints.py
+++ b/sprucegate/discovery/merged_endpoints.py
@@ -1,4 +1,4 @@
-"""The merged view between the sources of endpoints and the front's driver, where no file is watched."""
+"""Applies the merged view of all endpoint sources to the front's driver. Used alone where no file is watched."""
 
 from collections.abc import Iterable
 
@@ -7,24 +7,24 @@
 
 
 class MergedEndpoints:
-    """Passes each change of the view on to `driver.apply`; `view.news` has what other fronts are to know of it."""
+    """Passes each change of the view on to `driver.apply`; `view.news` collects the reports for other fronts."""
 
     def __init__(self, driver, view):
         self.driver = driver
         self.view = view
 
     def merged(self, hosts, now):
-        """Take a list of the bus into the view; return what is to be applied now, or None."""
+        """Merge a list of the bus into the view; return what is to be applied now, or None."""
         change = self._bus_change(hosts, now)
         return None if change is None else endpoint_list_of(change.servers)
 
-    def word(self, at, started, source, draining, now):
-        """Another front reports that the server `at` of that start drains, or that it does no more."""
-        change = self.view.word(at, started, source, draining, now)
+    def word(self, endpoint_id, started, source, draining, now):
+        """Take another front's report that a server drains or no longer does; see `View.word`."""
+        change = self.view.word(endpoint_id, started, source, draining, now)
         if change is not None:
-            self.hand_over(change)
+            self.apply_change(change)
 
-    def hand_over(self, change):
+    def apply_change(self, change):
         """Apply a change of the view."""
         self.driver.apply(endpoint_list_of(change.servers))
 
@@ -34,7 +34,7 @@
 
 
 def endpoint_list_of(servers: Iterable[Server]) -> EndpointList:
-    """Return servers as a partial list of endpoints with their names and addresses."""
+    """Return a partial endpoint list of the servers, with their names and addresses."""
     servers = list(servers)
     names = {server.entry.id: (server.name, server.address) for server in servers}
     return EndpointList(False, [server.entry for server in servers], names)
--- a/sprucegate/discovery/safety_gate.py
+++ b/sprucegate/discovery/safety_gate.py
@@ -1,6 +1,7 @@
-"""The safety gate: a list that takes away too much of a location at once is held until it is confirmed. No I/O.
+"""The safety gate: a list that removes too many servers of a location at once is held until confirmed. No I/O.
 
-Drains pass at once whatever is held: a drain applied late breaks a promise, a removal applied late costs attempts.
+The drains of a held list are applied at once: a late drain breaks the guarantee that a drained server gets no new
+requests, while a late removal only costs failed attempts.
 """
 
 from collections import Counter
@@ -11,11 +12,11 @@
 
 
 class HeldList(NamedTuple):
-    """A list that waits for its confirmation.
+    """A list that awaits confirmation.
 
-    :ivar number: by which an operator confirms it.
+    :ivar number: the number by which an operator confirms it.
     :ivar until: time (ns) at which it is applied without a confirmation.
-    :ivar location: the location that loses the largest share; `share`: of its servers.
+    :ivar location: the location that loses the largest share of its servers; `share`: that share.
     """
 
     number: int
@@ -26,7 +27,7 @@
 
 
 class GateDecision(NamedTuple):
-    """What is to be applied now: a list whole, or only the drains of one that is held."""
+    """What is to be applied now: a whole list, or only the drains of a held one."""
 
     servers: list[Server]
     whole: bool
@@ -34,7 +35,7 @@
 
 
 class SafetyGate:
-    """Holds at most one list, the newest. `share`: of a location that may go at once; `hold`: ns of holding."""
+    """Holds at most one list, the newest. `share`: part of a location that may go at once; `hold`: hold time (ns)."""
 
     def __init__(self, share: float, hold: int) -> None:
         self.share = share
@@ -45,9 +46,9 @@
     def offer(
         self, current: dict[int, Server], servers: list[Server], now: int, held: bool = False
     ) -> GateDecision:
-        """Decide on a whole list, against `current`, this source's list so far by endpoint id.
+        """Decide on a whole list by comparison with `current`, the source's present list by endpoint id.
 
-        `held`: another front holds the same list, so that any removal of it is held here as well.
+        `held`: another front holds the same list, so a list with any removal is held here as well.
         """
         self.number += 1
         share, location = _largest_loss(current, servers)
@@ -59,7 +60,7 @@
         return GateDecision(drains, False, self.held)
 
     def confirm(self, number: int) -> GateDecision | None:
-        """Release the held list, where it has this number; else return None."""
+        """Release the held list if it has this number, else return None."""
         if self.held is None or self.held.number != number:
             return None
         servers = self.held.servers
@@ -67,16 +68,18 @@
         return GateDecision(servers, True, None)
 
     def on_timer(self, now: int) -> GateDecision | None:
-        """Release the held list once its time is over."""
+        """Release the held list once its hold time is over."""
         if self.held is None or now < self.held.until:
             return None
         return self.confirm(self.held.number)
 
 
 def _largest_loss(current: dict[int, Server], servers: list[Server]) -> tuple[float, int]:
-    """Return (share of a location's servers that `servers` lacks, location), the largest; (0, -1) without servers."""
+    """Return the largest (share of a location's servers that `servers` lacks, location); (0, -1) without servers."""
     before = Counter(server.entry.location for server in current.values())
     remaining = {server.entry.id for server in servers}
-    lost = Counter(server.entry.location for one, server in current.items() if one not in remaining)
+    lost = Counter(
+        server.entry.location for endpoint_id, server in current.items() if endpoint_id not in remaining
+    )
     losses = ((lost[location] / count, location) for location, count in before.items())
     return max(losses, default=(0, -1))
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -74,13 +74,13 @@
     # The bus.
 
     def merged(self, hosts, now):
-        """Take a list of the bus into the view; return what is to be applied now, or None."""
+        """Merge a list of the bus into the view; return what is to be applied now, or None."""
         change = self._bus_change(hosts, now)
         if change is None:
             return None
         self.snapshot_outdated = True
         if self.queue:  # changes are applied in order, so this one waits for those queued before
-            self.hand_over(change)
+            self.apply_change(change)
             return None
         return endpoint_list_of(change.servers)
 
@@ -143,7 +143,7 @@
         try:
             stored = orjson.loads(snapshot.payload)
             stored["file"] = [row for batch in stored["file"] for row in batch]
-            self.view.restored(stored, clock.since_unix)
+            self.view.restore(stored, clock.since_unix)
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as fault:
             self.log("snapshot_refused", name="servers", error=f"{type(fault).__name__}: {fault}")
             return None
@@ -279,7 +279,7 @@
             for change in self.view.changes("file", servers, whole, self.driver.clock(), BATCH_SIZE):
                 if change is not None:
                     changed += len(change.servers)
-                    self.hand_over(change)
+                    self.apply_change(change)
                 await asyncio.sleep(BATCH_INTERVAL_S)
         self.snapshot_outdated = True
         if self.driver.fleet is not None:
@@ -292,7 +292,7 @@
             # These objects live long, and a collection that traverses them would take longer than BATCH_INTERVAL_S.
             gc.freeze()
 
-    def hand_over(self, change):
+    def apply_change(self, change):
         """Queue a change of the merged view; it is applied to the driver in batches, with requests in between."""
         self.queue += [
             endpoint_list_of(change.servers[at : at + BATCH_SIZE])
@@ -354,8 +354,8 @@
             if (decision := self.gate.on_timer(now)) is not None:
                 self.log("servers_hold_over")
                 await self._apply_file_list(decision.servers, True)
-            if (change := self.view.due(now)) is not None:
-                self.hand_over(change)
+            if (change := self.view.advance_ramps(now)) is not None:
+                self.apply_change(change)
             await self._check_confirmation()
 
     async def _check_confirmation(self):
@@ -409,7 +409,7 @@
         generation = self.view.generation
         file_batches = []
         servers = list(self.view.lists["file"].values())
-        head = orjson.dumps(self.view.kept(clock.unix_of))[:-1]
+        head = orjson.dumps(self.view.dump(clock.unix_of))[:-1]
         for at in range(0, len(servers), BATCH_SIZE):
             file_batches.append(orjson.dumps([flat(server) for server in servers[at : at + BATCH_SIZE]]))
             await asyncio.sleep(0)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -108,18 +108,21 @@
         made.told("file", [server("s-1", weight=2.0), server("s-2")], True, NOW).servers[0].entry.weight
         == 0.1
     )
-    assert made.next_due() == NOW + S
+    assert made.next_ramp_step_at() == NOW + S
     weights = []
     for step in range(1, 12):
-        change = made.due(NOW + step * S)
+        change = made.advance_ramps(NOW + step * S)
         weights += [s.entry.weight for s in change.servers] if change else []
-    assert weights == pytest.approx([0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0]) and made.next_due() is None
+    assert (
+        weights == pytest.approx([0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0])
+        and made.next_ramp_step_at() is None
+    )
 
 
 def test_drains_outlast_a_restart():
     made, again = view(), View(("file", "bus"))
     made.told("bus", [server("s-1", DRAIN)], False, NOW)
-    again.restored(made.kept(lambda at: at + S), lambda stamp: stamp - S)
+    again.restore(made.dump(lambda at: at + S), lambda stamp: stamp - S)
     again.told("file", [server("s-1")], True, NOW)
     assert standing(again, "s-1") is Standing.DRAINING and again.generation > made.generation
 
