--- a/sprucegate/discovery/list_format.py
+++ b/sprucegate/discovery/list_format.py
@@ -1,11 +1,11 @@
-"""A list of servers as KDL: text to servers, checked by schema and by sense. Opens nothing.
+"""A list of servers as KDL: parsing, validation and rendering. No I/O.
 
     servers {
         server "s-0b" address="10.1.0.9:4100" location="east" kind="std" weight=1.0 state="serving" started=0
     }
 
-`state` is serving, draining or held; `started` is the Unix millisecond of a late start, 0 for one that is warm; `cold`
-says that there must be one. All but name, address, location and kind may be left out.
+`state` is serving, draining or held. `started` is the time of a recent start in Unix milliseconds, 0 for a warm server;
+`cold` requires it to be given. All properties but address, location and kind are optional.
 """
 
 import math
@@ -23,21 +23,21 @@
 from sprucegate.units import MILLISECOND
 from sprucegate.upstream.hosts import endpoint_id
 
-LIST_BYTES_MAX = 10_000_000  # of all parts together
+LIST_BYTES_MAX = 10_000_000  # sum of all parts
 ENTRIES_MAX = 20_000
 WEIGHT_MAX = 1e6
 PORTS = range(1, 65_536)
 ADDRESS = re.compile(r"[0-9A-Za-z.\-]{1,253}:([0-9]{1,5})")
-FAULT_SEARCH_CHARACTERS_MAX = 20_000  # above which the end of the text stands for the line of a fault
+FAULT_SEARCH_CHARACTERS_MAX = 20_000  # in a longer text the last line is reported for a syntax error
 
 
 class ServerEntryError(ValueError):
-    """What is wrong with one entry; `key` and `text` go into the message for the operator."""
+    """An invalid entry; `key` and `text` go into the message for the operator."""
 
     def __init__(self, key: str, text: str) -> None:
         message = f"{key}: {text}"
         super().__init__(message)
-        # A misspelt name may hold a colon itself: the key ends at the first one.
+        # A misspelt node name may contain a colon itself: the key ends at the first one.
         self.key, _, self.text = message.partition(": ")
 
 
@@ -56,24 +56,24 @@
 
 
 class _Duplicates:
-    """Finds names, ids and addresses that stand twice in a list."""
+    """Finds names, ids and addresses that occur twice in a list."""
 
     def __init__(self) -> None:
-        self.places: dict[tuple[str, object], str] = {}
+        self.positions: dict[tuple[str, object], str] = {}
 
-    def check(self, server: Server, place: str) -> None:
+    def check(self, server: Server, position: str) -> None:
         values = (("server", server.name), ("server", server.entry.id), ("address", server.address))
         for key, value in values:
-            # Ids are numbers and names are texts: they don't meet.
-            if (key, value) in self.places:
-                raise ServerEntryError(key, f"{value!r} stands on {self.places[key, value]} already")
-            self.places[key, value] = place
+            # Ids are integers and names are strings: the two can't collide under one key.
+            if (key, value) in self.positions:
+                raise ServerEntryError(key, f"{value!r} is already used by {self.positions[key, value]}")
+            self.positions[key, value] = position
 
 
 def parse(
     texts: Sequence[tuple[str, str]], locations: Mapping[str, int], kinds: Mapping[str, int]
 ) -> list[Server]:
-    """Return the servers of a list; `texts`: its parts as (file, text). Raises OperatorFileError."""
+    """Return the servers of a list, given its parts as (file, text). Raises OperatorFileError."""
     found: list[Server] = []
     duplicates = _Duplicates()
     weights = 0.0
@@ -94,7 +94,7 @@
                 raise _fault(file, text, index, "servers", f"more than {ENTRIES_MAX} entries")
     file = texts[0][0] if texts else "?"
     if not found:
-        raise OperatorFileError(file, 1, "servers", "names no servers: an empty list is taken for a mistake")
+        raise OperatorFileError(file, 1, "servers", "lists no servers, which is taken for a mistake")
     if not weights:
         raise OperatorFileError(file, 1, "weight", "all weights are 0")
     return found
@@ -103,12 +103,12 @@
 def _nodes(file: str, text: str) -> list[Any]:
     try:
         nodes = ckdl.parse(text).nodes
-    except Exception:  # ckdl raises several kinds
+    except Exception:  # ckdl raises several types of exception
         short = len(text) < FAULT_SEARCH_CHARACTERS_MAX
         line = source_locations.fault_line(text) if short else text.count("\n") + 1
-        raise OperatorFileError(file, line, "", "is not KDL, or is cut") from None
+        raise OperatorFileError(file, line, "", "is not valid KDL, or is truncated") from None
     if [node.name for node in nodes] != ["servers"] or nodes[0].args or nodes[0].properties:
-        raise OperatorFileError(file, 1, "", "wants one block `servers { ... }` and nothing else")
+        raise OperatorFileError(file, 1, "", "must hold one block `servers { ... }` and nothing else")
     children: list[Any] = nodes[0].children
     return children
 
@@ -116,13 +116,13 @@
 def _plain(node: Any) -> dict[str, Any]:
     """Return a node's name and properties as the plain data that the schema checks."""
     if node.name != "server":
-        raise ServerEntryError(node.name, "is not known; a list has `server` nodes")
+        raise ServerEntryError(node.name, "is unknown; a list has only `server` nodes")
     if len(node.args) != 1 or node.children or node.type_annotation:
-        raise ServerEntryError("server", "wants one name and properties")
+        raise ServerEntryError("server", "must have one name, and properties")
     values = {"name": node.args[0], **node.properties}
     for key, value in values.items():
         if isinstance(value, ckdl.Value):
-            raise ServerEntryError(key, f"takes no type, not ({value.type_annotation})")
+            raise ServerEntryError(key, f"takes no type annotation, but has ({value.type_annotation})")
     return values
 
 
@@ -142,11 +142,11 @@
 
 
 def _check(entry: ServerNode, locations: Mapping[str, int], kinds: Mapping[str, int]) -> None:
-    """Raise ServerEntryError for what the schema can't tell."""
+    """Check what the schema can't express; raise ServerEntryError."""
     if entry.location not in locations:
-        raise ServerEntryError("location", f"{entry.location!r} is not among settings.failureDomains")
+        raise ServerEntryError("location", f"{entry.location!r} is not in settings.failureDomains")
     if entry.kind not in kinds:
-        raise ServerEntryError("kind", f"{entry.kind!r} is not among settings.shapes")
+        raise ServerEntryError("kind", f"{entry.kind!r} is not in settings.shapes")
     if not math.isfinite(entry.weight) or entry.weight < 0 or entry.weight > WEIGHT_MAX:
         raise ServerEntryError("weight", f"must be a number from 0 to 1,000,000, not {entry.weight}")
     match = ADDRESS.fullmatch(entry.address)
@@ -154,12 +154,13 @@
         raise ServerEntryError("address", f"must be HOST:PORT, not {entry.address[:60]!r}")
     if entry.cold and not entry.started:
         raise ServerEntryError(
-            "started", "is wanted of a cold server: without it the front would send as to a warm one"
+            "started",
+            "is required for a cold server: without it the front would send it as much as a warm one",
         )
 
 
 def _fault(file: str, text: str, index: int, key: str, problem: str) -> OperatorFileError:
-    """Return the error with its line, which is looked for only now: finding all lines would cost more than parsing."""
+    """Return the error with its line. Lines are searched only for an error, as finding all costs more than parsing."""
     starts = source_locations.starts(text)
     children = starts[0].children if starts else []
     line = children[index].line if index < len(children) else 1
@@ -167,14 +168,14 @@
 
 
 def state_word(server: Server) -> str:
-    """Return the word of a server's state in a list."""
+    """Return a server's `state` as it is written in a list."""
     if server.held:
         return "held"
     return "draining" if server.entry.state is EndpointState.DRAINING else "serving"
 
 
 def render(servers: Iterable[Server], locations: Mapping[str, int], kinds: Mapping[str, int]) -> str:
-    """Return a list as text, which `parse` reads back."""
+    """Return a list as KDL that `parse` reads back."""
     location_names = {number: name for name, number in locations.items()}
     kind_names = {number: name for name, number in kinds.items()}
     lines = ["servers {"]
--- a/sprucegate/discovery/list_reader.py
+++ b/sprucegate/discovery/list_reader.py
@@ -1,7 +1,7 @@
-"""Reading a list whole or not at all, from a file or a folder of parts. Blocking: it runs in a thread or a worker.
+"""Reads a complete list, or none, from a file or a folder of parts. Blocking: it runs in a thread or a worker process.
 
-A file is whole where its digest says so (`FILE.sha256` beside it); else where size, mtime, inode and bytes are the same
-at two reads SETTLE_S apart. A folder is whole where its manifest names each part's digest.
+A file is complete if it has the digest in `FILE.sha256` beside it; without such a file, if size, mtime, inode and bytes
+are the same at two reads SETTLE_S apart. A folder is complete if each part has the digest that the manifest gives.
 """
 
 import hashlib
@@ -25,10 +25,10 @@
 
 
 class ListContents(NamedTuple):
-    """A list that was read whole.
+    """A list that was read completely.
 
     :ivar texts: (file, text) of each part.
-    :ivar digest: SHA-256 in hex; the same content is no new generation.
+    :ivar digest: SHA-256 in hex; a list of the same digest is no new generation.
     """
 
     texts: list[tuple[str, str]]
@@ -36,11 +36,11 @@
 
 
 class FileIncompleteError(ConfigurationError):
-    """The list is being written, or is not there at all: to be read again soon, and no fault yet."""
+    """The list is being written or is missing. Not an error yet: it is to be read again soon."""
 
 
 def signature(path: str) -> Signature | None:
-    """Return what tells a change without reading (of a folder: of its manifest), or None where nothing is there."""
+    """Return inode, size and mtime, which change with the list (for a folder: its manifest), or None if missing."""
     try:
         file = Path(path)
         if file.is_dir():
@@ -55,14 +55,14 @@
 
 
 def read(path: str, settle: float = SETTLE_S) -> ListContents:
-    """Return the list; raises FileIncompleteError where it isn't whole, OperatorFileError where waiting won't help.
+    """Return the list; raises FileIncompleteError if it is incomplete, OperatorFileError if a retry would not help.
 
     `settle`: seconds between two reads of a file without a digest.
     """
     try:
         return _read_folder(Path(path)) if Path(path).is_dir() else _read_file(path, settle)
     except FileNotFoundError:
-        problem = f"{path} is not there"
+        problem = f"{path} is missing"
         raise FileIncompleteError(problem) from None
     except OSError as fault:
         raise OperatorFileError(path, 1, "", f"can't be read: {fault.strerror}") from None
@@ -82,22 +82,22 @@
         return data.decode()
     except UnicodeDecodeError as fault:
         line = data.count(b"\n", 0, fault.start) + 1
-        raise OperatorFileError(str(path), line, "", "is not UTF-8") from None
+        raise OperatorFileError(str(path), line, "", "is not valid UTF-8") from None
 
 
 def _read_file(path: str, settle: float) -> ListContents:
-    data, seen = _read_bytes(path)
+    data, found = _read_bytes(path)
     digest = hashlib.sha256(data).hexdigest()
     try:
         words = Path(f"{path}.sha256").read_text()[:DIGEST_FILE_CHARACTERS_MAX].split()
     except FileNotFoundError:
         time.sleep(settle)
-        if _read_bytes(path) != (data, seen) or len(data) != seen[1]:
+        if _read_bytes(path) != (data, found) or len(data) != found[1]:
             problem = f"{path} is being written"
             raise FileIncompleteError(problem) from None
     else:
         if words[:1] != [digest]:
-            problem = f"{path} does not have the digest that {path}.sha256 says"
+            problem = f"{path} does not match the digest in {path}.sha256 yet"
             raise FileIncompleteError(problem)
     return ListContents([(str(path), _decode(path, data))], digest)
 
@@ -111,9 +111,11 @@
         data, _ = _read_bytes(folder / name)
         size += len(data)
         if size > LIST_BYTES_MAX:
-            raise OperatorFileError(str(folder), 1, "", f"its parts are larger than {LIST_BYTES_MAX} bytes")
+            raise OperatorFileError(
+                str(folder), 1, "", f"its parts are together larger than {LIST_BYTES_MAX} bytes"
+            )
         if hashlib.sha256(data).hexdigest() != digest:
-            problem = f"{folder / name} does not have the digest that the manifest says"
+            problem = f"{folder / name} does not match the digest in the manifest yet"
             raise FileIncompleteError(problem)
         digests.update(digest.encode())
         texts.append((str(folder / name), _decode(folder / name, data)))
@@ -121,26 +123,26 @@
 
 
 def _manifest_parts(manifest: Path) -> list[tuple[str, str]]:
-    """Return (name, digest) of each part that a manifest names."""
+    """Return (name, digest) of each part in a manifest."""
     data, _ = _read_bytes(manifest)
     text = _decode(manifest, data)
     try:
         nodes = ckdl.parse(text).nodes
-    except Exception:  # ckdl raises several kinds
-        problem = f"{manifest} is not KDL, or is being written"
+    except Exception:  # ckdl raises several types of exception
+        problem = f"{manifest} is not valid KDL, or is being written"
         raise FileIncompleteError(problem) from None
     parts = []
     for index, node in enumerate(nodes):
         if not _is_part(node):
-            raise OperatorFileError(str(manifest), index + 1, node.name, 'wants `part "NAME" sha256="..."`')
+            raise OperatorFileError(str(manifest), index + 1, node.name, 'must be `part "NAME" sha256="..."`')
         parts.append((node.args[0], node.properties["sha256"]))
     if not parts or len(parts) > PARTS_MAX:
-        raise OperatorFileError(str(manifest), 1, "part", f"from 1 to {PARTS_MAX} parts are wanted")
+        raise OperatorFileError(str(manifest), 1, "part", f"must have from 1 to {PARTS_MAX} parts")
     return parts
 
 
 def _is_part(node: Any) -> bool:
-    """Whether a node names a file of the folder itself, and its digest."""
+    """Tell whether a node gives the name of a file directly in the folder, and its digest."""
     if node.name != "part" or len(node.args) != 1 or not isinstance(node.properties.get("sha256"), str):
         return False
     name = node.args[0]
--- a/sprucegate/discovery/moves.py
+++ b/sprucegate/discovery/moves.py
@@ -1,4 +1,4 @@
-"""What a change of a list moves: the share of objects whose first server is another one, by the router's own hash."""
+"""Which objects a change of a list moves to another first server, found by sampling with the router's own hash."""
 
 from collections import Counter, defaultdict
 from typing import NamedTuple
@@ -8,19 +8,19 @@
 from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
 
-SAMPLE_SIZE = 2000  # objects looked at in each group of one location and kind
+SAMPLE_SIZE = 2000  # sampled objects in each group of one location and kind
 SAMPLE_SIZE_MIN = 100
-OBJECTS_TIMES_SERVERS_MAX = 1_000_000  # in a large group fewer objects are looked at
+OBJECTS_TIMES_SERVERS_MAX = 1_000_000  # bounds the run time: fewer objects are sampled in a large group
 
 Group = tuple[int, int]  # location and kind
 
 
 class GroupMoves(NamedTuple):
-    """The moves of one group.
+    """The moved objects of one group.
 
-    :ivar objects: how many were looked at; `moved`: of these, how many have another first server.
-    :ivar least: how many had to move, by the objects that each server has more than before.
-    :ivar gained: {endpoint id: objects that it has now and had not}.
+    :ivar objects: count of sampled objects; `moved`: how many of them have another first server.
+    :ivar least: the least that could have moved: the sum of the servers' net gains.
+    :ivar gained: {endpoint id: count of objects that moved to it}.
     """
 
     objects: int
@@ -38,7 +38,7 @@
 
 
 def _first_servers(entries: list[Endpoint], count: int) -> list[int]:
-    """Return the endpoint id of the first server of each of `count` objects."""
+    """Return the endpoint id of the first server of each of `count` sampled objects."""
     router = Router(RoutingSettings(my_location=entries[0].location), 0, 0)
     router.update_endpoints(entries, True, 0)
     hashing = router.registry.groups["cache"]
@@ -47,7 +47,7 @@
 
 
 def moves(before: list[Server], after: list[Server], objects: int = SAMPLE_SIZE) -> dict[Group, GroupMoves]:
-    """Return the moves of each group that stands in both lists; a group that is new or gone has nothing to compare."""
+    """Return the moves of each group that is in both lists; a new or removed group has nothing to compare."""
     old_groups = _groups(before)
     new_groups = _groups(after)
     found = {}
--- a/sprucegate/discovery/worker.py
+++ b/sprucegate/discovery/worker.py
@@ -1,7 +1,7 @@
-"""Reads, parses and checks lists in a process of its own, so that a long one never stalls the front's loop.
+"""Reads, parses and checks lists in a separate process, so that a long one never blocks the front's event loop.
 
-One JSON line a request on standard input; lines of at most PIECE_SIZE servers each as the answer on standard output.
-The keys of the lines are shared with `service`.
+A request is one line of JSON on standard input; the answer is lines of at most BATCH_SIZE servers each on standard
+output. `service` uses the same keys.
 """
 
 import sys
@@ -14,12 +14,12 @@
 from sprucegate.discovery.merged_view import Server
 from sprucegate.routing.events import Endpoint, EndpointState
 
-PIECE_SIZE = 200
+BATCH_SIZE = 200
 STATES = {"serving": EndpointState.SERVING, "draining": EndpointState.DRAINING}
 
 
 def flat(server: Server) -> list[Any]:
-    """Return a server as a row of plain values, as it goes through the pipe and into the snapshot."""
+    """Return a server as a row of plain values, as sent through the pipe and stored in snapshots."""
     entry = server.entry
     state = "draining" if entry.state is EndpointState.DRAINING else "serving"
     return [
@@ -37,14 +37,14 @@
 
 
 def server_of(row: list[Any]) -> Server:
-    """Return the server of a row that `flat` made; raises ValueError or KeyError for another one."""
+    """Return the server of a row that `flat` returned; raises ValueError or KeyError for an invalid row."""
     number, location, kind, cell, state, weight, started, name, address, held = row
     entry = Endpoint(number, location, kind, cell, STATES[state], weight, started)
     return Server(entry, name, address, held)
 
 
 def answers(request: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return the answer to one request, as objects for one line each; the last one has no true `more`."""
+    """Return the answer to one request as a list of lines; `more` is true in all but the last."""
     try:
         contents = list_reader.read(request["path"])
         if contents.digest == request["digest"]:
@@ -54,14 +54,14 @@
         return [{"unsettled": str(fault)}]
     except source_locations.OperatorFileError as fault:
         return [{"faulty": [fault.file, fault.line, fault.key, fault.text]}]
-    pieces = [servers[begin : begin + PIECE_SIZE] for begin in range(0, len(servers), PIECE_SIZE)]
+    batches = [servers[begin : begin + BATCH_SIZE] for begin in range(0, len(servers), BATCH_SIZE)]
     return [
         {
             "digest": contents.digest,
-            "servers": [flat(server) for server in piece],
-            "more": index + 1 < len(pieces),
+            "servers": [flat(server) for server in batch],
+            "more": index + 1 < len(batches),
         }
-        for index, piece in enumerate(pieces)
+        for index, batch in enumerate(batches)
     ]
 
 
