--- a/sprucegate/fleet/failure_detector/actions.py
+++ b/sprucegate/fleet/failure_detector/actions.py
@@ -1,4 +1,4 @@
-"""What the failure detector reports or wants to be done."""
+"""Actions of the failure detector: what it reports, and what its caller is to do."""
 
 from typing import Any, NamedTuple
 
@@ -14,7 +14,7 @@
 
 
 class CheckPort(NamedTuple):
-    """Connect to the member's port and close at once; `connection_refused` is to be called only if it refuses."""
+    """Connect to the member's port and close at once; call `on_connection_refused` only if it refuses."""
 
     name: str
     address: str
@@ -22,7 +22,7 @@
 
 
 class ProbeAnswered(NamedTuple):
-    """A probe of this front was answered, by the member itself (`direct`) or only through a helper."""
+    """A probe sent by this front was answered, by the member itself (`direct`) or only through a helper."""
 
     name: str
     direct: bool
@@ -42,12 +42,12 @@
 
 
 class NameConflict(NamedTuple):
-    """Another process bears this front's name: keep a start above `start_above` on disk, then call `renew`.
+    """Another process uses this front's name: store a start count above `start_above` on disk, then call `renew`.
 
     :ivar own: this process's incarnation
     :ivar other: the other process's incarnation
     :ivar start_above: the count of starts of the other process
-    :ivar alias: the name to go on under, or "" to keep the name; not empty if both processes are alive
+    :ivar alias: the name to use from now on, or "" to keep the present one; not empty if both processes are alive
     """
 
     own: int
@@ -57,4 +57,4 @@
 
 
 class DeclaredDead(NamedTuple):
-    """The others had counted this front as dead: records that they removed meanwhile mustn't return by it."""
+    """Other members had declared this front dead: it must not reintroduce records that they removed meanwhile."""
--- a/sprucegate/fleet/failure_detector/detector.py
+++ b/sprucegate/fleet/failure_detector/detector.py
@@ -2,11 +2,10 @@
 
 SWIM: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
 DSN 2002. Lifeguard: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection",
-DSN-W 2018: local health multiplier, suspicion timeout by accusers, buddy system. Times in ns on any clock that never
-goes back.
+DSN-W 2018: local health multiplier, suspicion timeout by accusers, buddy system. Times are ns on any monotonic clock.
 
-An incarnation is `start << 32 | random bits`: the start is counted on disk and rises, the bits are drawn at each
-start, so that no two processes share an incarnation even where a disk was copied or restored.
+An incarnation is `start << 32 | random bits`: the count of starts is kept on disk, the bits are drawn at each start, so
+that no two processes share an incarnation even if a disk was copied or restored.
 """
 
 from collections.abc import Callable
@@ -37,8 +36,8 @@
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.units import SECOND
 
-JOIN_PERIOD_NS = 30 * SECOND  # after the start, in which configured members are tried more often
-JOIN_RECONNECT_FACTOR = 4  # how much more often
+JOIN_PERIOD_NS = 30 * SECOND  # after the start, in which configured addresses are tried more often
+JOIN_RECONNECT_FACTOR = 4  # by which the reconnect period is shorter while joining
 START_BITS = 32  # an incarnation's lower bits, which are random
 RANDOM_BITS_MASK = (1 << START_BITS) - 1
 
@@ -46,11 +45,11 @@
 
 
 class FailureDetector:
-    """Detects failed members by probes and disseminates what it learns: messages and time in, actions out.
+    """Detects failed members by probes and disseminates membership updates: messages and time in, actions out.
 
     :param own: this front's record, of a new incarnation
     :param seeds: configured addresses of members
-    :param chance: the random source of this front
+    :param random_source: this front's source of random choices
     :param now: ns
     """
 
@@ -58,17 +57,17 @@
         self,
         own: Member,
         seeds: list[str],
-        chance: RandomSource,
+        random_source: RandomSource,
         now: int,
         timing: DetectorTiming | None = None,
     ) -> None:
         self._timing = timing or DetectorTiming()
-        self._chance = chance
+        self._random_source = random_source
         self._seeds = [address for address in seeds if address != own.address]
         self._members = MemberList(own, self._timing)
         self._timers = TimerQueue()
-        self._prober = Prober(self._members, self._timers, self._timing, chance)
-        self._process_ends = ProcessEnds(self._members, self._timers, self._timing, chance)
+        self._prober = Prober(self._members, self._timers, self._timing, random_source)
+        self._process_ends = ProcessEnds(self._members, self._timers, self._timing, random_source)
         self._suspicions = Suspicions(self._members, self._timers, self._timing)
         self._started_at = now
         self._met_another = False
@@ -121,7 +120,7 @@
         return [address for address in self._seeds if address not in addresses]
 
     def set_digest(self, digest: int) -> None:
-        """Take the digest of this front's replicated records, which is sent with probes."""
+        """Set the digest of this front's replicated records, which is sent with probes."""
         self._prober.digest = digest
 
     def next_deadline(self) -> int | None:
@@ -129,7 +128,7 @@
         return self._timers.next_deadline()
 
     def on_timer(self, now: int) -> Actions:
-        """Do what is due by `now`."""
+        """Handle the timers that have expired by `now`."""
         actions: Actions = []
         deadline = self._timers.next_deadline()
         if deadline is not None and now - deadline > self._timing.probe_period:
@@ -140,29 +139,29 @@
         return actions
 
     def on_message(self, sender: str, message: object, now: int) -> Actions:
-        """Take a message; `sender` is the name that the connection's greeting gave."""
+        """Handle a message; `sender` is the name given in the connection's greeting."""
         if sender in self.known and sender != self.own.name:
             self._met_another = True
         handler = self._message_handlers.get(type(message))
         return handler(sender, message, now) if handler is not None else []
 
     def on_connection_reset(self, name: str, now: int) -> Actions:
-        """A member closed a connection: its process may have ended, or had no use for the connection."""
+        """A member closed a connection: its process may have ended, or it no longer needed the connection."""
         return list(self._process_ends.check_port(name, now))
 
     def on_connection_refused(self, name: str, incarnation: int, now: int) -> Actions:
-        """That member's port refused this front."""
+        """That member's port refused a connection of this front."""
         return self._on_refusal(name, incarnation, self.own.name, now)
 
     def leave(self) -> list[Send]:
-        """Announce that this front stops on purpose."""
+        """Announce that this front leaves the fleet on purpose."""
         self._members.change_own(state=int(MemberState.LEFT))
         message = FullState([self.own], False)
-        receivers = self._chance.pick("leave", self.reachable(), self._timing.updates_per_message)
+        receivers = self._random_source.pick("leave", self.reachable(), self._timing.updates_per_message)
         return [Send(m.name, "", message) for m in receivers]
 
     def renew(self, start: int, alias: str) -> None:
-        """Become a new incarnation, whose start is on disk; with `alias`, under that name."""
+        """Become a new incarnation, whose start count is on disk; with `alias`, under that name."""
         self._renewal_pending = False
         self._renewals += 1
         if alias:
@@ -210,7 +209,7 @@
     # Timers.
 
     def _on_stall(self, duration: int, now: int) -> None:
-        """This process didn't run, so answers may lie unread: no probe counts, suspicions last longer."""
+        """This process didn't run and may have unread answers: abandon the probe, postpone the end of suspicions."""
         self._prober.abandon(now)
         self._suspicions.postpone(duration)
 
@@ -225,11 +224,11 @@
 
     def _on_sync_timer(self, _subject: None, now: int) -> Actions:
         self._timers.set(now + self._timing.sync_period, TimerKind.SYNC)
-        partners = self._chance.pick("sync", self.reachable())
+        partners = self._random_source.pick("sync", self.reachable())
         return [Send(m.name, "", FullState(self._members.all(), True)) for m in partners]
 
     def _on_reconnect_timer(self, _subject: None, now: int) -> Actions:
-        """Try dead members and configured addresses again: partitions may outlast a suspicion.
+        """Try dead members and configured addresses again, as a partition may last longer than a suspicion.
 
         While joining, all of them are tried: fronts that start together may have met only one another.
         """
@@ -239,20 +238,20 @@
         self._timers.set(now + period, TimerKind.RECONNECT)
         dead = [m.address for m in self.known.values() if m.state == MemberState.DEAD]
         addresses = sorted(dead + unmet)
-        picked = self._chance.pick("reach", addresses, len(addresses) if joining else 1)
+        picked = self._random_source.pick("reach", addresses, len(addresses) if joining else 1)
         return [Send("", address, FullState(self._members.all(), True)) for address in picked]
 
     # Updates.
 
     def _report(self, member: Member, state: MemberState, now: int) -> Actions:
-        """Take what this front itself found of a member."""
+        """Apply a state that this front itself found of a member."""
         return self._apply(member._replace(state=int(state), reported_by=self.own.name), now)
 
     def _apply_all(self, updates: list[Member], now: int) -> Actions:
         return [action for update in updates for action in self._apply(update, now)]
 
     def _apply(self, update: Member, now: int) -> Actions:
-        """Take an update if it overrides what is known."""
+        """Apply an update if it overrides the known record."""
         if update.name == self.own.name:
             return self._apply_own(update)
         before = self.known.get(update.name)
@@ -270,23 +269,23 @@
 
     def _after_change(self, update: Member, before: Member | None, now: int) -> Actions:
         if update.state == MemberState.ALIVE and self._process_ends.has_ended(update):
-            # Messages sent before the end may arrive after it: they don't make the member alive unchecked.
+            # Messages sent before the process ended may arrive later: its port is checked before it counts as alive.
             return list(self._process_ends.check_port(update.name, now))
         if update.state == MemberState.DEAD and before is not None and before.is_reachable:
-            # Notified at once by each member that learns it: piggybacked alone it takes seconds to reach all.
+            # Each member that learns of it notifies others at once: piggybacking alone takes seconds to reach all.
             self._process_ends.forget_refusals(update.name)
-            receivers = self._chance.pick("gone", self.reachable(), self._timing.helpers)
+            receivers = self._random_source.pick("gone", self.reachable(), self._timing.helpers)
             return [Send(m.name, "", FullState([update], False)) for m in receivers]
         if update.state == MemberState.SUSPECT:
             self._suspicions.begin(update, now)
         return []
 
     def _apply_own(self, update: Member) -> Actions:
-        """Refute what others say of this front, or find that another process has its name."""
+        """Refute updates on this front, or detect that another process has its name."""
         if update.incarnation == self.own.incarnation:
             return self._refute(update)
         if update.incarnation < self.own.incarnation:
-            # An earlier process of this front, or another of its name that hasn't learned of this one.
+            # From an earlier process of this front, or another of its name that hasn't learned of this one.
             self._members.announce_own()
             return []
         if self._renewal_pending:
@@ -306,14 +305,14 @@
         return [DeclaredDead()] if update.state >= MemberState.DEAD else []
 
     def _name_conflict(self, update: Member) -> NameConflict:
-        """One process takes an alias if both are alive: else each would exceed the other's incarnation for ever."""
+        """If both processes are alive, one takes an alias: else they would outbid each other's incarnation for ever."""
         own_bits = self.own.incarnation & RANDOM_BITS_MASK
         other_bits = update.incarnation & RANDOM_BITS_MASK
         alias = f"{self.own.name}~{own_bits:08x}" if self._renewals and own_bits > other_bits else ""
         return NameConflict(self.own.incarnation, update.incarnation, update.incarnation >> START_BITS, alias)
 
     def _make_room(self) -> bool:
-        """Tell whether a new member can be kept; one that left or is dead is forgotten for it."""
+        """Tell whether a new member can be added; one that left or is dead is removed for it if needed."""
         if not self._members.is_full():
             return True
         removed = self._members.remove_unreachable()
--- a/sprucegate/fleet/failure_detector/member.py
+++ b/sprucegate/fleet/failure_detector/member.py
@@ -15,7 +15,7 @@
     LEFT = 3
 
 
-# The words of log lines and of the command line's answers.
+# The words in log lines and in answers to the command line.
 MEMBER_STATE_WORDS = {
     MemberState.ALIVE: "alive",
     MemberState.SUSPECT: "suspect",
@@ -25,11 +25,11 @@
 
 
 class Member(NamedTuple):
-    """What is known of a member, and who reported it. The order of the fields is that of the wire format.
+    """The record of a member. The order of the fields is that of the wire format.
 
     :ivar name: name in the fleet, unique among members
     :ivar address: "HOST:PORT" of its fleet port
-    :ivar incarnation: number of its process: count of starts kept on disk << 32 | random 32 bits of that start
+    :ivar incarnation: of its process: count of starts kept on disk << 32 | 32 random bits of that start
     :ivar refutation: how often it refuted a suspicion in this incarnation (SWIM's incarnation number)
     :ivar state: a MemberState, as a number
     :ivar reported_by: name of the member that reported this state
--- a/sprucegate/fleet/failure_detector/member_list.py
+++ b/sprucegate/fleet/failure_detector/member_list.py
@@ -1,4 +1,4 @@
-"""The members that this front knows, and which of their updates are still to be disseminated."""
+"""The known members, and which of their updates are still to be disseminated."""
 
 from typing import Any
 
@@ -32,7 +32,7 @@
         return [m for _, m in sorted(self.known.items())]
 
     def put(self, member: Member) -> None:
-        """Keep a record and disseminate it."""
+        """Store a record and disseminate it."""
         self.known[member.name] = member
         self._transmissions[member.name] = 0
 
@@ -42,7 +42,7 @@
         self.put(self.own)
 
     def rename_own(self, name: str) -> None:
-        """Go on under another name."""
+        """Change the name of this front's own record; `change_own` then disseminates it."""
         self.known.pop(self.own.name, None)
         self.own = self.own._replace(name=name)
 
@@ -51,7 +51,7 @@
         self._transmissions[self.own.name] = 0
 
     def is_full(self) -> bool:
-        """Tell whether a new member needs the place of another."""
+        """Tell whether a member has to be removed before a new one is added."""
         return len(self.known) >= MEMBERS_MAX
 
     def remove_unreachable(self) -> str | None:
@@ -64,10 +64,10 @@
         return name
 
     def updates_for(self, receiver: str) -> list[Member]:
-        """Return the updates to piggyback on a message: the receiver's own if accused, then those sent least.
+        """Return the updates to piggyback on a message: the receiver's own unless alive, then those sent least often.
 
-        Lifeguard's buddy system: a suspected member learns first that it is suspected. The receiver's own update
-        goes to it as well: another process of the same name learns by it that there is a later incarnation.
+        Lifeguard's buddy system: a suspected member is the first to learn that it is suspected. The receiver's own
+        update is sent to it as well, so that another process of the same name learns of the later incarnation.
         """
         limit = self._timing.transmissions(self.size())
         for name in [name for name, times in self._transmissions.items() if times >= limit]:
--- a/sprucegate/fleet/failure_detector/messages.py
+++ b/sprucegate/fleet/failure_detector/messages.py
@@ -6,7 +6,7 @@
 
 
 class Ping(NamedTuple):
-    """A probe: the receiver answers with Ack if it bears the name `to`.
+    """A probe: the receiver answers with Ack if its name is `to`.
 
     :ivar number: of the probe, given by the sender
     :ivar to: name of the member that is probed; another one may have its address now
@@ -34,7 +34,7 @@
 
 
 class PingRequest(NamedTuple):
-    """SWIM's ping-req: the receiver is asked to probe `target` and to pass its answer on."""
+    """SWIM's ping-req: asks the receiver to probe `target` and to relay its answer."""
 
     number: int
     target: str
--- a/sprucegate/fleet/failure_detector/prober.py
+++ b/sprucegate/fleet/failure_detector/prober.py
@@ -12,11 +12,11 @@
 from sprucegate.fleet.random_source import RandomSource
 
 RELAYS_MAX = 100
-RELAY_LIFETIME_ACK_TIMEOUTS = 4  # how long a relayed probe's answer is passed on
+RELAY_LIFETIME_ACK_TIMEOUTS = 4  # how long the answer to a relayed probe is passed on, in ack timeouts
 
 
 class Probe(NamedTuple):
-    """The probe under way: its target, number and the target's incarnation."""
+    """The current probe: its target, its number and the target's incarnation."""
 
     target: str
     number: int
@@ -24,28 +24,28 @@
 
 
 class Relay(NamedTuple):
-    """A probe made for another member: who requested it, and under which number."""
+    """A probe made for another member: who requested it, and the number of the request."""
 
     requester: str
     number: int
 
 
 class Prober:
-    """Probes one member a period in a random order, each once a round, and helps others to probe.
+    """Probes one member per period, each member once per round in random order, and probes on behalf of others.
 
     :ivar local_health: Lifeguard's local health multiplier; 0 is healthy, higher values lengthen periods and timeouts
     :ivar digest: of this front's replicated records, sent with each probe
     """
 
     def __init__(
-        self, members: MemberList, timers: TimerQueue, timing: DetectorTiming, chance: RandomSource
+        self, members: MemberList, timers: TimerQueue, timing: DetectorTiming, random_source: RandomSource
     ) -> None:
         self.local_health = 0
         self.digest = 0
         self._members = members
         self._timers = timers
         self._timing = timing
-        self._chance = chance
+        self._random_source = random_source
         self._numbers = count(1)
         self._probe: Probe | None = None
         self._nacks = 0
@@ -53,11 +53,11 @@
         self._relays: dict[int, Relay] = {}
 
     def worsen_health(self) -> None:
-        """Count a sign that this process itself is slow."""
+        """Raise the local health multiplier after a sign that this process itself is slow."""
         self.local_health = min(self._timing.local_health_max, self.local_health + 1)
 
     def abandon(self, now: int) -> None:
-        """End the probe under way without a result: this process didn't run meanwhile."""
+        """Abandon the current probe without a result, as this process didn't run meanwhile."""
         self._probe = None
         self.worsen_health()
         self._timers.clear((TimerKind.PROBE, TimerKind.ASK_HELPERS))
@@ -69,7 +69,7 @@
             return None
         target = self._members.known.get(self._probe.target)
         helpers = min(self._timing.helpers, max(0, len(self._members.reachable()) - 1))
-        # Helpers that send neither an answer nor a Nack indicate that this process receives too little.
+        # Helpers that send neither Ack nor Nack indicate that this process itself fails to receive messages.
         missed = helpers - self._nacks if helpers else 1
         if missed > 0:
             self.worsen_health()
@@ -98,7 +98,7 @@
         others = [m for m in self._members.reachable() if m.name != target and m.state == MemberState.ALIVE]
         return [
             Send(m.name, "", PingRequest(number, target, self._members.updates_for(m.name)))
-            for m in self._chance.pick("helpers", others, self._timing.helpers)
+            for m in self._random_source.pick("helpers", others, self._timing.helpers)
         ]
 
     def on_ping_request(self, sender: str, message: PingRequest, now: int) -> list[Send]:
@@ -109,14 +109,13 @@
         number = next(self._numbers)
         self._relays[number] = Relay(sender, message.number)
         ack_timeout = self._timing.ack_timeout
-        self._timers.set(
-            now + ack_timeout * 4 // 5, TimerKind.SEND_NACK, number
-        )  # before the requester gives up
+        # At 4/5 of the timeout, so that the Nack arrives before the requester gives up.
+        self._timers.set(now + ack_timeout * 4 // 5, TimerKind.SEND_NACK, number)
         self._timers.set(now + RELAY_LIFETIME_ACK_TIMEOUTS * ack_timeout, TimerKind.FORGET_RELAY, number)
         return [self._ping(target.name, number)]
 
     def on_ack(self, sender: str, message: Ack) -> list[Send | ProbeAnswered]:
-        """Pass a relayed probe's answer on, or count the own probe as answered."""
+        """Relay the answer to a requested probe, or end this front's own probe as answered."""
         if (relay := self._relays.pop(message.number, None)) is not None:
             return [Send(relay.requester, "", Ack(relay.number, message.digest, []))]
         if self._probe is None or self._probe.number != message.number:
@@ -127,17 +126,17 @@
         return [ProbeAnswered(target, sender == target)]
 
     def on_nack(self, message: Nack) -> None:
-        """Count a helper that was reached."""
+        """Count a helper that answered the request."""
         if self._probe is not None and self._probe.number == message.number:
             self._nacks += 1
 
     def on_send_nack(self, number: int, _now: int) -> list[Send]:
-        """The target of a relayed probe hasn't answered yet: tell the requester that this helper is there."""
+        """The target of a relayed probe hasn't answered yet: send a Nack, which shows that this helper is up."""
         relay = self._relays.get(number)
         return [Send(relay.requester, "", Nack(relay.number))] if relay is not None else []
 
     def on_forget_relay(self, number: int, _now: int) -> list[Send]:
-        """Stop passing a relayed probe's answer on."""
+        """Stop relaying the answer to a requested probe."""
         self._relays.pop(number, None)
         return []
 
@@ -146,7 +145,7 @@
         self._round = [name for name in self._round if name in known and known[name].is_reachable]
         if not self._round:
             names = [m.name for m in self._members.reachable()]
-            self._round = self._chance.pick("round", names, len(names))
+            self._round = self._random_source.pick("round", names, len(names))
         return known[self._round.pop()] if self._round else None
 
     def _ping(self, target: str, number: int) -> Send:
--- a/sprucegate/fleet/failure_detector/process_end.py
+++ b/sprucegate/fleet/failure_detector/process_end.py
@@ -1,6 +1,6 @@
-"""Ends of processes that reset their connections and whose port refuses: found well before a probe times out.
+"""Detects ended processes by reset connections and a port that refuses new ones, well before a probe times out.
 
-A refusal seen by one front alone doesn't end a member: this front and another have to be refused.
+A refusal seen by one front alone doesn't make a member dead: this front and another one have to be refused.
 """
 
 from typing import NamedTuple
@@ -14,20 +14,20 @@
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.units import SECOND
 
-NEVER_NS = -30 * SECOND  # stands for the last check of a port that was never checked
+NEVER_NS = -30 * SECOND  # the time of the last check for a port that was never checked
 WITNESSES_NEEDED = 2  # this front and another
 WITNESSES_KEPT = 3  # besides the latest
 
 
 class Refusals(NamedTuple):
-    """Which members were refused by one incarnation of a member."""
+    """The witnesses: which members were refused by one incarnation of a member."""
 
     incarnation: int
     witnesses: tuple[str, ...]
 
 
 class RefusalRepeat(NamedTuple):
-    """A refusal that is to be sent again if nobody confirmed it, and how often it was sent then."""
+    """A refusal that is sent again unless confirmed; `times`: how often it was sent before."""
 
     name: str
     incarnation: int
@@ -38,15 +38,15 @@
 
 
 class ProcessEnds:
-    """Checks of ports and the refusals that this front and others report."""
+    """Checks members' ports and collects the refusals that this front and others report."""
 
     def __init__(
-        self, members: MemberList, timers: TimerQueue, timing: DetectorTiming, chance: RandomSource
+        self, members: MemberList, timers: TimerQueue, timing: DetectorTiming, random_source: RandomSource
     ) -> None:
         self._members = members
         self._timers = timers
         self._timing = timing
-        self._chance = chance
+        self._random_source = random_source
         self._refusals: dict[str, Refusals] = {}
         self._checked_at: dict[str, int] = {}
         self._ended: dict[str, int] = {}
@@ -67,7 +67,7 @@
         return [CheckPort(name, member.address, member.incarnation)]
 
     def on_refused(self, name: str, incarnation: int, witness: str, now: int) -> list[Send | CheckPort]:
-        """Count a refusal seen by `witness`, and let others (or this front, if it is another's) check as well."""
+        """Record a refusal seen by `witness`, and have others check too, or this front if it is another's refusal."""
         if self._reachable(name, incarnation) is None or name == self._members.own.name:
             return []
         own = self._members.own.name
@@ -83,7 +83,7 @@
         return [] if own in before else self.check_port(name, now)
 
     def take_confirmed(self, name: str, incarnation: int) -> Member | None:
-        """Return the member if this front and another were refused; its end is remembered then."""
+        """Return the member if this front and another were refused, and remember that its process ended."""
         member = self._reachable(name, incarnation)
         witnesses = self._witnesses(name, incarnation)
         if member is None or self._members.own.name not in witnesses or len(witnesses) < WITNESSES_NEEDED:
@@ -92,7 +92,7 @@
         return member
 
     def on_repeat(self, repeat: RefusalRepeat, now: int) -> list[Send | CheckPort]:
-        """Send an unconfirmed refusal again: it may be lost, or others' connections may last a little longer."""
+        """Send an unconfirmed refusal again: it may be lost, or others' connections may be reset a little later."""
         name, incarnation, times = repeat
         if (
             self._reachable(name, incarnation) is None
@@ -109,11 +109,11 @@
         return self._ended.get(member.name) == member.incarnation
 
     def forget_refusals(self, name: str) -> None:
-        """Forget who was refused by that member."""
+        """Forget the refusals by that member."""
         self._refusals.pop(name, None)
 
     def forget(self, name: str) -> None:
-        """Forget all of a member that is no longer known."""
+        """Forget everything about a member that is no longer known."""
         for table in (self._refusals, self._ended, self._checked_at):
             table.pop(name, None)
 
@@ -133,5 +133,5 @@
     def _notify(self, others: list[Member], name: str, incarnation: int) -> list[Send | CheckPort]:
         return [
             Send(m.name, "", ConnectionRefused(name, incarnation))
-            for m in self._chance.pick("refused", others, self._timing.helpers)
+            for m in self._random_source.pick("refused", others, self._timing.helpers)
         ]
--- a/sprucegate/fleet/failure_detector/suspicion.py
+++ b/sprucegate/fleet/failure_detector/suspicion.py
@@ -16,7 +16,7 @@
 
 
 class Suspicions:
-    """The suspected members, who accuses each, and the timeouts."""
+    """The suspected members, the accusers of each, and the timeouts."""
 
     def __init__(self, members: MemberList, timers: TimerQueue, timing: DetectorTiming) -> None:
         self._members = members
@@ -26,14 +26,14 @@
         self._times: dict[str, SuspicionTime] = {}
 
     def begin(self, update: Member, now: int) -> None:
-        """A member is suspected from now on."""
+        """Begin the suspicion of a member."""
         self._accusers[update.name] = {update.reported_by}
         times_out_at = now + self._timing.suspicion_timeout(self._members.size(), 1)
         self._times[update.name] = SuspicionTime(now, times_out_at)
         self._timers.set(times_out_at, TimerKind.SUSPICION, update.name)
 
     def end(self, name: str) -> None:
-        """A member is no longer suspected as before."""
+        """End the suspicion of a member, if there is one."""
         self._accusers.pop(name, None)
         self._times.pop(name, None)
 
@@ -46,7 +46,7 @@
         )
 
     def add_accuser(self, update: Member, now: int) -> None:
-        """Count one more accuser, each once: it shortens the timeout and is disseminated."""
+        """Add an accuser, unless counted already: it shortens the timeout and is disseminated."""
         accusers = self._accusers[update.name]
         if update.reported_by in accusers or len(accusers) > self._timing.accusers_max:
             return
@@ -58,7 +58,7 @@
         self._timers.set(max(now, times_out_at), TimerKind.SUSPICION, update.name)
 
     def postpone(self, duration: int) -> None:
-        """Give each suspected member that many ns more."""
+        """Prolong all suspicions by `duration` ns."""
         self._timers.clear((TimerKind.SUSPICION,))
         for name, (began_at, times_out_at) in self._times.items():
             self._times[name] = SuspicionTime(began_at + duration, times_out_at + duration)
--- a/sprucegate/fleet/failure_detector/timers.py
+++ b/sprucegate/fleet/failure_detector/timers.py
@@ -1,4 +1,4 @@
-"""The failure detector's timers: a queue by time, in order of setting where times are equal."""
+"""The failure detector's timers: a priority queue by deadline, first in, first out for equal deadlines."""
 
 import heapq
 from collections.abc import Collection
@@ -13,7 +13,7 @@
     PROBE = auto()  # end a probe period and begin the next
     ASK_HELPERS = auto()  # the target of a probe hasn't answered directly
     SEND_NACK = auto()  # the target of a helper's probe hasn't answered
-    FORGET_RELAY = auto()  # a helper's probe counts no more
+    FORGET_RELAY = auto()  # the answer to a relayed probe is no longer passed on
     SUSPICION = auto()  # a suspicion may have timed out
     SYNC = auto()  # exchange the full state
     RECONNECT = auto()  # try a dead or not yet known member
@@ -21,7 +21,7 @@
 
 
 class Timer(NamedTuple):
-    """A timer that is set: when it expires in ns, its place among equal times, its kind and subject."""
+    """A timer that is set: its deadline in ns, its order among equal deadlines, its kind and subject."""
 
     deadline: int
     order: int
@@ -30,7 +30,7 @@
 
 
 class TimerQueue:
-    """Timers by deadline. A timer can't be cancelled alone: its handler ignores what is out of date."""
+    """Timers by deadline. A timer can't be cancelled alone: its handler ignores outdated ones."""
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
