--- a/sprucegate/fleet/membership_view/health_state.py
+++ b/sprucegate/fleet/membership_view/health_state.py
@@ -6,14 +6,14 @@
 
 
 class HealthState(IntEnum):
-    """Health of another front, by all that is known of it.
+    """Health of another front, from all that is known of it.
 
     :cvar LIVE: it answers
-    :cvar SUSPECT: it is suspected, or has been back for too short a time
+    :cvar SUSPECT: it is suspected, or has not been alive for long enough since
     :cvar ONE_WAY: its frames arrive though it is suspected or dead: it probably receives nothing
-    :cvar CUT_OFF: others reach it and this front doesn't, or the consensus log doesn't count it
-    :cvar FLAPPING: it was lost too often of late
-    :cvar LEAVING: it announced that it stops
+    :cvar CUT_OFF: only other fronts reach it, or it isn't among the fronts of the consensus log
+    :cvar FLAPPING: it was lost too often recently
+    :cvar LEAVING: it announced that it leaves
     :cvar GONE: it is dead
     :cvar OTHER_BUILD: it speaks another version of the protocol
     """
@@ -28,7 +28,7 @@
     OTHER_BUILD = 7
 
 
-# The words of log lines; answers of the command line have "-" in place of "_".
+# The words in log lines; answers to the command line have "-" in place of "_".
 HEALTH_STATE_LOG_WORDS = {
     HealthState.LIVE: "live",
     HealthState.SUSPECT: "suspect",
@@ -50,13 +50,13 @@
 
 
 class FleetState(Enum):
-    """The state of this front in its fleet; the values are the words of log lines and answers.
+    """The state of this front in its fleet; the values are the words in log lines and answers.
 
     :cvar WHOLE: all fronts are reachable
     :cvar PART: some are
     :cvar ALONE: none of the others is
-    :cvar STOOD_STILL: this process didn't run for a while and has not read all that arrived
-    :cvar RETURNING: this front has not caught up with the replicated records
+    :cvar STOOD_STILL: this process stalled and may not have read all that arrived meanwhile
+    :cvar RETURNING: this front has not yet caught up with the replicated records
     """
 
     WHOLE = "whole"
--- a/sprucegate/fleet/membership_view/peer_health.py
+++ b/sprucegate/fleet/membership_view/peer_health.py
@@ -1,6 +1,6 @@
-"""The health of one front, by all that is known of it. Times in ns.
+"""The health of one front, from the failure detector, connections and the consensus log. Times in ns.
 
-The failure detector, connections and the consensus log may contradict each other; `PeerHealth.health` decides.
+The three may contradict each other; `PeerHealth.health` decides.
 """
 
 from math import log2
@@ -12,8 +12,8 @@
 
 FRAME_RECENT_NS = 1500 * MILLISECOND
 FRAME_TRANSIT_NS = 100 * MILLISECOND  # an earlier frame may have been sent before the suspicion
-INDIRECT_PROBES_MIN = 2  # in a row, for CUT_OFF
-JOIN_NS = 2 * SECOND  # in which a new front may be missing in the consensus log
+INDIRECT_PROBES_MIN = 2  # consecutive ones, for CUT_OFF
+JOIN_NS = 2 * SECOND  # for which a new front may be missing in the consensus log
 
 # Route flap damping (RFC 2439): each loss adds 1 to a penalty that halves every half-life.
 PENALTY_HALF_LIFE_NS = 30 * SECOND
@@ -34,14 +34,14 @@
 
 
 class PeerHealth:
-    """What is known of one front.
+    """Evidence on the health of one front.
 
-    :ivar member_health: what the failure detector says
+    :ivar member_health: the failure detector's result
     :ivar incarnation: of the front's process, 0 if unknown
-    :ivar last_frame_at: when a frame of it arrived last
-    :ivar indirect_probes: probes in a row that only helpers saw answered
+    :ivar last_frame_at: when the last frame from it arrived
+    :ivar indirect_probes: consecutive probes that were answered only through helpers
     :ivar other_version: whether it speaks another version of the protocol
-    :ivar damped: whether it is kept out for flapping
+    :ivar damped: whether it is suppressed for flapping
     """
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         self._penalty_at = 0
 
     def on_member_changed(self, member: Member, now: int) -> None:
-        """The failure detector's record changed."""
+        """Take a changed record of the failure detector."""
         health = HEALTH_STATE_OF_MEMBER[MemberState(member.state)]
         restarted = member.incarnation != self.incarnation
         if not self.incarnation:
@@ -81,7 +81,7 @@
         return self._penalty_at + int(PENALTY_HALF_LIFE_NS * half_lives)
 
     def health(self, in_log: bool | None, now: int) -> HealthReport:
-        """Return the health; `in_log`: whether the consensus log counts it, None if the log can't tell."""
+        """Return the health; `in_log`: whether the consensus log lists the front, None if the log is unknown."""
         if self.damped and now >= self.damped_until():
             self.damped = False
         if self.other_version:
@@ -97,7 +97,7 @@
         return HealthReport(HealthState.LIVE, self._source)
 
     def next_change_at(self, in_log: bool | None, now: int) -> int | None:
-        """Return when time alone changes the health, or None."""
+        """Return when the health changes by the passage of time alone, or None."""
         times = [self.damped_until()] if self.damped else []
         if self.member_health in (HealthState.SUSPECT, HealthState.GONE) and self._frame_after_suspicion():
             times.append(self.last_frame_at + FRAME_RECENT_NS)
--- a/sprucegate/fleet/membership_view/tracker.py
+++ b/sprucegate/fleet/membership_view/tracker.py
@@ -1,4 +1,4 @@
-"""One view of the fleet, from the failure detector, connections and the consensus log: events in, actions out."""
+"""Computes the view of the fleet from failure detector, connections and consensus log: events in, actions out."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -11,8 +11,8 @@
 from sprucegate.units import SECOND
 
 HOLD_DOWN_NS = 1 * SECOND  # a front has to be LIVE for this long before it counts as LIVE
-STALL_RECOVERY_NS = 1 * SECOND  # after a stall; what arrived meanwhile is read by then
-FORGET_NS = 600 * SECOND
+STALL_RECOVERY_NS = 1 * SECOND  # after a stall, to read what arrived meanwhile
+FORGET_NS = 600 * SECOND  # after which a front that is gone or left is forgotten
 NO_DEADLINE_NS = 1 << 62
 
 
@@ -20,7 +20,7 @@
     """The health of another front in a view.
 
     :ivar health: the health state
-    :ivar source: who it is based on, see `peer_health.HealthReport`
+    :ivar source: what it is based on, see `peer_health.HealthReport`
     :ivar since: when it began, in ns
     :ivar incarnation: of the front's process
     """
@@ -34,7 +34,7 @@
 class MembershipView(NamedTuple):
     """A view of the fleet at one time.
 
-    :ivar number: counts this front's views
+    :ivar number: count of this front's views so far
     :ivar agreed: index of the consensus log's entry that it is based on; 0 if this front follows no log
     :ivar state: this front's state
     :ivar share: part of the fleet's fronts that are reachable, this one included, up to 1
@@ -48,30 +48,30 @@
     rows: dict[str, ViewRow]
 
     def allows(self, action: PeerAction, name: str) -> bool:
-        """Tell whether the action is allowed with regard to that front."""
+        """Tell whether the action is allowed towards that front."""
         row = self.rows.get(name)
         return row is not None and degraded_mode.allows(action, row.health)
 
     def names(self, action: PeerAction) -> list[str]:
-        """Return the fronts with regard to which the action is allowed, by name."""
+        """Return the sorted names of the fronts towards which the action is allowed."""
         return sorted(name for name, row in self.rows.items() if degraded_mode.allows(action, row.health))
 
     def allows_own(self, action: OwnAction) -> bool:
-        """Tell whether this front may do the action."""
+        """Tell whether this front may perform the action."""
         return degraded_mode.allows_own(action, self.state)
 
 
 class ViewChanged(NamedTuple):
-    """There is a new view; `changed` names the fronts whose health or incarnation is another."""
+    """There is a new view; `changed` names the fronts whose health or incarnation changed."""
 
     view: MembershipView
     changed: tuple[str, ...]
 
 
 class ViewTracker:
-    """Makes views. A front's worse health counts at once, LIVE only after HOLD_DOWN_NS. `now` in ns.
+    """Computes views. A worse health of a front counts at once, LIVE only after HOLD_DOWN_NS. `now` in ns.
 
-    :ivar known: what is known of each front
+    :ivar known: the evidence on each front
     :ivar view: the current view
     :ivar deadline: when `on_timer` is to be called; events set it to now
     """
@@ -89,14 +89,14 @@
         self._returning = True
 
     def on_member_changed(self, member: Member, now: int) -> None:
-        """The failure detector's record of a front changed."""
+        """Take a changed record of the failure detector."""
         if member.name not in self.known and len(self.known) >= MEMBERS_MAX:
             return
         self.known.setdefault(member.name, PeerHealth()).on_member_changed(member, now)
         self.deadline = now
 
     def on_frame(self, name: str, now: int) -> None:
-        """A frame arrived from that front itself."""
+        """Note that a frame arrived from that front itself."""
         peer = self.known.get(name)
         if peer is None:
             return
@@ -106,7 +106,7 @@
             self.deadline = now
 
     def on_probe_answered(self, name: str, direct: bool, now: int) -> None:
-        """A probe was answered, by the front itself or only through a helper."""
+        """Note an answered probe: by the front itself (`direct`) or only through a helper."""
         peer = self.known.get(name)
         if peer is None:
             return
@@ -115,19 +115,19 @@
             self.deadline = now
 
     def on_other_version(self, name: str, now: int) -> None:
-        """A front speaks another version of the protocol."""
+        """Note that a front speaks another version of the protocol."""
         peer = self.known.get(name)
         if peer is not None:
             peer.other_version = True
             self.deadline = now
 
     def on_stall(self, now: int) -> None:
-        """This process didn't run for a while."""
+        """Note that this process stalled."""
         self._stalled_until = now + STALL_RECOVERY_NS
         self.deadline = now
 
     def on_caught_up(self, now: int) -> None:
-        """This front has caught up with the replicated records."""
+        """Note that this front has caught up with the replicated records."""
         self._returning = False
         self.deadline = now
 
@@ -146,7 +146,7 @@
         return self.deadline
 
     def on_timer(self, now: int) -> list[ViewChanged]:
-        """Make a new view if anything changed."""
+        """Compute a new view if anything changed."""
         if now < self.deadline:
             return []
         self.deadline = NO_DEADLINE_NS
@@ -165,7 +165,7 @@
         return [ViewChanged(self.view, tuple(changed))]
 
     def _update(self, name: str, peer: PeerHealth, log_fronts: Mapping[str, int] | None, now: int) -> bool:
-        """Tell whether the front's row changed."""
+        """Recompute a front's row; tell whether it changed."""
         in_log = None if log_fronts is None else log_fronts.get(name) == peer.incarnation
         report = self._hold_down(name, peer, peer.health(in_log, now), now)
         change_at = peer.next_change_at(in_log, now)
@@ -178,7 +178,7 @@
         return True
 
     def _hold_down(self, name: str, peer: PeerHealth, report: HealthReport, now: int) -> HealthReport:
-        """Return the row's former health, or SUSPECT for a new process, until LIVE has held long enough."""
+        """Return the previous health, or SUSPECT for a new process, until the front has been LIVE for HOLD_DOWN_NS."""
         row = self._rows.get(name)
         if report.health is not HealthState.LIVE:
             self._live_since.pop(name, None)
@@ -221,7 +221,7 @@
         return FleetState.PART if reachable else FleetState.ALONE
 
     def _is_part_of_fleet(self, name: str, row: ViewRow) -> bool:
-        """A front that left isn't, nor one that is dead and that the consensus log has removed."""
+        """Tell whether a front counts: not if it left, nor if it is dead and the consensus log has removed it."""
         if row.health is HealthState.LEAVING:
             return False
         removed = self._log_fronts is not None and not self._fenced and name not in self._log_fronts
