--- a/sprucegate/storage/disk.py
+++ b/sprucegate/storage/disk.py
@@ -1,6 +1,6 @@
-"""The disk calls that durable state is kept by: each is one boundary at which a test may fail or stop the program.
+"""The disk calls used for durable state. At each of them a test may inject a fault or a crash.
 
-Errors are OSError as the system calls raise them; the callers that keep state turn them into values.
+Errors are OSError as the system calls raise them; `AppendLog.append` and `SnapshotStore.save` return them as text.
 """
 
 import errno
@@ -11,30 +11,30 @@
 
 
 class Disk:
-    """The real disk. Paths are strings, as a test's disk in memory uses them as keys; handles are file descriptors."""
+    """The real disk. Paths are strings, as tests' in-memory disk uses them as keys; handles are file descriptors."""
 
     def names(self, folder: str) -> list[str]:
-        """Return the sorted names in a folder; none where it is missing."""
+        """Return the sorted names in a folder; none if it is missing."""
         try:
             return sorted(entry.name for entry in Path(folder).iterdir())
         except FileNotFoundError:
             return []
 
     def read(self, path: str, max_bytes: int) -> bytes:
-        """Return up to `max_bytes` + 1 bytes of a file: the one more tells the caller that the file is too large."""
+        """Return up to `max_bytes` + 1 bytes of a file: the extra one shows that the file is too large."""
         with Path(path).open("rb") as file:
             return file.read(max_bytes + 1)
 
     def make_folder(self, folder: str) -> None:
-        """Create a folder and its parents; one that exists is left as it is."""
+        """Create a folder and its parents, unless it exists."""
         Path(folder).mkdir(parents=True, exist_ok=True)
 
     def create(self, path: str) -> int:
-        """Open a new, empty file for writing, and truncate one that exists; return its handle."""
+        """Open an empty file for writing, truncating one that exists; return its handle."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, CREATED_FILE_MODE)
 
     def append(self, path: str) -> int:
-        """Open a file for writes at its end, and create it where it is missing; return its handle."""
+        """Open a file for appending, and create it if it is missing; return its handle."""
         return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, CREATED_FILE_MODE)
 
     def write(self, handle: int, data: bytes | memoryview) -> int:
@@ -50,11 +50,11 @@
         os.close(handle)
 
     def truncate(self, path: str, size: int) -> None:
-        """Cut a file to its first `size` bytes."""
+        """Truncate a file to its first `size` bytes."""
         os.truncate(path, size)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file atomically over whatever has the new name."""
+        """Rename a file atomically, replacing one that has the new name."""
         Path(old).replace(new)
 
     def remove(self, path: str) -> None:
@@ -62,7 +62,7 @@
         Path(path).unlink()
 
     def sync_folder(self, folder: str) -> None:
-        """Wait until the folder's entries are on the disk: names that were created, renamed or removed."""
+        """Wait until created, renamed and removed names of a folder are on the disk (fsync)."""
         handle = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(handle)
@@ -73,21 +73,21 @@
 def write_all(disk: Disk, handle: int, data: bytes) -> None:
     """Write all of `data`, repeating short writes.
 
-    Raises OSError (ENOSPC) for a write that accepts nothing without an error of its own, as no repetition would end.
+    Raises OSError (ENOSPC) if a write accepts nothing but reports no error, as the loop would not end.
     """
     remaining = memoryview(data)
     while remaining:
         written = disk.write(handle, remaining)
         if not written:
-            raise OSError(errno.ENOSPC, "no byte was taken")
+            raise OSError(errno.ENOSPC, "a write accepted no data")
         remaining = remaining[written:]
 
 
 def replace_file(disk: Disk, folder: str, name: str, data: bytes) -> None:
-    """Replace a file atomically and durably: after a crash at any point it is whole, the new one or the former one.
+    """Replace a file atomically and durably: after a crash at any point either the new or the former file is complete.
 
     The data goes to a file with the suffix `.new`, is synced and renamed, and the folder is synced. Raises OSError;
-    the former file then stands unless only the last sync failed.
+    the former file then remains, unless only the last sync failed.
     """
     path = str(Path(folder) / name)
     temporary_path = path + ".new"
--- a/sprucegate/storage/log.py
+++ b/sprucegate/storage/log.py
@@ -1,4 +1,4 @@
-"""An append-only log of checksummed records: synced at each append, read after a crash up to its last whole record."""
+"""An append-only log of checksummed records: synced at each append, recovered up to its last complete record."""
 
 from pathlib import Path
 
@@ -12,10 +12,10 @@
 class AppendLog:
     """One log file with one writer. `recover` has to be called once, before the first append.
 
-    After a failed write or sync nothing more is appended, as records after a torn one would be lost to a reader.
+    After a failed write or sync nothing more is appended, as a reader can't find records after a torn one.
 
-    :ivar size: length of the file in bytes, as far as it is known to be whole.
-    :ivar fault: the first failure of an append as text, or None; it stays for good.
+    :ivar size: length in bytes of the part of the file that holds complete records.
+    :ivar fault: the first failure of an append as text, or None; it is never reset.
     """
 
     def __init__(self, disk: Disk, path: str, max_bytes: int = LOG_BYTES_MAX) -> None:
@@ -27,9 +27,9 @@
         self.fault: str | None = None
 
     def recover(self) -> ScanResult:
-        """Return the whole records, cut off the torn rest, and open the file for appends; it is created if missing.
+        """Return the complete records, truncate the file after them, and open it for appending; created if missing.
 
-        Raises OSError where the file can't be read, truncated or opened.
+        Raises OSError if the file can't be read, truncated or opened.
         """
         try:
             data = self.disk.read(self.path, self.max_bytes)
@@ -44,10 +44,10 @@
         return scanned
 
     def append(self, *payloads: bytes) -> str | None:
-        """Write and sync records; return None once all of them are durable, else the fault as text.
+        """Write and sync records; return None once all of them are durable, else the failure as text.
 
-        After a fault some of them may be on the disk and some not. A log that is full refuses the records whole, and
-        may still take smaller ones.
+        After a failure some of them may be on the disk. If they don't fit into the log, none is written, and smaller
+        ones may still fit.
         """
         data = b"".join(map(records.record, payloads))
         if self.fault is not None:
@@ -59,7 +59,7 @@
             write_all(self.disk, self.handle, data)
             self.disk.sync(self.handle)
         except OSError as fault:
-            # After a failed sync the kernel may drop what it could not write and report the next sync as good.
+            # After a failed fsync the kernel may drop the dirty pages and report success for the next fsync.
             self.fault = f"{type(fault).__name__}: {fault}"
             return self.fault
         self.size += len(data)
--- a/sprucegate/storage/records.py
+++ b/sprucegate/storage/records.py
@@ -1,7 +1,7 @@
-"""Checksummed records: length, checksum of length and payload, payload. A torn or changed record ends the reading.
+"""Checksummed records: a header and a payload. Reading ends at a torn or corrupt record.
 
 The header is two unsigned 32-bit integers, big-endian: length of the payload in bytes, CRC-32 of the length's four
-bytes followed by the payload. The same format frames messages between fronts.
+bytes followed by the payload. Messages between fronts are framed in the same format.
 """
 
 import struct
@@ -13,11 +13,11 @@
 
 
 class ScanResult(NamedTuple):
-    """What `scan` found.
+    """Result of `scan`.
 
-    :ivar records: payloads of the whole records, from the start on.
-    :ivar valid_bytes: length up to the end of the last whole record; what follows is to be cut off before appending.
-    :ivar fault: why the reading ended before the end of the data, or "".
+    :ivar records: payloads of the complete records, from the start on.
+    :ivar valid_bytes: offset of the end of the last complete record; what follows must be truncated before appending.
+    :ivar fault: why reading stopped before the end of the data, or "".
     """
 
     records: list[bytes]
@@ -26,29 +26,29 @@
 
 
 def record(payload: bytes) -> bytes:
-    """Return one record: the header and the payload."""
+    """Return the payload with its header."""
     length = len(payload)
     return HEAD.pack(length, _checksum(length, payload)) + payload
 
 
 def scan(data: bytes | bytearray | memoryview) -> ScanResult:
-    """Return the whole records from the start of `data` on; never raises.
+    """Return the complete records from the start of `data` on; never raises.
 
-    Nothing after a torn or changed record is looked for, as its length, and so the start of the next, isn't known.
+    Scanning ends at a torn or corrupt record: its length, and so the start of the next record, is unknown.
     """
     found: list[bytes] = []
     start = 0
     while start < len(data):
         if len(data) - start < HEAD.size:
-            return ScanResult(found, start, "a torn head")
+            return ScanResult(found, start, "a torn header")
         length, checksum = HEAD.unpack_from(data, start)
         if length > RECORD_BYTES_MAX:
-            return ScanResult(found, start, "a length past its bound")
+            return ScanResult(found, start, "a length above the limit")
         payload = bytes(data[start + HEAD.size : start + HEAD.size + length])
         if len(payload) < length:
             return ScanResult(found, start, "a torn record")
         if _checksum(length, payload) != checksum:
-            return ScanResult(found, start, "a checksum that does not fit")
+            return ScanResult(found, start, "a checksum mismatch")
         found.append(payload)
         start += HEAD.size + length
     return ScanResult(found, start, "")
--- a/sprucegate/storage/snapshots.py
+++ b/sprucegate/storage/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots numbered by generation: replaced atomically, bounded in count, rejected when torn, newer or too old.
+"""Snapshots numbered by generation: written atomically, bounded in count, rejected if torn, of a newer version or old.
 
 A snapshot file is two records: a header in JSON (kind, version, generation, time of writing) and the payload.
 """
@@ -20,11 +20,11 @@
 
 
 class Snapshot(NamedTuple):
-    """A snapshot that was read whole.
+    """A snapshot that was read and checked.
 
-    :ivar generation: its number, rising by each that is saved.
+    :ivar generation: its number, which rises with each snapshot.
     :ivar at: Unix time of writing, ns.
-    :ivar payload: the state, as its owner encoded it.
+    :ivar payload: the state as encoded by the caller.
     """
 
     generation: int
@@ -33,10 +33,10 @@
 
 
 class RejectedSnapshot(NamedTuple):
-    """A file that can't be used.
+    """A snapshot file that can't be used.
 
     :ivar name: the file's name in the folder.
-    :ivar why: what is wrong with it, to follow the name in a sentence.
+    :ivar why: what is wrong with it, as text.
     """
 
     name: str
@@ -46,7 +46,7 @@
 class SnapshotStore:
     """The snapshots of one kind in one folder, with one writer.
 
-    `keep`: how many of the newest stay, so that a torn one has a predecessor.
+    `keep`: how many of the newest are kept, as a predecessor is needed if the newest is torn.
     """
 
     def __init__(self, disk: Disk, folder: str, kind: str, keep: int = 3) -> None:
@@ -57,7 +57,7 @@
         self.name_pattern = re.compile(re.escape(kind) + r"-([0-9]{16})\.snap")
 
     def save(self, generation: int, at: int, payload: bytes) -> str | None:
-        """Write a snapshot; return None once it is durable, else the fault as text: the former snapshots then stand.
+        """Write a snapshot; return None once it is durable, else the failure as text: the former snapshots then remain.
 
         `at`: Unix time of writing, ns.
         """
@@ -73,7 +73,7 @@
         return None
 
     def _remove_old(self) -> None:
-        """Remove all but the newest `keep`, and temporary files that a crash left."""
+        """Remove all but the newest `keep` snapshots, and temporary files left by a crash."""
         names = self.disk.names(self.folder)
         complete = [name for name in names if self.name_pattern.fullmatch(name)]
         temporary = [name for name in names if name.startswith(self.kind + "-") and name.endswith(".new")]
@@ -81,14 +81,14 @@
             self._remove(name)
 
     def _remove(self, name: str) -> None:
-        # A file that can't be removed does no harm, and is tried again with the next snapshot.
+        # A file that can't be removed does no harm; its removal is tried again with the next snapshot.
         with contextlib.suppress(OSError):
             self.disk.remove(str(Path(self.folder) / name))
 
     def remove_logs_before(self, log_pattern: re.Pattern[str]) -> None:
         """Remove the logs that no kept snapshot needs; `log_pattern` matches a log's name and groups its generation.
 
-        Logs from the oldest kept snapshot on stay, as the newer snapshots may turn out to be torn.
+        Logs since the oldest kept snapshot are kept, as newer snapshots may turn out to be torn.
         """
         names = self.disk.names(self.folder)
         generations = [int(match[1]) for name in names if (match := self.name_pattern.fullmatch(name))]
@@ -99,10 +99,10 @@
                 self._remove(name)
 
     def newest(self, now: int, max_age: int) -> tuple[Snapshot | None, list[RejectedSnapshot]]:
-        """Return the newest snapshot that may be used, or None, and why newer files may not.
+        """Return the newest usable snapshot, or None, and the newer files that were rejected.
 
-        `now`: Unix time, ns; `max_age`: a snapshot older than this (ns) is rejected. Raises OSError where the folder
-        can't be listed; a missing folder holds no snapshots.
+        `now`: Unix time, ns; `max_age`: a snapshot older than this (ns) is rejected. Raises OSError if the folder
+        can't be listed; a missing folder counts as empty.
         """
         rejected: list[RejectedSnapshot] = []
         for name in reversed(self.disk.names(self.folder)):
@@ -124,26 +124,26 @@
         except OSError as fault:
             return RejectedSnapshot(name, f"can't be read: {fault}")
         if len(data) > SNAPSHOT_BYTES_MAX:
-            return RejectedSnapshot(name, "is larger than its bound")
+            return RejectedSnapshot(name, "is larger than the limit")
         scanned = records.scan(data)
         if scanned.fault or len(scanned.records) != RECORDS_IN_SNAPSHOT:
-            return RejectedSnapshot(name, scanned.fault or "has not two records")
+            return RejectedSnapshot(name, scanned.fault or "does not hold exactly two records")
         header, payload = scanned.records
         return self._checked(name, generation, header, payload)
 
     def _checked(
         self, name: str, generation: int, header: bytes, payload: bytes
     ) -> Snapshot | RejectedSnapshot:
-        """Return the snapshot, unless its header is unreadable, of a newer version, or of another file."""
+        """Return the snapshot, unless its header is invalid, of a newer version, or doesn't match the file's name."""
         try:
             fields = orjson.loads(header)
             version = int(fields["version"])
             identity = (fields["kind"], int(fields["generation"]))
             at = int(fields["at"])
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-            return RejectedSnapshot(name, "has no readable head")
+            return RejectedSnapshot(name, "has an invalid header")
         if version > VERSION:
             return RejectedSnapshot(name, f"is of version {version}, newer than {VERSION}")
         if identity != (self.kind, generation):
-            return RejectedSnapshot(name, "bears another's name")
+            return RejectedSnapshot(name, "is of another kind or generation than its name says")
         return Snapshot(generation, at, payload)
