--- a/sprucegate/fleet/membership_view/degraded_mode.py
+++ b/sprucegate/fleet/membership_view/degraded_mode.py
@@ -28,7 +28,7 @@
     LEASE_HOLDER = auto()  # accept it as lease holder of a source's slots
 
 
-# The safer choice is: to send (superfluous invalidations are harmless); not to use gossip, list, or grant; to wait (only
+# The safe choice is: to send (superfluous invalidations are harmless); not to use gossip, list, or grant; to wait (only
 # the consensus log removes a front, after its lease); to count granted slots and minimums; and to keep the lease
 # holder (each change leaves slots idle for the length of a lease). A leaving front needs no updates but holds its
 # slots until it ends.
