--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -1,4 +1,4 @@
-"""One view from several sources, the gate before it, and lists taken whole or not at all."""
+"""The merged view of several sources, the safety gate, and parsing and complete reads of lists."""
 
 import hashlib
 import os
@@ -20,10 +20,10 @@
 S = 1_000_000_000
 NOW = 1000 * S
 LOCATIONS, KINDS = {"east": 0, "west": 1}, {"std": 0, "parent": 1}
-UP, DRAIN, GONE = EndpointState.SERVING, EndpointState.DRAINING, EndpointState.GONE
+SERVING, DRAINING, GONE = EndpointState.SERVING, EndpointState.DRAINING, EndpointState.GONE
 
 
-def server(name, state=UP, weight=1.0, started=0, address="", location=0, held=False):
+def server(name, state=SERVING, weight=1.0, started=0, address="", location=0, held=False):
     return Server(
         Endpoint(endpoint_id(name), location, 0, 0, state, weight, started),
         name,
@@ -33,98 +33,102 @@
 
 
 def view(**more):
-    made = View(("file", "bus"), **more)
-    made.told("bus", [server("s-1"), server("s-2")], True, NOW)
-    return made
+    merged = View(("file", "bus"), **more)
+    merged.told("bus", [server("s-1"), server("s-2")], True, NOW)
+    return merged
 
 
-def said(change):
+def states(change):
     return change and [(s.name, s.entry.state) for s in change.servers]
 
 
-def standing(made, name):
-    return made.rows[endpoint_id(name)].standing if endpoint_id(name) in made.rows else Standing.GONE
+def standing_of(merged, name):
+    return merged.rows[endpoint_id(name)].standing if endpoint_id(name) in merged.rows else Standing.GONE
 
 
-def test_the_bus_alone_tells_what_it_tells():
-    made = View(("file", "bus"))
-    assert said(made.told("bus", [server("s-1"), server("s-2", DRAIN)], True, NOW)) == [
-        ("s-2", DRAIN),
-        ("s-1", UP),
+def test_lists_of_the_bus_alone_are_passed_on():
+    merged = View(("file", "bus"))
+    assert states(merged.told("bus", [server("s-1"), server("s-2", DRAINING)], True, NOW)) == [
+        ("s-2", DRAINING),
+        ("s-1", SERVING),
     ]
-    assert made.told("bus", [server("s-1")], False, NOW) is None and made.generation == 1
-    assert said(made.told("bus", [server("s-1", GONE)], False, NOW)) == [("s-1", GONE)]
-    assert said(made.told("bus", [server("s-3")], True, NOW)) == [("s-2", GONE), ("s-3", UP)]
+    assert merged.told("bus", [server("s-1")], False, NOW) is None and merged.generation == 1
+    assert states(merged.told("bus", [server("s-1", GONE)], False, NOW)) == [("s-1", GONE)]
+    assert states(merged.told("bus", [server("s-3")], True, NOW)) == [("s-2", GONE), ("s-3", SERVING)]
 
 
 @pytest.mark.parametrize("first, second", [("file", "bus"), ("bus", "file")])
-def test_a_drain_of_one_source_holds_against_the_other_until_it_lifts_it(first, second):
-    made = view()
-    made.told(first, [server("s-1", DRAIN)], first == "file", NOW)
-    assert standing(made, "s-1") is Standing.DRAINING
-    assert made.told(second, [server("s-1")], False, NOW + S) is None
-    assert standing(made, "s-1") is Standing.DRAINING and f"by {first}" in made.rows[endpoint_id("s-1")].why
-    made.told(first, [server("s-1", GONE)], False, NOW + S)  # gone from its source: the other brings it back
-    made.told(second, [server("s-1")], False, NOW + 2 * S)
-    assert standing(made, "s-1") is Standing.DRAINING
-    assert said(made.told(first, [server("s-1")], False, NOW + 3 * S)) == [("s-1", UP)]
-
-
-def test_really_another_server_is_not_held_to_an_old_drain():
-    made = view()
-    made.told("bus", [server("s-1", DRAIN)], False, NOW)
-    assert said(made.told("file", [server("s-1", started=NOW)], True, NOW)) == [("s-1", UP)]
-    made.told("bus", [server("s-2", DRAIN, address="127.0.0.1:9")], False, NOW)
-    made.told("file", [server("s-9", address="127.0.0.1:9")], True, NOW)  # a new id at its address
-    assert standing(made, "s-9") is Standing.SERVING and standing(made, "s-2") is Standing.DRAINING
-
-
-def test_a_server_goes_when_no_source_lists_it_and_the_first_sources_word_counts():
-    made = view()
-    made.told("file", [server("s-1", weight=3.0), server("s-3")], True, NOW)
-    assert made.rows[endpoint_id("s-1")].server.entry.weight == 3.0
-    assert said(made.told("file", [server("s-1", weight=3.0)], True, NOW)) == [("s-3", GONE)]
-    made.told("bus", [server("s-1", weight=7.0)], False, NOW)
-    assert made.rows[endpoint_id("s-1")].server.entry.weight == 3.0
-    change = made.told("file", [server("s-2")], True, NOW)
-    assert [(s.name, s.entry.weight) for s in change.servers] == [("s-1", 7.0)]  # the bus still has it
-
-
-def test_a_held_server_is_known_and_not_told_and_why_and_since_are_kept():
-    made = view()
-    assert said(made.told("file", [server("s-5", held=True), server("s-2", held=True)], True, NOW)) == [
+def test_a_drain_of_one_source_is_not_lifted_by_the_other(first, second):
+    merged = view()
+    merged.told(first, [server("s-1", DRAINING)], first == "file", NOW)
+    assert standing_of(merged, "s-1") is Standing.DRAINING
+    assert merged.told(second, [server("s-1")], False, NOW + S) is None
+    assert (
+        standing_of(merged, "s-1") is Standing.DRAINING
+        and f"by {first}" in merged.rows[endpoint_id("s-1")].why
+    )
+    merged.told(first, [server("s-1", GONE)], False, NOW + S)  # the other source lists it again
+    merged.told(second, [server("s-1")], False, NOW + 2 * S)
+    assert standing_of(merged, "s-1") is Standing.DRAINING
+    assert states(merged.told(first, [server("s-1")], False, NOW + 3 * S)) == [("s-1", SERVING)]
+
+
+def test_a_drain_does_not_hold_for_a_later_start_or_a_new_id_at_the_address():
+    merged = view()
+    merged.told("bus", [server("s-1", DRAINING)], False, NOW)
+    assert states(merged.told("file", [server("s-1", started=NOW)], True, NOW)) == [("s-1", SERVING)]
+    merged.told("bus", [server("s-2", DRAINING, address="127.0.0.1:9")], False, NOW)
+    # A new endpoint id at the same address.
+    merged.told("file", [server("s-9", address="127.0.0.1:9")], True, NOW)
+    assert standing_of(merged, "s-9") is Standing.SERVING and standing_of(merged, "s-2") is Standing.DRAINING
+
+
+def test_a_server_is_removed_when_no_source_lists_it_and_sources_have_precedence():
+    merged = view()
+    merged.told("file", [server("s-1", weight=3.0), server("s-3")], True, NOW)
+    assert merged.rows[endpoint_id("s-1")].server.entry.weight == 3.0
+    assert states(merged.told("file", [server("s-1", weight=3.0)], True, NOW)) == [("s-3", GONE)]
+    merged.told("bus", [server("s-1", weight=7.0)], False, NOW)
+    assert merged.rows[endpoint_id("s-1")].server.entry.weight == 3.0
+    change = merged.told("file", [server("s-2")], True, NOW)
+    assert [(s.name, s.entry.weight) for s in change.servers] == [("s-1", 7.0)]  # the bus still lists it
+
+
+def test_a_held_server_is_not_routed_to_and_an_unchanged_standing_keeps_its_time():
+    merged = view()
+    assert states(merged.told("file", [server("s-5", held=True), server("s-2", held=True)], True, NOW)) == [
         ("s-2", GONE)
     ]
-    assert standing(made, "s-5") is Standing.HELD
-    assert said(made.told("file", [server("s-5")], True, NOW + S)) == [("s-2", UP), ("s-5", UP)]
-    made.told("file", [server("s-5", weight=2.0)], True, NOW + 2 * S)
-    assert made.rows[endpoint_id("s-5")].since == NOW + S
+    assert standing_of(merged, "s-5") is Standing.HELD
+    assert states(merged.told("file", [server("s-5")], True, NOW + S)) == [("s-2", SERVING), ("s-5", SERVING)]
+    merged.told("file", [server("s-5", weight=2.0)], True, NOW + 2 * S)
+    assert merged.rows[endpoint_id("s-5")].since == NOW + S
 
 
-def test_a_server_that_comes_back_gets_its_weight_in_steps_and_a_first_one_at_once():
-    made = view(ramp=10 * S)
-    made.told("file", [server("s-1", weight=2.0), server("s-2", DRAIN)], True, NOW)
+def test_the_weight_of_a_returning_server_is_ramped_and_that_of_a_new_one_is_not():
+    merged = view(ramp=10 * S)
+    merged.told("file", [server("s-1", weight=2.0), server("s-2", DRAINING)], True, NOW)
     assert (
-        made.told("file", [server("s-1", weight=2.0), server("s-2")], True, NOW).servers[0].entry.weight
+        merged.told("file", [server("s-1", weight=2.0), server("s-2")], True, NOW).servers[0].entry.weight
         == 0.1
     )
-    assert made.next_ramp_step_at() == NOW + S
+    assert merged.next_ramp_step_at() == NOW + S
     weights = []
     for step in range(1, 12):
-        change = made.advance_ramps(NOW + step * S)
+        change = merged.advance_ramps(NOW + step * S)
         weights += [s.entry.weight for s in change.servers] if change else []
     assert (
         weights == pytest.approx([0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0])
-        and made.next_ramp_step_at() is None
+        and merged.next_ramp_step_at() is None
     )
 
 
-def test_drains_outlast_a_restart():
-    made, again = view(), View(("file", "bus"))
-    made.told("bus", [server("s-1", DRAIN)], False, NOW)
-    again.restore(made.dump(lambda at: at + S), lambda stamp: stamp - S)
-    again.told("file", [server("s-1")], True, NOW)
-    assert standing(again, "s-1") is Standing.DRAINING and again.generation > made.generation
+def test_drains_are_restored_after_a_restart():
+    merged, restored = view(), View(("file", "bus"))
+    merged.told("bus", [server("s-1", DRAINING)], False, NOW)
+    restored.restore(merged.dump(lambda at: at + S), lambda stamp: stamp - S)
+    restored.told("file", [server("s-1")], True, NOW)
+    assert standing_of(restored, "s-1") is Standing.DRAINING and restored.generation > merged.generation
 
 
 EVENTS = st.lists(
@@ -133,7 +137,9 @@
         st.booleans(),
         st.lists(
             st.tuples(
-                st.sampled_from(["s-1", "s-2", "s-3"]), st.sampled_from([UP, DRAIN, GONE]), st.integers(0, 1)
+                st.sampled_from(["s-1", "s-2", "s-3"]),
+                st.sampled_from([SERVING, DRAINING, GONE]),
+                st.integers(0, 1),
             ),
             max_size=3,
             unique_by=lambda one: one[0],
@@ -145,45 +151,46 @@
 
 @profile(max_examples=400, deadline=None, derandomize=True)
 @given(EVENTS)
-def test_what_is_told_is_the_view_and_no_drain_is_lifted_by_another(events):
-    made, known, drains = View(("file", "bus")), {}, {}
+def test_changes_add_up_to_the_view_and_no_drain_is_lifted_by_another_source(events):
+    merged, routed, drains = View(("file", "bus")), {}, {}
     for at, (source, whole, listed) in enumerate(events):
-        change = made.told(
+        change = merged.told(
             source, [server(n, state, started=start) for n, state, start in listed], whole, NOW + at
         )
         for name, state, start in listed:
-            kept = {d for d in drains.get(name, set()) if state is GONE or start <= d[1]}
-            if state is DRAIN and source not in {d[0] for d in kept}:
-                kept.add((source, start))
-            drains[name] = {d for d in kept if state is not UP or d[0] != source}
+            remaining = {d for d in drains.get(name, set()) if state is GONE or start <= d[1]}
+            if state is DRAINING and source not in {d[0] for d in remaining}:
+                remaining.add((source, start))
+            drains[name] = {d for d in remaining if state is not SERVING or d[0] != source}
         for one in change.servers if change else []:
             if one.entry.state is GONE:
-                del known[one.name]
+                del routed[one.name]
             else:
-                known[one.name] = one.entry.state
-        assert known == {
-            row.server.name: DRAIN if row.standing is Standing.DRAINING else UP for row in made.rows.values()
+                routed[one.name] = one.entry.state
+        assert routed == {
+            row.server.name: DRAINING if row.standing is Standing.DRAINING else SERVING
+            for row in merged.rows.values()
         }
-        for name, state in known.items():
-            assert (state is DRAIN) is bool(drains[name])
+        for name, state in routed.items():
+            assert (state is DRAINING) is bool(drains[name])
 
 
-def test_a_list_that_takes_away_too_much_is_held_but_its_drains_are_not():
+def test_a_list_that_removes_too_many_servers_is_held_but_its_drains_are_not():
     gate = SafetyGate(0.5, 60 * S)
     current = {s.entry.id: s for s in [server(f"s-{n}", location=n % 2) for n in range(8)]}
-    kept = [server("s-0", DRAIN), *[server(f"s-{n}", location=1) for n in (1, 3, 5, 7)]]
-    passed = gate.offer(current, kept, NOW)
-    assert [s.name for s in passed.servers] == ["s-0"] and not passed.whole
-    assert (passed.held.location, passed.held.share) == (0, 0.75)
-    assert gate.confirm(passed.held.number + 1) is None and gate.on_timer(NOW + 59 * S) is None
-    assert gate.confirm(passed.held.number).servers == kept and gate.held is None
-    gate.offer(current, kept, NOW)
+    remaining = [server("s-0", DRAINING), *[server(f"s-{n}", location=1) for n in (1, 3, 5, 7)]]
+    decision = gate.offer(current, remaining, NOW)
+    assert [s.name for s in decision.servers] == ["s-0"] and not decision.whole
+    assert (decision.held.location, decision.held.share) == (0, 0.75)
+    assert gate.confirm(decision.held.number + 1) is None and gate.on_timer(NOW + 59 * S) is None
+    assert gate.confirm(decision.held.number).servers == remaining and gate.held is None
+    gate.offer(current, remaining, NOW)
     assert gate.on_timer(NOW + 60 * S).whole
-    gate.offer(current, kept, NOW)
+    gate.offer(current, remaining, NOW)
     assert gate.offer(current, list(current.values()), NOW).whole and gate.on_timer(NOW + 999 * S) is None
 
 
-def test_a_smaller_loss_is_held_too_where_another_front_holds_the_same_list():
+def test_any_removal_is_held_if_another_front_holds_the_same_list():
     gate, current = (
         SafetyGate(0.5, 60 * S),
         {s.entry.id: s for s in [server(f"s-{n}", location=0) for n in range(8)]},
@@ -191,23 +198,23 @@
     fewer = list(current.values())[:6]
     assert gate.offer(current, fewer, NOW, held=True).held.share == 0.25
     assert gate.offer(current, fewer, NOW).whole
-    assert gate.offer(current, list(current.values()), NOW, held=True).whole  # nothing is taken away here
+    assert gate.offer(current, list(current.values()), NOW, held=True).whole  # nothing is removed here
 
 
 GOOD = render(
-    [server("s-1"), server("s-2", DRAIN, 2.5, 5_000_000, location=1), server("s-3", held=True)],
+    [server("s-1"), server("s-2", DRAINING, 2.5, 5_000_000, location=1), server("s-3", held=True)],
     LOCATIONS,
     KINDS,
 )
 
 
-def test_a_list_is_read_back_as_it_was_written():
+def test_a_rendered_list_parses_to_the_same_servers():
     found = parse([("f", GOOD)], LOCATIONS, KINDS)
     assert render(found, LOCATIONS, KINDS) == GOOD and [s.name for s in found] == ["s-1", "s-2", "s-3"]
 
 
 @pytest.mark.parametrize("cut", range(len(GOOD) - 2))
-def test_a_file_cut_at_any_byte_is_no_list(cut):
+def test_a_list_truncated_at_any_byte_is_rejected(cut):
     with pytest.raises(OperatorFileError):
         parse([("f", GOOD[:cut])], LOCATIONS, KINDS)
 
@@ -235,7 +242,7 @@
         ('    server "s-2"', '    server "x" "s-2"', 3, "server"),
     ],
 )
-def test_a_faulty_entry_is_told_with_line_and_key(old, new, line, key):
+def test_an_invalid_entry_is_reported_with_line_and_key(old, new, line, key):
     assert old in GOOD
     with pytest.raises(OperatorFileError) as caught:
         parse([("f.kdl", GOOD.replace(old, new, 1))], LOCATIONS, KINDS)
@@ -252,18 +259,18 @@
         GOOD.replace("weight=1.0", "weight=0").replace("weight=2.5", "weight=0"),
     ],
 )
-def test_no_servers_or_no_weight_is_a_mistake(text):
+def test_a_list_without_servers_or_without_weight_is_rejected(text):
     with pytest.raises(OperatorFileError):
         parse([("f", text)], LOCATIONS, KINDS)
 
 
-def test_more_entries_than_the_bound_are_refused(monkeypatch):
+def test_more_entries_than_the_limit_are_rejected(monkeypatch):
     monkeypatch.setattr(list_format, "ENTRIES_MAX", 2)
     with pytest.raises(OperatorFileError, match="more than 2"):
         parse([("f", GOOD)], LOCATIONS, KINDS)
 
 
-def test_a_file_with_its_digest_is_whole_by_it_and_one_without_by_two_readings(tmp_path, monkeypatch):
+def test_a_file_is_complete_by_its_digest_or_by_two_equal_reads(tmp_path, monkeypatch):
     path = tmp_path / "list.kdl"
     path.write_text(GOOD)
     first = read(str(path))
@@ -272,14 +279,14 @@
     with pytest.raises(FileIncompleteError):
         read(str(path))
     (tmp_path / "list.kdl.sha256").write_text(first.digest + "  list.kdl\n")
-    assert read(str(path), settle=60) == first  # no waiting where the digest says it
+    assert read(str(path), settle=60) == first  # the digest shows that it is complete, so there is no wait
     (tmp_path / "list.kdl.sha256").unlink()
     monkeypatch.setattr(list_reader.time, "sleep", lambda _: path.write_text(GOOD + "\n"))
     with pytest.raises(FileIncompleteError):
         read(str(path))
 
 
-def test_a_file_that_goes_or_may_not_be_read_or_is_too_large(tmp_path, monkeypatch):
+def test_a_missing_unreadable_or_too_large_file_is_rejected(tmp_path, monkeypatch):
     with pytest.raises(FileIncompleteError):
         read(str(tmp_path / "none"))
     path = tmp_path / "list.kdl"
@@ -308,7 +315,7 @@
     )
 
 
-def test_a_folder_of_parts_is_one_generation_by_its_manifest(tmp_path):
+def test_a_folder_is_complete_if_its_parts_match_the_manifest(tmp_path):
     one, two = (render([server(n)], LOCATIONS, KINDS) for n in ("s-1", "s-2"))
     folder(tmp_path / "list", {"a.kdl": one, "b.kdl": two})
     found = read(str(tmp_path / "list"))
@@ -325,7 +332,7 @@
         read(str(tmp_path / "list"))
 
 
-def test_parts_that_name_a_server_twice_are_no_list(tmp_path):
+def test_a_server_in_two_parts_is_rejected(tmp_path):
     one = render([server("s-1")], LOCATIONS, KINDS)
     with pytest.raises(OperatorFileError, match="already used by entry 1 of a"):
         parse([("a", one), ("b", one)], LOCATIONS, KINDS)
