--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -1,4 +1,4 @@
-"""How the fleet stands: standings by contradicting words, damping, the table, checkers seen to cry out, real fronts."""
+"""Views of the fleet: health from contradicting evidence, flap damping, allowed actions, checkers, real fronts."""
 
 import signal
 import socket
@@ -24,95 +24,95 @@
 MS, S = 1_000_000, 1_000_000_000
 
 
-def member(name="b", word=MemberState.ALIVE, life=1 << 32, turn=0, by="b"):
-    return Member(name, f"at-{name}", life, turn, int(word), by)
+def member(name="b", state=MemberState.ALIVE, incarnation=1 << 32, refutation=0, reported_by="b"):
+    return Member(name, f"at-{name}", incarnation, refutation, int(state), reported_by)
 
 
-def known(*words, at=0):
-    one = PeerHealth()
-    for word in words:
-        one.on_member_changed(word, at)
-    return one
+def peer_health(*members, at=0):
+    peer = PeerHealth()
+    for one in members:
+        peer.on_member_changed(one, at)
+    return peer
 
 
 @pytest.mark.parametrize(
-    "word, heard, indirect, agreed, said",
+    "state, last_frame_at, indirect_probes, in_log, expected",
     [
         (MemberState.ALIVE, 0, 0, None, HealthState.LIVE),
         (MemberState.ALIVE, 0, 0, True, HealthState.LIVE),
-        (MemberState.ALIVE, 0, 0, False, HealthState.CUT_OFF),  # probes reach it, and it follows no keeper
-        (MemberState.ALIVE, 0, 2, True, HealthState.CUT_OFF),  # only others reach it
+        (MemberState.ALIVE, 0, 0, False, HealthState.CUT_OFF),  # answers probes, but the log doesn't list it
+        (MemberState.ALIVE, 0, 2, True, HealthState.CUT_OFF),  # only other fronts reach it
         (MemberState.ALIVE, 0, 1, True, HealthState.LIVE),
         (MemberState.SUSPECT, 0, 0, True, HealthState.SUSPECT),
         (MemberState.SUSPECT, 9 * S, 0, True, HealthState.ONE_WAY),
-        (
-            MemberState.DEAD,
-            9 * S,
-            0,
-            True,
-            HealthState.ONE_WAY,
-        ),  # its frames still come, so it hears nobody's
-        (MemberState.DEAD, 5 * S, 0, True, HealthState.GONE),  # what came last was long ago
+        # Its frames still arrive, so it probably receives none.
+        (MemberState.DEAD, 9 * S, 0, True, HealthState.ONE_WAY),
+        (MemberState.DEAD, 5 * S, 0, True, HealthState.GONE),  # its last frame is too old
         (MemberState.LEFT, 9 * S, 2, False, HealthState.LEAVING),
     ],
 )
-def test_what_members_links_and_the_log_say_makes_one_standing(word, heard, indirect, agreed, said):
-    one = known(member(word=word))
-    one.last_frame_at, one.indirect_probes = heard, indirect
-    assert one.health(agreed, 10 * S)[0] is said
+def test_health_follows_from_failure_detector_connections_and_log(
+    state, last_frame_at, indirect_probes, in_log, expected
+):
+    one = peer_health(member(state=state))
+    one.last_frame_at, one.indirect_probes = last_frame_at, indirect_probes
+    assert one.health(in_log, 10 * S)[0] is expected
     one.other_version = True
-    assert one.health(agreed, 10 * S)[0] is HealthState.OTHER_BUILD
+    assert one.health(in_log, 10 * S)[0] is HealthState.OTHER_BUILD
 
 
-def test_a_frame_that_was_under_way_speaks_not_against_an_accusation():
-    one = known(member(), member(word=MemberState.SUSPECT))
+def test_a_frame_in_transit_does_not_contradict_a_suspicion():
+    one = peer_health(member(), member(state=MemberState.SUSPECT))
     one.last_frame_at = 50 * MS
     assert one.health(None, S)[0] is HealthState.SUSPECT
 
 
-def test_one_that_flaps_is_kept_out_for_a_rising_and_bounded_time():
-    one, out = known(member()), []
-    for life in range(2, 40):
-        now = life * 2 * S
-        one.on_member_changed(member(life=life << 32), now)
+def test_a_flapping_front_is_suppressed_for_a_rising_and_bounded_time():
+    one, out = peer_health(member()), []
+    for incarnation in range(2, 40):
+        now = incarnation * 2 * S
+        one.on_member_changed(member(incarnation=incarnation << 32), now)
         if one.health(True, now)[0] is HealthState.FLAPPING:
             out.append(one.damped_until() - now)
     assert out[0] < out[2] < out[3] and max(out) <= 78 * S
     assert one.health(True, now + max(out))[0] is HealthState.LIVE
-    # One that said that it goes, as each release makes it, does not flap.
-    planned = known(member())
-    for life in range(2, 9):
-        planned.on_member_changed(member(word=MemberState.LEFT, life=(life - 1) << 32), life * S)
-        planned.on_member_changed(member(life=life << 32), life * S)
+    # A front that announces that it leaves, as in each release, does not flap.
+    planned = peer_health(member())
+    for incarnation in range(2, 9):
+        planned.on_member_changed(
+            member(state=MemberState.LEFT, incarnation=(incarnation - 1) << 32), incarnation * S
+        )
+        planned.on_member_changed(member(incarnation=incarnation << 32), incarnation * S)
     assert planned.health(True, 30 * S)[0] is HealthState.LIVE
 
 
 def seen(views, now):
-    """The rows of the view at that time."""
+    """Return the health of each front in the view at that time."""
     views.deadline = min(views.deadline, now)
     views.on_timer(now)
     return {name: row.health for name, row in views.view.rows.items()}
 
 
-def test_what_makes_careful_is_at_once_and_what_makes_bold_has_held():
+def test_worse_health_counts_at_once_and_live_after_the_hold_down():
     views = ViewTracker(0)
     views.on_member_changed(member(), 0)
     assert seen(views, 0) == {"b": HealthState.SUSPECT} and views.view.state is FleetState.RETURNING
     assert seen(views, HOLD_DOWN_NS) == {"b": HealthState.LIVE}
-    views.on_member_changed(member(word=MemberState.SUSPECT), 2 * S)
+    views.on_member_changed(member(state=MemberState.SUSPECT), 2 * S)
     assert seen(views, 2 * S) == {"b": HealthState.SUSPECT}
-    views.on_member_changed(member(turn=1), 2 * S + MS)
-    assert seen(views, 2 * S + 500 * MS) == {"b": HealthState.SUSPECT}  # doubted again, the time begins anew
-    views.on_member_changed(member(word=MemberState.SUSPECT, turn=1), 2 * S + 600 * MS)
+    views.on_member_changed(member(refutation=1), 2 * S + MS)
+    assert seen(views, 2 * S + 500 * MS) == {"b": HealthState.SUSPECT}
+    # Suspected again: the hold-down begins anew.
+    views.on_member_changed(member(state=MemberState.SUSPECT, refutation=1), 2 * S + 600 * MS)
     seen(views, 2 * S + 600 * MS)
-    views.on_member_changed(member(turn=2), 2 * S + 700 * MS)
+    views.on_member_changed(member(refutation=2), 2 * S + 700 * MS)
     seen(views, 2 * S + 700 * MS)
     assert seen(views, 3 * S + 650 * MS) == {"b": HealthState.SUSPECT}
     assert seen(views, 3 * S + 700 * MS) == {"b": HealthState.LIVE}
     assert views.view.number == 4 and views.view.agreed == 0
 
 
-def test_a_front_that_stood_still_blames_nobody_and_is_bold_only_after_a_while():
+def test_a_stalled_front_keeps_the_health_of_others_and_is_restricted_until_recovery():
     views = ViewTracker(0)
     views.on_caught_up(0)
     for name in "bc":
@@ -130,7 +130,7 @@
     assert views.view.state is FleetState.WHOLE
 
 
-def test_a_view_says_which_part_of_the_fleet_is_there_and_whose_word_it_is():
+def test_a_view_gives_the_reachable_share_and_the_log_entry_it_is_based_on():
     views = ViewTracker(0)
     views.on_caught_up(0)
     for name in "bcd":
@@ -142,26 +142,27 @@
     seen(views, 5 * S)
     assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 0.5, 0)
     views.on_log_applied(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
-    seen(views, 6 * S)  # the log has counted b out: it is a part of the fleet no more
+    seen(views, 6 * S)  # the log has removed b: it no longer counts as part of the fleet
     assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 2 / 3, 7)
     views.on_log_applied(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
-    assert seen(views, 6 * S) and views.view.agreed == 7  # entries on other things make no new view
+    # Log entries that don't change the fronts make no new view.
+    assert seen(views, 6 * S) and views.view.agreed == 7
     views.on_log_applied(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, True, 7 * S)
-    seen(views, 7 * S)  # fenced: by its own word again; the log's is no reason for any standing
+    seen(views, 7 * S)  # fenced: the log is no longer used, only this front's own evidence
     assert views.view.agreed == 0
     views.on_member_changed(member("d", MemberState.DEAD), 8 * S)
     seen(views, 8 * S)
     assert views.view.state is FleetState.ALONE
     views.on_member_changed(member("d", MemberState.LEFT), 9 * S)
     seen(views, 9 * S)
-    assert seen(views, 700 * S) == {}  # and who is gone for long is forgotten
+    assert seen(views, 700 * S) == {}  # fronts that are gone for long are forgotten
 
 
-def test_each_action_is_in_the_table_and_none_is_bolder_for_a_worse_standing():
+def test_each_action_has_a_row_and_unsafe_ones_are_not_allowed_in_worse_health():
     assert set(degraded_mode.ALLOWED_BY_HEALTH) == set(PeerAction) and set(
         degraded_mode.ALLOWED_BY_FLEET
     ) == set(OwnAction)
-    # Bold ones: never on one that may be gone, or works otherwise.
+    # Never towards a front that may be gone, or that speaks another version.
     for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LEASE_HOLDER):
         assert not degraded_mode.ALLOWED_BY_HEALTH[action] & {
             HealthState.GONE,
@@ -169,110 +170,112 @@
             HealthState.LEAVING,
             HealthState.OTHER_BUILD,
         }
-    for action in (
-        PeerAction.HOLDS,
-        PeerAction.COUNTED,
-        PeerAction.AWAITED,
-    ):  # careful ones: whatever it looks like
+    # Safe in any health state.
+    for action in (PeerAction.HOLDS, PeerAction.COUNTED, PeerAction.AWAITED):
         assert degraded_mode.ALLOWED_BY_HEALTH[action] == set(HealthState)
     assert not degraded_mode.allows_own(OwnAction.BORROW, FleetState.ALONE) and degraded_mode.allows_own(
         OwnAction.TELL, FleetState.STOOD_STILL
     )
 
 
-def members(*others):
+def detector(*others):
     made = FailureDetector(member("a"), [], RandomSource("a", 1), 0)
     for name in others:
         made.on_message(name, FullState([member(name)], False), 0)
     return made
 
 
-def test_an_end_takes_two_fronts_that_were_refused_and_one_alone_ends_nobody():
-    one = members("b", "c", "d")
+def test_a_member_is_dead_once_two_fronts_were_refused_and_not_by_one_alone():
+    one = detector("b", "c", "d")
     assert (
         one.on_connection_reset("b", S) == [CheckPort("b", "at-b", 1 << 32)]
         and one.on_connection_reset("b", S + MS) == []
     )
-    asked = one.on_connection_refused("b", 1 << 32, S)
+    notified = one.on_connection_refused("b", 1 << 32, S)
     assert (
-        asked
-        and {a.to for a in asked} <= {"c", "d"}
-        and {a.message for a in asked} == {ConnectionRefused("b", 1 << 32)}
+        notified
+        and {a.to for a in notified} <= {"c", "d"}
+        and {a.message for a in notified} == {ConnectionRefused("b", 1 << 32)}
     )
     assert one.known["b"].state == MemberState.ALIVE and one.on_connection_refused("b", 1 << 32, S) == []
-    assert one.on_message("c", ConnectionRefused("b", 9 << 32), S) == []  # another life's end
-    told = one.on_message("c", ConnectionRefused("b", 1 << 32), S)
-    assert told[0] == MemberChanged(member("b", MemberState.DEAD, by="a"), member("b"))
-    assert all(isinstance(a, Send) and isinstance(a.message, FullState) for a in told[1:]) and len(told) > 1
+    assert one.on_message("c", ConnectionRefused("b", 9 << 32), S) == []  # of another incarnation
+    actions = one.on_message("c", ConnectionRefused("b", 1 << 32), S)
+    assert actions[0] == MemberChanged(member("b", MemberState.DEAD, reported_by="a"), member("b"))
+    assert (
+        all(isinstance(a, Send) and isinstance(a.message, FullState) for a in actions[1:])
+        and len(actions) > 1
+    )
 
 
-def test_one_that_hears_of_an_end_looks_itself_and_says_nothing_by_hearsay():
-    one = members("b", "c")
+def test_a_reported_refusal_is_checked_before_it_counts():
+    one = detector("b", "c")
     assert one.on_message("c", ConnectionRefused("b", 1 << 32), S) == [CheckPort("b", "at-b", 1 << 32)]
     assert one.known["b"].state == MemberState.ALIVE
     assert [a for a in one.on_connection_refused("b", 1 << 32, S) if isinstance(a, MemberChanged)]
-    # What it said before its end may come after it: looked at again at once.
-    told = one.on_message("c", FullState([member("b", turn=5)], False), 2 * S)
-    assert CheckPort("b", "at-b", 1 << 32) in told
+    # Messages sent before its process ended may arrive later: its port is checked again at once.
+    actions = one.on_message("c", FullState([member("b", refutation=5)], False), 2 * S)
+    assert CheckPort("b", "at-b", 1 << 32) in actions
 
 
-def test_an_answer_by_a_helper_alone_is_told_as_such():
-    one = members("b", "c")
+def test_a_probe_answered_only_through_a_helper_is_reported_as_indirect():
+    one = detector("b", "c")
     probe = next(a for a in one.on_timer(one.next_deadline()) if isinstance(a.message, Ping))
     other = "c" if probe.to == "b" else "b"
     assert ProbeAnswered(probe.to, False) in one.on_message(other, Ack(probe.message.number, 0, []), MS)
 
 
 @pytest.mark.parametrize("size, loss", [(3, 0.0), (5, 0.1), (5, 0.3)])
-def test_views_are_true_or_more_careful_under_schedules_of_faults(size, loss):
+def test_views_are_correct_or_more_cautious_under_fault_schedules(size, loss):
     for seed in range(12):
         assert viewing.broken(played(seed, size, loss).trace) == []
 
 
-def _never_careful(monkeypatch):
+def _hide_suspicions(monkeypatch):
     monkeypatch.setattr(
         ViewTracker,
         "on_member_changed",
-        lambda self, m, now, told=ViewTracker.on_member_changed: told(self, m._replace(state=0), now),
+        lambda self, m, now, original=ViewTracker.on_member_changed: original(self, m._replace(state=0), now),
     )
 
 
-def _never_refutes(monkeypatch):
-    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, word: [])
+def _disable_refutation(monkeypatch):
+    monkeypatch.setattr(FailureDetector, "_apply_own", lambda self, update: [])
 
 
-def _never_caught_up(monkeypatch):
+def _disable_catch_up(monkeypatch):
     monkeypatch.setattr(ViewTracker, "on_caught_up", lambda self, now: None)
 
 
 @pytest.mark.parametrize(
-    "name, sow",
+    "name, inject",
     [
-        ("live_though_away", _never_careful),
-        ("gone_though_there", _never_refutes),
-        ("stays_in_part", _never_caught_up),
+        ("live_though_away", _hide_suspicions),
+        ("gone_though_there", _disable_refutation),
+        ("stays_in_part", _disable_catch_up),
     ],
 )
-def test_a_sown_defect_makes_its_checker_cry_out(monkeypatch, name, sow):
-    sow(monkeypatch)
-    assert any(name == cry for seed in range(12) for cry, _ in viewing.broken(played(seed, 5, 0.1).trace))
+def test_an_injected_defect_is_reported_by_its_checker(monkeypatch, name, inject):
+    inject(monkeypatch)
+    assert any(
+        name == violation for seed in range(12) for violation, _ in viewing.broken(played(seed, 5, 0.1).trace)
+    )
 
 
 @pytest.fixture(scope="module")
-def five(tmp_path_factory):
+def fleet(tmp_path_factory):
     with Rig(tmp_path_factory.mktemp("five"), 5) as rig:
         rig.start_all()
         yield rig
 
 
-def stands(rig, name, other):
-    said = rig.fronts[name].ask("why", "view", other)
-    return said["facts"][0]["standing"] if said and said["facts"] else ""
+def health_at(rig, name, other):
+    answer = rig.fronts[name].ask("why", "view", other)
+    return answer["facts"][0]["standing"] if answer and answer["facts"] else ""
 
 
-def all_see(rig, other, wanted, names=None, patience=20):
+def wait_until_all_see(rig, other, wanted, names=None, patience=20):
     rig.wait(
-        lambda: all(stands(rig, name, other) == wanted for name in names or rig.names if name != other),
+        lambda: all(health_at(rig, name, other) == wanted for name in names or rig.names if name != other),
         patience,
     )
 
@@ -281,48 +284,52 @@
     return rig.fronts[name].ask("status")["view"]["state"]
 
 
-def test_a_killed_front_is_gone_at_all_within_a_second_and_a_silent_one_is_doubted(five):
-    for name in five.names:
-        all_see(five, name, "live")
-    since = {name: len(five.fronts[name].lines) for name in five.names}
+def test_a_killed_front_is_gone_within_a_second_and_a_stopped_one_is_suspected(fleet):
+    for name in fleet.names:
+        wait_until_all_see(fleet, name, "live")
+    since = {name: len(fleet.fronts[name].lines) for name in fleet.names}
     killed = time.time() * 1000
-    five.fronts["n3"].kill()
+    fleet.fronts["n3"].kill()
     for name in ("n0", "n1", "n2", "n4"):
-        told = five.fronts[name].until("fleet_member", since[name], member="n3", standing="gone")
-        assert told["at"] - killed <= 1000
-    assert state(five, "n0") == "part"
-    five.fronts["n4"].signal(signal.SIGSTOP)
+        event = fleet.fronts[name].until("fleet_member", since[name], member="n3", standing="gone")
+        assert event["at"] - killed <= 1000
+    assert state(fleet, "n0") == "part"
+    fleet.fronts["n4"].signal(signal.SIGSTOP)
     stopped = time.time() * 1000
     for name in ("n0", "n1", "n2"):
-        told = five.fronts[name].until("fleet_member", since[name], member="n4", standing="suspect")
-        assert told["at"] - stopped <= 6000
-    five.fronts["n4"].signal(signal.SIGCONT)
-    five.fronts["n3"].start()
+        event = fleet.fronts[name].until("fleet_member", since[name], member="n4", standing="suspect")
+        assert event["at"] - stopped <= 6000
+    fleet.fronts["n4"].signal(signal.SIGCONT)
+    fleet.fronts["n3"].start()
     for name in ("n3", "n4"):
-        all_see(five, name, "live")
-    # It blamed nobody for its own stand-still.
-    gone = five.fronts["n4"].seen("fleet_member", since["n4"], standing="gone", by="n4")
+        wait_until_all_see(fleet, name, "live")
+    # The stopped front declared no other front dead for its own stall.
+    gone = fleet.fronts["n4"].seen("fleet_member", since["n4"], standing="gone", by="n4")
     assert {line["member"] for line in gone} <= {"n3"}
-    five.wait(lambda: all(state(five, name) == "whole" for name in five.names))
-
-
-def test_a_link_cut_one_way_and_a_cut_of_two_that_both_reach_others(five):
-    for name in five.names:
-        all_see(five, name, "live")
-    five.trouble("cut", **{"from": [n for n in five.names if n != "n1"], "to": ["n1"]})
-    five.wait(lambda: stands(five, "n0", "n1") == "one-way", 30)  # it speaks, and hears nobody
-    five.trouble("heal")
-    all_see(five, "n1", "live", patience=40)
-    five.split(["n0"], ["n2"])
-    five.wait(lambda: stands(five, "n0", "n2") == "cut-off" and stands(five, "n2", "n0") == "cut-off", 40)
-    assert stands(five, "n1", "n0") == stands(five, "n1", "n2") == "live"
-    five.trouble("heal")
+    fleet.wait(lambda: all(state(fleet, name) == "whole" for name in fleet.names))
+
+
+def test_a_one_way_partition_and_a_partition_between_two_fronts(fleet):
+    for name in fleet.names:
+        wait_until_all_see(fleet, name, "live")
+    fleet.trouble("cut", **{"from": [n for n in fleet.names if n != "n1"], "to": ["n1"]})
+    # n1 sends but receives nothing.
+    fleet.wait(lambda: health_at(fleet, "n0", "n1") == "one-way", 30)
+    fleet.trouble("heal")
+    wait_until_all_see(fleet, "n1", "live", patience=40)
+    fleet.split(["n0"], ["n2"])
+    fleet.wait(
+        lambda: health_at(fleet, "n0", "n2") == "cut-off" and health_at(fleet, "n2", "n0") == "cut-off",
+        40,
+    )
+    assert health_at(fleet, "n1", "n0") == health_at(fleet, "n1", "n2") == "live"
+    fleet.trouble("heal")
     for name in ("n0", "n2"):
-        all_see(five, name, "live", patience=40)
+        wait_until_all_see(fleet, name, "live", patience=40)
 
 
 @pytest.fixture(scope="module")
-def kept(tmp_path_factory):
+def keeper_fleet(tmp_path_factory):
     with Rig(tmp_path_factory.mktemp("kept"), 3, caches=2, keepers=3) as rig:
         rig.start_all()
         rig.wait(
@@ -337,26 +344,27 @@
     return rig.fronts[name].ask("status")["view"]
 
 
-def test_keepers_cut_from_fronts_only_make_views_local_and_gets_go_on(kept):
-    kept.split(kept.names, list(kept.keepers))
-    kept.wait(lambda: all(view(kept, name)["agreed"] == 0 for name in kept.names))
-    assert {stands(kept, "n0", other) for other in ("n1", "n2")} == {"live"}  # by the members' word alone
-    assert view(kept, "n0")["state"] == "whole" and kept.get("n0", 5, 5)[0] == 200
-    kept.trouble("heal")
-    kept.wait(lambda: all(view(kept, name)["agreed"] for name in kept.names))
+def test_without_keepers_views_are_local_and_gets_are_served(keeper_fleet):
+    keeper_fleet.split(keeper_fleet.names, list(keeper_fleet.keepers))
+    keeper_fleet.wait(lambda: all(view(keeper_fleet, name)["agreed"] == 0 for name in keeper_fleet.names))
+    # By the failure detector alone.
+    assert {health_at(keeper_fleet, "n0", other) for other in ("n1", "n2")} == {"live"}
+    assert view(keeper_fleet, "n0")["state"] == "whole" and keeper_fleet.get("n0", 5, 5)[0] == 200
+    keeper_fleet.trouble("heal")
+    keeper_fleet.wait(lambda: all(view(keeper_fleet, name)["agreed"] for name in keeper_fleet.names))
 
 
-def test_one_that_probes_reach_and_that_follows_no_keeper_is_cut_off_by_the_keepers_word(kept):
-    kept.split(["n0"], list(kept.keepers))
-    kept.wait(lambda: stands(kept, "n1", "n0") == "cut-off", 30)
-    said = kept.fronts["n1"].ask("why", "view", "n0")["facts"][0]
-    assert said["by"] == "keepers" and view(kept, "n0")["agreed"] == 0
-    assert kept.get("n0", 6, 6)[0] == 200
-    kept.trouble("heal")
-    all_see(kept, "n0", "live", patience=40)
+def test_a_front_without_keepers_that_answers_probes_is_cut_off_by_the_log(keeper_fleet):
+    keeper_fleet.split(["n0"], list(keeper_fleet.keepers))
+    keeper_fleet.wait(lambda: health_at(keeper_fleet, "n1", "n0") == "cut-off", 30)
+    fact = keeper_fleet.fronts["n1"].ask("why", "view", "n0")["facts"][0]
+    assert fact["by"] == "keepers" and view(keeper_fleet, "n0")["agreed"] == 0
+    assert keeper_fleet.get("n0", 6, 6)[0] == 200
+    keeper_fleet.trouble("heal")
+    wait_until_all_see(keeper_fleet, "n0", "live", patience=40)
 
 
-def test_one_that_comes_and_goes_is_kept_out_and_its_own_traffic_goes_on(tmp_path):
+def test_a_flapping_front_is_suppressed_and_serves_its_own_clients(tmp_path):
     with Rig(tmp_path, 3) as rig:
         rig.start_all()
         front = rig.fronts["n2"]
@@ -365,19 +373,21 @@
             front.kill()
             front.start()
             front.until("ready", since, patience=40)
-        rig.wait(lambda: stands(rig, "n0", "n2") == stands(rig, "n1", "n2") == "flapping", 30)
+        rig.wait(lambda: health_at(rig, "n0", "n2") == health_at(rig, "n1", "n2") == "flapping", 30)
         assert rig.get("n2", 7, 7)[0] == 200
-        all_see(rig, "n0", "live", ["n2"])
+        wait_until_all_see(rig, "n0", "live", ["n2"])
 
 
-def test_one_of_another_format_is_told_as_such(five):
-    all_see(five, "n1", "live")
-    life = five.fronts["n0"].ask("why", "view", "n1")["facts"][0]["life"]
-    with socket.create_connection(("127.0.0.1", five.fronts["n0"].fleet_port), 3) as sock:
+def test_a_front_of_another_protocol_version_is_reported_as_other_build(fleet):
+    wait_until_all_see(fleet, "n1", "live")
+    incarnation = fleet.fronts["n0"].ask("why", "view", "n1")["facts"][0]["life"]
+    with socket.create_connection(("127.0.0.1", fleet.fronts["n0"].fleet_port), 3) as sock:
         sock.sendall(
-            codec.encode_greeting(codec.Greeting(codec.VERSION + 1, "rig", "front", "n1", "", int(life, 16)))
+            codec.encode_greeting(
+                codec.Greeting(codec.VERSION + 1, "rig", "front", "n1", "", int(incarnation, 16))
+            )
         )
         while sock.recv(4096):
             pass
-    five.wait(lambda: stands(five, "n0", "n1") == "other-build")
-    assert stands(five, "n2", "n1") == "live"
+    fleet.wait(lambda: health_at(fleet, "n0", "n1") == "other-build")
+    assert health_at(fleet, "n2", "n1") == "live"
