--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -15,7 +15,7 @@
 from sprucegate.discovery.merged_endpoints import MergedEndpoints, endpoint_list_of
 from sprucegate.discovery.merged_view import STANDING_WORDS, View
 from sprucegate.discovery.safety_gate import SafetyGate
-from sprucegate.discovery.worker import flat, server_of
+from sprucegate.discovery.worker import row_of, server_of
 from sprucegate.storage.disk import Disk
 from sprucegate.storage.snapshots import SnapshotStore
 
@@ -411,7 +411,7 @@
         servers = list(self.view.lists["file"].values())
         head = orjson.dumps(self.view.dump(clock.unix_of))[:-1]
         for at in range(0, len(servers), BATCH_SIZE):
-            file_batches.append(orjson.dumps([flat(server) for server in servers[at : at + BATCH_SIZE]]))
+            file_batches.append(orjson.dumps([row_of(server) for server in servers[at : at + BATCH_SIZE]]))
             await asyncio.sleep(0)
         row_batches = []
         rows = list(self.view.rows.values())
--- a/sprucegate/discovery/worker.py
+++ b/sprucegate/discovery/worker.py
@@ -18,7 +18,7 @@
 STATES = {"serving": EndpointState.SERVING, "draining": EndpointState.DRAINING}
 
 
-def flat(server: Server) -> list[Any]:
+def row_of(server: Server) -> list[Any]:
     """Return a server as a row of plain values, as sent through the pipe and stored in snapshots."""
     entry = server.entry
     state = "draining" if entry.state is EndpointState.DRAINING else "serving"
@@ -37,7 +37,7 @@
 
 
 def server_of(row: list[Any]) -> Server:
-    """Return the server of a row that `flat` returned; raises ValueError or KeyError for an invalid row."""
+    """Return the server of a row that `row_of` returned; raises ValueError or KeyError for an invalid row."""
     number, location, kind, cell, state, weight, started, name, address, held = row
     entry = Endpoint(number, location, kind, cell, STATES[state], weight, started)
     return Server(entry, name, address, held)
@@ -58,7 +58,7 @@
     return [
         {
             "digest": contents.digest,
-            "servers": [flat(server) for server in batch],
+            "servers": [row_of(server) for server in batch],
             "more": index + 1 < len(batches),
         }
         for index, batch in enumerate(batches)
