--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -70,7 +70,7 @@
     listed = wanted.membership is None
     if not listed:
         # Other fronts may hold a list that takes away too much: with servers of the last run they are heard first.
-        listed = not await driver.membership.recovers() or wanted.fleet is None
+        listed = not await driver.membership.recover() or wanted.fleet is None
         if listed:
             await driver.membership.start()
     for _ in range(3):  # turns that a signal takes from the system to its handler, and one more
--- a/sprucegate/discovery/merged_endpoints.py
+++ b/sprucegate/discovery/merged_endpoints.py
@@ -7,20 +7,20 @@
 
 
 class MergedEndpoints:
-    """Passes each change of the view on to `driver.apply`; `view.news` collects the reports for other fronts."""
+    """Passes each change of the view to `driver.apply`; `view.pending_reports` has what other fronts are to be told."""
 
     def __init__(self, driver, view):
         self.driver = driver
         self.view = view
 
-    def merged(self, hosts, now):
+    def merge_bus_list(self, hosts, now):
         """Merge a list of the bus into the view; return what is to be applied now, or None."""
         change = self._bus_change(hosts, now)
         return None if change is None else endpoint_list_of(change.servers)
 
-    def word(self, endpoint_id, started, source, draining, now):
-        """Take another front's report that a server drains or no longer does; see `View.word`."""
-        change = self.view.word(endpoint_id, started, source, draining, now)
+    def apply_drain_report(self, endpoint_id, started, source, draining, now):
+        """Take another front's report that a server drains or no longer does; see `View.apply_drain_report`."""
+        change = self.view.apply_drain_report(endpoint_id, started, source, draining, now)
         if change is not None:
             self.apply_change(change)
 
@@ -30,7 +30,7 @@
 
     def _bus_change(self, hosts, now):
         servers = [Server(entry, *hosts.names[entry.id]) for entry in hosts.entries]
-        return self.view.told("bus", servers, hosts.whole, now)
+        return self.view.update("bus", servers, hosts.whole, now)
 
 
 def endpoint_list_of(servers: Iterable[Server]) -> EndpointList:
--- a/sprucegate/discovery/merged_view.py
+++ b/sprucegate/discovery/merged_view.py
@@ -96,7 +96,7 @@
 
     :ivar lists: {source: {endpoint id: Server}}; `rows`: {endpoint id: Row}; `drains`: {endpoint id: its drains}.
     :ivar recently_removed: endpoint ids that are listed no more, oldest first.
-    :ivar news: reports for other fronts that are still to be sent, or None where there are no other fronts.
+    :ivar pending_reports: reports for other fronts that are still to be sent, or None where there are no other fronts.
     """
 
     def __init__(self, order: tuple[str, ...], ramp: int = 0, now: int = 0) -> None:
@@ -109,11 +109,11 @@
         self.ramps: dict[int, Ramp] = {}
         self.started_at = now
         self.recently_removed: OrderedDict[int, None] = OrderedDict()
-        self.news: list[SourceReport] | None = None
+        self.pending_reports: list[SourceReport] | None = None
 
     # Events.
 
-    def told(self, source: str, servers: list[Server], whole: bool, now: int) -> Change | None:
+    def update(self, source: str, servers: list[Server], whole: bool, now: int) -> Change | None:
         """Merge a list of one source, whole or its changes only; return None if the view does not change."""
         batches = self.changes(source, servers, whole, now)
         changed = [server for change in batches if change for server in change.servers]
@@ -162,7 +162,9 @@
         listed[server.entry.id] = server
         self._update_drains(source, server, now)
 
-    def word(self, endpoint_id: int, started: int, source: str, draining: bool, now: int) -> Change | None:
+    def apply_drain_report(
+        self, endpoint_id: int, started: int, source: str, draining: bool, now: int
+    ) -> Change | None:
         """Take another front's report that a server drains or no longer does; `source` names the front and its source.
 
         The drain is kept and lifted like that of any source, and lifts no other one. A report on an earlier start than
@@ -199,8 +201,8 @@
         return Change(self.generation, changed)
 
     def _report(self, source: str, server: Server, state: EndpointState) -> None:
-        if self.news is not None:
-            self.news.append(SourceReport(source, server.entry.id, server.entry.started, state))
+        if self.pending_reports is not None:
+            self.pending_reports.append(SourceReport(source, server.entry.id, server.entry.started, state))
 
     # Drains.
 
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -73,7 +73,7 @@
 
     # The bus.
 
-    def merged(self, hosts, now):
+    def merge_bus_list(self, hosts, now):
         """Merge a list of the bus into the view; return what is to be applied now, or None."""
         change = self._bus_change(hosts, now)
         if change is None:
@@ -86,9 +86,9 @@
 
     # Start and stop.
 
-    async def recovers(self):
+    async def recover(self):
         """Recover the servers of the newest usable snapshot; return whether there was one."""
-        if (stored := self._recovered()) is None:
+        if (stored := self._read_snapshot()) is None:
             return False
         # Applied before the list is read, so that the safety gate compares that list with the previous run's.
         await self._apply_file_list([server_of(row) for row in stored["file"]], True)
@@ -131,7 +131,7 @@
         if self.worker is not None and self.worker.returncode is None:
             self.worker.kill()
 
-    def _recovered(self):
+    def _read_snapshot(self):
         if self.snapshots is None:
             return None
         now = clock.unix()
@@ -398,9 +398,9 @@
         while True:
             await asyncio.sleep(1)
             if self.snapshots is not None and self.snapshot_outdated and not self.queue:
-                await self.keep()
+                await self.save_snapshot()
 
-    async def keep(self):
+    async def save_snapshot(self):
         """Save a snapshot: the file's list and all drains for a restart, the view's rows for `servers show`.
 
         It is encoded in batches and written in a thread, so that the event loop isn't blocked.
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -104,7 +104,7 @@
             self.driver.aside = self.aside
         for box in [b for b in self.placed if b not in self.wanted]:
             at, started = self.placed.pop(box)
-            self.merged.word(at, started, SOURCE, False, now)
+            self.merged.apply_drain_report(at, started, SOURCE, False, now)
         for box in self.wanted:
             row = rows.get(box)
             if row is None:
@@ -113,7 +113,7 @@
             if self.placed.get(box) != which:
                 # Of the start that is listed: one that comes back while its permit says out is not used either.
                 self.placed[box] = which
-                self.merged.word(*which, SOURCE, True, now)
+                self.merged.apply_drain_report(*which, SOURCE, True, now)
         for permit in machine.permits.of_box.values():
             if permit.step is PermitStep.COLD and self.cold.get(permit.box, ("",))[0] != permit.start:
                 self.cold[permit.box] = permit.start, now, self.counts.get(permit.box, [0])[0]
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -97,7 +97,7 @@
         self.random_bits = int.from_bytes(os.urandom(4), "big")
         self.components = configured_components(self)
         self.records_since_freeze = 0
-        merged.view.news = []
+        merged.view.pending_reports = []
 
     # Start and end.
 
@@ -205,7 +205,7 @@
 
     def on_endpoints_changed(self):
         """Record the drains and removals that this front's own sources reported since the last call."""
-        news, self.merged.view.news = self.merged.view.news, []
+        news, self.merged.view.pending_reports = self.merged.view.pending_reports, []
         for component in self.components:
             component.on_endpoints_changed()
         if self.fleet_node is None:
@@ -427,7 +427,7 @@
             is_own = owner == self.fleet_node.replica.name
             if is_own and not loaded:
                 return  # here its own sources have set that already
-            self.merged.word(
+            self.merged.apply_drain_report(
                 server,
                 started,
                 source if is_own else f"{source}@{owner}",
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -212,7 +212,7 @@
         self.stamped(news, now)
         if isinstance(news, EndpointList):
             if self.membership is not None:
-                news = self.membership.merged(news, now)
+                news = self.membership.merge_bus_list(news, now)
             if news is not None:
                 self.apply(news)
             if self.fleet is not None:
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -34,7 +34,7 @@
 
 def view(**more):
     merged = View(("file", "bus"), **more)
-    merged.told("bus", [server("s-1"), server("s-2")], True, NOW)
+    merged.update("bus", [server("s-1"), server("s-2")], True, NOW)
     return merged
 
 
@@ -48,68 +48,71 @@
 
 def test_lists_of_the_bus_alone_are_passed_on():
     merged = View(("file", "bus"))
-    assert states(merged.told("bus", [server("s-1"), server("s-2", DRAINING)], True, NOW)) == [
+    assert states(merged.update("bus", [server("s-1"), server("s-2", DRAINING)], True, NOW)) == [
         ("s-2", DRAINING),
         ("s-1", SERVING),
     ]
-    assert merged.told("bus", [server("s-1")], False, NOW) is None and merged.generation == 1
-    assert states(merged.told("bus", [server("s-1", GONE)], False, NOW)) == [("s-1", GONE)]
-    assert states(merged.told("bus", [server("s-3")], True, NOW)) == [("s-2", GONE), ("s-3", SERVING)]
+    assert merged.update("bus", [server("s-1")], False, NOW) is None and merged.generation == 1
+    assert states(merged.update("bus", [server("s-1", GONE)], False, NOW)) == [("s-1", GONE)]
+    assert states(merged.update("bus", [server("s-3")], True, NOW)) == [("s-2", GONE), ("s-3", SERVING)]
 
 
 @pytest.mark.parametrize("first, second", [("file", "bus"), ("bus", "file")])
 def test_a_drain_of_one_source_is_not_lifted_by_the_other(first, second):
     merged = view()
-    merged.told(first, [server("s-1", DRAINING)], first == "file", NOW)
+    merged.update(first, [server("s-1", DRAINING)], first == "file", NOW)
     assert standing_of(merged, "s-1") is Standing.DRAINING
-    assert merged.told(second, [server("s-1")], False, NOW + S) is None
+    assert merged.update(second, [server("s-1")], False, NOW + S) is None
     assert (
         standing_of(merged, "s-1") is Standing.DRAINING
         and f"by {first}" in merged.rows[endpoint_id("s-1")].why
     )
-    merged.told(first, [server("s-1", GONE)], False, NOW + S)  # the other source lists it again
-    merged.told(second, [server("s-1")], False, NOW + 2 * S)
+    merged.update(first, [server("s-1", GONE)], False, NOW + S)  # the other source lists it again
+    merged.update(second, [server("s-1")], False, NOW + 2 * S)
     assert standing_of(merged, "s-1") is Standing.DRAINING
-    assert states(merged.told(first, [server("s-1")], False, NOW + 3 * S)) == [("s-1", SERVING)]
+    assert states(merged.update(first, [server("s-1")], False, NOW + 3 * S)) == [("s-1", SERVING)]
 
 
 def test_a_drain_does_not_hold_for_a_later_start_or_a_new_id_at_the_address():
     merged = view()
-    merged.told("bus", [server("s-1", DRAINING)], False, NOW)
-    assert states(merged.told("file", [server("s-1", started=NOW)], True, NOW)) == [("s-1", SERVING)]
-    merged.told("bus", [server("s-2", DRAINING, address="127.0.0.1:9")], False, NOW)
+    merged.update("bus", [server("s-1", DRAINING)], False, NOW)
+    assert states(merged.update("file", [server("s-1", started=NOW)], True, NOW)) == [("s-1", SERVING)]
+    merged.update("bus", [server("s-2", DRAINING, address="127.0.0.1:9")], False, NOW)
     # A new endpoint id at the same address.
-    merged.told("file", [server("s-9", address="127.0.0.1:9")], True, NOW)
+    merged.update("file", [server("s-9", address="127.0.0.1:9")], True, NOW)
     assert standing_of(merged, "s-9") is Standing.SERVING and standing_of(merged, "s-2") is Standing.DRAINING
 
 
 def test_a_server_is_removed_when_no_source_lists_it_and_sources_have_precedence():
     merged = view()
-    merged.told("file", [server("s-1", weight=3.0), server("s-3")], True, NOW)
+    merged.update("file", [server("s-1", weight=3.0), server("s-3")], True, NOW)
     assert merged.rows[endpoint_id("s-1")].server.entry.weight == 3.0
-    assert states(merged.told("file", [server("s-1", weight=3.0)], True, NOW)) == [("s-3", GONE)]
-    merged.told("bus", [server("s-1", weight=7.0)], False, NOW)
+    assert states(merged.update("file", [server("s-1", weight=3.0)], True, NOW)) == [("s-3", GONE)]
+    merged.update("bus", [server("s-1", weight=7.0)], False, NOW)
     assert merged.rows[endpoint_id("s-1")].server.entry.weight == 3.0
-    change = merged.told("file", [server("s-2")], True, NOW)
+    change = merged.update("file", [server("s-2")], True, NOW)
     assert [(s.name, s.entry.weight) for s in change.servers] == [("s-1", 7.0)]  # the bus still lists it
 
 
 def test_a_held_server_is_not_routed_to_and_an_unchanged_standing_keeps_its_time():
     merged = view()
-    assert states(merged.told("file", [server("s-5", held=True), server("s-2", held=True)], True, NOW)) == [
+    assert states(merged.update("file", [server("s-5", held=True), server("s-2", held=True)], True, NOW)) == [
         ("s-2", GONE)
     ]
     assert standing_of(merged, "s-5") is Standing.HELD
-    assert states(merged.told("file", [server("s-5")], True, NOW + S)) == [("s-2", SERVING), ("s-5", SERVING)]
-    merged.told("file", [server("s-5", weight=2.0)], True, NOW + 2 * S)
+    assert states(merged.update("file", [server("s-5")], True, NOW + S)) == [
+        ("s-2", SERVING),
+        ("s-5", SERVING),
+    ]
+    merged.update("file", [server("s-5", weight=2.0)], True, NOW + 2 * S)
     assert merged.rows[endpoint_id("s-5")].since == NOW + S
 
 
 def test_the_weight_of_a_returning_server_is_ramped_and_that_of_a_new_one_is_not():
     merged = view(ramp=10 * S)
-    merged.told("file", [server("s-1", weight=2.0), server("s-2", DRAINING)], True, NOW)
+    merged.update("file", [server("s-1", weight=2.0), server("s-2", DRAINING)], True, NOW)
     assert (
-        merged.told("file", [server("s-1", weight=2.0), server("s-2")], True, NOW).servers[0].entry.weight
+        merged.update("file", [server("s-1", weight=2.0), server("s-2")], True, NOW).servers[0].entry.weight
         == 0.1
     )
     assert merged.next_ramp_step_at() == NOW + S
@@ -125,9 +128,9 @@
 
 def test_drains_are_restored_after_a_restart():
     merged, restored = view(), View(("file", "bus"))
-    merged.told("bus", [server("s-1", DRAINING)], False, NOW)
+    merged.update("bus", [server("s-1", DRAINING)], False, NOW)
     restored.restore(merged.dump(lambda at: at + S), lambda stamp: stamp - S)
-    restored.told("file", [server("s-1")], True, NOW)
+    restored.update("file", [server("s-1")], True, NOW)
     assert standing_of(restored, "s-1") is Standing.DRAINING and restored.generation > merged.generation
 
 
@@ -154,7 +157,7 @@
 def test_changes_add_up_to_the_view_and_no_drain_is_lifted_by_another_source(events):
     merged, routed, drains = View(("file", "bus")), {}, {}
     for at, (source, whole, listed) in enumerate(events):
-        change = merged.told(
+        change = merged.update(
             source, [server(n, state, started=start) for n, state, start in listed], whole, NOW + at
         )
         for name, state, start in listed:
--- a/tests/stored_data.py
+++ b/tests/stored_data.py
@@ -449,10 +449,10 @@
     async def written():
         made = _membership(folder, monotonic)
         for source, rows, age in lists:
-            made.view.told(source, [_server(row) for row in rows], True, monotonic - age)
+            made.view.update(source, [_server(row) for row in rows], True, monotonic - age)
         for number, started, source, age in words:
-            made.view.word(number, started, source, True, monotonic - age)
-        await made.keep()
+            made.view.apply_drain_report(number, started, source, True, monotonic - age)
+        await made.save_snapshot()
 
     with _clocks_at(monotonic, unix):
         asyncio.run(written())
@@ -463,7 +463,7 @@
 
     async def read():
         made = _membership(folder, monotonic)
-        kept = made._recovered()
+        kept = made._read_snapshot()
         drains = [
             [number, [[one.source, monotonic - one.since, one.started] for one in several]]
             for number, several in made.view.drains.items()
