--- a/sprucegate/fleet/consensus/component.py
+++ b/sprucegate/fleet/consensus/component.py
@@ -46,7 +46,7 @@
     def on_view_changed(self, view):
         """Note whether this front knows enough of the fleet to propose the list of servers."""
         if self.consensus is not None:
-            self.consensus.may_report_servers = view.allows_own(OwnAction.SPEAK)
+            self.consensus.may_report_servers = view.allows_own(OwnAction.REPORT_SERVERS)
 
     def on_identity_changed(self, name, incarnation):
         """Follow this process's new name or incarnation."""
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -77,7 +77,7 @@
             for name, row in self._rows().items()
         }
         for name, member in self.members().items():
-            if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.state]):
+            if allows(PeerAction.LIST_FOR_MAINTENANCE, HEALTH_STATE_OF_MEMBER[member.state]):
                 found[name] = ManagedServer(name, "front", "", "front", "", 1)
         return found
 
--- a/sprucegate/fleet/membership_view/degraded_mode.py
+++ b/sprucegate/fleet/membership_view/degraded_mode.py
@@ -14,17 +14,17 @@
 class PeerAction(Enum):
     """An action of this front towards another front.
 
-    AWAITED, LEND, HOLDS and COUNTED document what the consensus log and the quotas do by their own leases; no code
-    queries them here.
+    AWAIT_DRAIN_CONFIRMATION, GRANT_SLOTS, COUNT_GRANTED_SLOTS and RESERVE_MINIMUM document what the consensus log and
+    the quotas do by their own leases; no code queries them here.
     """
 
-    TELL = auto()  # send it invalidations, drains and removals at once
-    BELIEVE = auto()  # use its gossip on caches and ejections
-    LISTED = auto()  # list it among the fronts that a maintenance permit may take out
-    AWAITED = auto()  # wait until it confirms a drain
-    LEND = auto()  # grant it further slots
-    HOLDS = auto()  # count the slots granted to it as in use until their lease ends
-    COUNTED = auto()  # reserve its minimum of slots
+    SEND_UPDATES = auto()  # send it invalidations, drains and removals at once
+    USE_GOSSIP = auto()  # use its gossip on caches and ejections
+    LIST_FOR_MAINTENANCE = auto()  # list it among the fronts that a maintenance permit may take out
+    AWAIT_DRAIN_CONFIRMATION = auto()  # wait until it confirms a drain
+    GRANT_SLOTS = auto()  # grant it further slots
+    COUNT_GRANTED_SLOTS = auto()  # count the slots granted to it as in use until their lease ends
+    RESERVE_MINIMUM = auto()  # reserve its minimum of slots
     LEASE_HOLDER = auto()  # accept it as lease holder of a source's slots
 
 
@@ -33,37 +33,37 @@
 # holder (each change leaves slots idle for the length of a lease). A leaving front needs no updates but holds its
 # slots until it ends.
 ALLOWED_BY_HEALTH = {
-    PeerAction.TELL: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
-    PeerAction.BELIEVE: {LIVE, CUT_OFF},
-    PeerAction.LISTED: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
-    PeerAction.AWAITED: set(HealthState),
-    PeerAction.LEND: {LIVE, CUT_OFF},
-    PeerAction.HOLDS: set(HealthState),
-    PeerAction.COUNTED: set(HealthState),
+    PeerAction.SEND_UPDATES: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
+    PeerAction.USE_GOSSIP: {LIVE, CUT_OFF},
+    PeerAction.LIST_FOR_MAINTENANCE: {LIVE, SUSPECT, ONE_WAY, CUT_OFF, FLAPPING},
+    PeerAction.AWAIT_DRAIN_CONFIRMATION: set(HealthState),
+    PeerAction.GRANT_SLOTS: {LIVE, CUT_OFF},
+    PeerAction.COUNT_GRANTED_SLOTS: set(HealthState),
+    PeerAction.RESERVE_MINIMUM: set(HealthState),
     PeerAction.LEASE_HOLDER: {LIVE, SUSPECT},
 }
 
 
 class OwnAction(Enum):
-    """An action of this front that depends on its own state; TELL is listed for completeness, no code queries it."""
+    """An action of this front by its own state; SEND_UPDATES is listed for completeness, no code queries it."""
 
-    TELL = auto()  # send on the invalidations and drains that it receives
-    BELIEVE = auto()  # use other fronts' gossip
-    SPEAK = auto()  # state for all fronts which endpoints there are, when it is its turn
-    LEND = auto()  # grant slots as lease holder
+    SEND_UPDATES = auto()  # send on the invalidations and drains that it receives
+    USE_GOSSIP = auto()  # use other fronts' gossip
+    REPORT_SERVERS = auto()  # state for all fronts which endpoints there are, when it is its turn
+    GRANT_SLOTS = auto()  # grant slots as lease holder
     BORROW = auto()  # use leased slots beyond its minimum
-    FLOOR = auto()  # use its minimum of slots
+    USE_MINIMUM = auto()  # use its minimum of slots
 
 
 # After a stall a lease may have expired unnoticed; a returning front knows too little to state the endpoints for all; a
 # front that is alone has nobody to borrow from and uses its minimum.
 ALLOWED_BY_FLEET = {
-    OwnAction.TELL: set(FleetState),
-    OwnAction.BELIEVE: {FleetState.WHOLE, FleetState.PART, FleetState.RETURNING},
-    OwnAction.SPEAK: {FleetState.WHOLE, FleetState.PART, FleetState.ALONE},
-    OwnAction.LEND: {FleetState.WHOLE, FleetState.PART},
-    OwnAction.BORROW: {FleetState.WHOLE, FleetState.PART},
-    OwnAction.FLOOR: {FleetState.WHOLE, FleetState.PART, FleetState.ALONE},
+    OwnAction.SEND_UPDATES: set(FleetState),
+    OwnAction.USE_GOSSIP: {FleetState.WHOLE, FleetState.PARTIAL, FleetState.RETURNING},
+    OwnAction.REPORT_SERVERS: {FleetState.WHOLE, FleetState.PARTIAL, FleetState.ALONE},
+    OwnAction.GRANT_SLOTS: {FleetState.WHOLE, FleetState.PARTIAL},
+    OwnAction.BORROW: {FleetState.WHOLE, FleetState.PARTIAL},
+    OwnAction.USE_MINIMUM: {FleetState.WHOLE, FleetState.PARTIAL, FleetState.ALONE},
 }
 
 
--- a/sprucegate/fleet/membership_view/health_state.py
+++ b/sprucegate/fleet/membership_view/health_state.py
@@ -53,14 +53,14 @@
     """The state of this front in its fleet; the values are the words in log lines and answers.
 
     :cvar WHOLE: all fronts are reachable
-    :cvar PART: some are
+    :cvar PARTIAL: some are
     :cvar ALONE: none of the others is
-    :cvar STOOD_STILL: this process stalled and may not have read all that arrived meanwhile
+    :cvar STALLED: this process stalled and may not have read all that arrived meanwhile
     :cvar RETURNING: this front has not yet caught up with the replicated records
     """
 
     WHOLE = "whole"
-    PART = "part"
+    PARTIAL = "part"
     ALONE = "alone"
-    STOOD_STILL = "stood still"
+    STALLED = "stood still"
     RETURNING = "returning"
--- a/sprucegate/fleet/membership_view/tracker.py
+++ b/sprucegate/fleet/membership_view/tracker.py
@@ -206,19 +206,23 @@
                 self._live_since.pop(name, None)
 
     def _share(self) -> float:
-        reachable = 1 + sum(degraded_mode.allows(PeerAction.TELL, row.health) for row in self._rows.values())
+        reachable = 1 + sum(
+            degraded_mode.allows(PeerAction.SEND_UPDATES, row.health) for row in self._rows.values()
+        )
         total = 1 + sum(self._is_part_of_fleet(name, row) for name, row in self._rows.items())
         return reachable / max(reachable, total)
 
     def _state(self, share: float, now: int) -> FleetState:
         if now < self._stalled_until:
-            return FleetState.STOOD_STILL
+            return FleetState.STALLED
         if self._returning:
             return FleetState.RETURNING
         if share == 1.0:
             return FleetState.WHOLE
-        reachable = any(degraded_mode.allows(PeerAction.TELL, row.health) for row in self._rows.values())
-        return FleetState.PART if reachable else FleetState.ALONE
+        reachable = any(
+            degraded_mode.allows(PeerAction.SEND_UPDATES, row.health) for row in self._rows.values()
+        )
+        return FleetState.PARTIAL if reachable else FleetState.ALONE
 
     def _is_part_of_fleet(self, name: str, row: ViewRow) -> bool:
         """Tell whether a front counts: not if it left, nor if it is dead and the consensus log has removed it."""
--- a/sprucegate/fleet/node.py
+++ b/sprucegate/fleet/node.py
@@ -128,7 +128,7 @@
             applied.append(action)
             if isinstance(action, membership_actions.MemberChanged):
                 self.views.on_member_changed(action.member, now)
-                reachable = allows(PeerAction.TELL, HEALTH_STATE_OF_MEMBER[action.member.state])
+                reachable = allows(PeerAction.SEND_UPDATES, HEALTH_STATE_OF_MEMBER[action.member.state])
                 before = action.before
                 if before is not None and before.incarnation != action.member.incarnation:
                     # A new incarnation may have lost its disk: what the earlier one had seen no longer counts.
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -129,10 +129,10 @@
             for name, row in view.rows.items()
             if view.allows(PeerAction.LEASE_HOLDER, name)
         ]
-        if view.allows_own(OwnAction.LEND):
+        if view.allows_own(OwnAction.GRANT_SLOTS):
             candidates.append((own.name, own.incarnation))
         may_borrow = view.allows_own(OwnAction.BORROW)
-        may_use_floors = view.allows_own(OwnAction.FLOOR)
+        may_use_floors = view.allows_own(OwnAction.USE_MINIMUM)
         now = time.monotonic_ns()
         self._perform(self.quotas.on_view_changed(candidates, may_borrow, may_use_floors, now))
 
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -382,7 +382,7 @@
     def _on_evidence(self, name, message):
         now = self.driver.clock()
         view = self.fleet_node.views.view
-        if not view.allows(PeerAction.BELIEVE, name) or not view.allows_own(OwnAction.BELIEVE):
+        if not view.allows(PeerAction.USE_GOSSIP, name) or not view.allows_own(OwnAction.USE_GOSSIP):
             return
         # By the wall clocks of two machines: where either was stepped, gossip looks too old, or is from the future.
         age = clock.unix() - message.sent_at
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -122,10 +122,8 @@
         set(seen(views, HOLD_DOWN_NS).values()) == {HealthState.LIVE} and views.view.state is FleetState.WHOLE
     )
     views.on_stall(9 * S)
-    assert (
-        set(seen(views, 9 * S).values()) == {HealthState.LIVE} and views.view.state is FleetState.STOOD_STILL
-    )
-    assert not views.view.allows_own(OwnAction.BORROW) and not views.view.allows_own(OwnAction.FLOOR)
+    assert set(seen(views, 9 * S).values()) == {HealthState.LIVE} and views.view.state is FleetState.STALLED
+    assert not views.view.allows_own(OwnAction.BORROW) and not views.view.allows_own(OwnAction.USE_MINIMUM)
     seen(views, 9 * S + STALL_RECOVERY_NS)
     assert views.view.state is FleetState.WHOLE
 
@@ -140,10 +138,10 @@
     for name in "bc":
         views.on_member_changed(member(name, MemberState.DEAD), 5 * S)
     seen(views, 5 * S)
-    assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 0.5, 0)
+    assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PARTIAL, 0.5, 0)
     views.on_log_applied(7, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     seen(views, 6 * S)  # the log has removed b: it no longer counts as part of the fleet
-    assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PART, 2 / 3, 7)
+    assert (views.view.state, views.view.share, views.view.agreed) == (FleetState.PARTIAL, 2 / 3, 7)
     views.on_log_applied(9, {"a": 1, "d": 1 << 32, "c": 1 << 32}, False, 6 * S)
     # Log entries that don't change the fronts make no new view.
     assert seen(views, 6 * S) and views.view.agreed == 7
@@ -163,7 +161,7 @@
         degraded_mode.ALLOWED_BY_FLEET
     ) == set(OwnAction)
     # Never towards a front that may be gone, or that speaks another version.
-    for action in (PeerAction.BELIEVE, PeerAction.LEND, PeerAction.LEASE_HOLDER):
+    for action in (PeerAction.USE_GOSSIP, PeerAction.GRANT_SLOTS, PeerAction.LEASE_HOLDER):
         assert not degraded_mode.ALLOWED_BY_HEALTH[action] & {
             HealthState.GONE,
             HealthState.ONE_WAY,
@@ -171,10 +169,14 @@
             HealthState.OTHER_BUILD,
         }
     # Safe in any health state.
-    for action in (PeerAction.HOLDS, PeerAction.COUNTED, PeerAction.AWAITED):
+    for action in (
+        PeerAction.COUNT_GRANTED_SLOTS,
+        PeerAction.RESERVE_MINIMUM,
+        PeerAction.AWAIT_DRAIN_CONFIRMATION,
+    ):
         assert degraded_mode.ALLOWED_BY_HEALTH[action] == set(HealthState)
     assert not degraded_mode.allows_own(OwnAction.BORROW, FleetState.ALONE) and degraded_mode.allows_own(
-        OwnAction.TELL, FleetState.STOOD_STILL
+        OwnAction.SEND_UPDATES, FleetState.STALLED
     )
 
 
