--- a/sprucegate/cli/fleet.py
+++ b/sprucegate/cli/fleet.py
@@ -57,8 +57,8 @@
             sock.sendall(said + asked)
             while piece := sock.recv(1 << 16):
                 data += piece
-        length, _ = records.HEAD.unpack_from(data)
-        answer = orjson.loads(data[records.HEAD.size + length :])
+        length, _ = records.HEADER.unpack_from(data)
+        answer = orjson.loads(data[records.HEADER.size + length :])
     except (OSError, ValueError, records.struct.error) as fault:
         if quiet:
             return None
--- a/sprucegate/fleet/links/codec.py
+++ b/sprucegate/fleet/links/codec.py
@@ -225,17 +225,17 @@
         self.held += data
         found = []
         at = 0
-        while len(self.held) - at >= records.HEAD.size:
-            length, _ = records.HEAD.unpack_from(self.held, at)
+        while len(self.held) - at >= records.HEADER.size:
+            length, _ = records.HEADER.unpack_from(self.held, at)
             if length > self.max_bytes:
                 raise FrameError(f"a record of {length} bytes, more than {self.max_bytes}")
-            if len(self.held) - at < records.HEAD.size + length:
+            if len(self.held) - at < records.HEADER.size + length:
                 break
-            scanned = records.scan(memoryview(self.held)[at : at + records.HEAD.size + length])
+            scanned = records.scan(memoryview(self.held)[at : at + records.HEADER.size + length])
             if scanned.fault:
                 raise FrameError(scanned.fault)
             found += scanned.records
-            at += records.HEAD.size + length
+            at += records.HEADER.size + length
             self.max_bytes = FRAME_BYTES_MAX  # the smaller bound is only for the greeting, the first record
         del self.held[:at]
         return found
--- a/sprucegate/storage/records.py
+++ b/sprucegate/storage/records.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 from zlib import crc32
 
-HEAD = struct.Struct(">II")
+HEADER = struct.Struct(">II")
 RECORD_BYTES_MAX = 64 << 20
 
 
@@ -28,7 +28,7 @@
 def record(payload: bytes) -> bytes:
     """Return the payload with its header."""
     length = len(payload)
-    return HEAD.pack(length, _checksum(length, payload)) + payload
+    return HEADER.pack(length, _checksum(length, payload)) + payload
 
 
 def scan(data: bytes | bytearray | memoryview) -> ScanResult:
@@ -39,18 +39,18 @@
     found: list[bytes] = []
     start = 0
     while start < len(data):
-        if len(data) - start < HEAD.size:
+        if len(data) - start < HEADER.size:
             return ScanResult(found, start, "a torn header")
-        length, checksum = HEAD.unpack_from(data, start)
+        length, checksum = HEADER.unpack_from(data, start)
         if length > RECORD_BYTES_MAX:
             return ScanResult(found, start, "a length above the limit")
-        payload = bytes(data[start + HEAD.size : start + HEAD.size + length])
+        payload = bytes(data[start + HEADER.size : start + HEADER.size + length])
         if len(payload) < length:
             return ScanResult(found, start, "a torn record")
         if _checksum(length, payload) != checksum:
             return ScanResult(found, start, "a checksum mismatch")
         found.append(payload)
-        start += HEAD.size + length
+        start += HEADER.size + length
     return ScanResult(found, start, "")
 
 
--- a/standins/fleet/relay.py
+++ b/standins/fleet/relay.py
@@ -15,7 +15,7 @@
 import msgspec
 import uvloop
 
-from sprucegate.storage.records import HEAD
+from sprucegate.storage.records import HEADER
 
 
 class Troubles:
@@ -43,8 +43,8 @@
 
 
 async def _frame(reader):
-    head = await reader.readexactly(HEAD.size)
-    return head + await reader.readexactly(HEAD.unpack(head)[0])
+    head = await reader.readexactly(HEADER.size)
+    return head + await reader.readexactly(HEADER.unpack(head)[0])
 
 
 async def _pump(troubles, pair, reader, writer):
@@ -52,7 +52,7 @@
     while True:
         frame = await _frame(reader)
         try:
-            said = msgspec.msgpack.decode(frame[HEAD.size :])
+            said = msgspec.msgpack.decode(frame[HEADER.size :])
             kind = said[0] if isinstance(said, list) and len(said) == 2 else None
         except msgspec.MsgspecError:
             kind = None
@@ -80,7 +80,7 @@
     tasks, there = [], None
     try:
         greeting = await _frame(reader)
-        dialler = msgspec.msgpack.decode(greeting[HEAD.size :])[3]
+        dialler = msgspec.msgpack.decode(greeting[HEADER.size :])[3]
         if (dialler, target, None) in troubles.cuts or (target, dialler, None) in troubles.cuts:
             await asyncio.sleep(3)  # as a network that lets nothing through: nothing is refused either
             return
--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -160,8 +160,8 @@
                 )
                 while piece := sock.recv(1 << 16):
                     data += piece
-            length, _ = records.HEAD.unpack_from(data)
-            return json.loads(data[records.HEAD.size + length :])
+            length, _ = records.HEADER.unpack_from(data)
+            return json.loads(data[records.HEADER.size + length :])
         except (OSError, ValueError, records.struct.error):
             return None
 
--- a/tests/fleet/test_fleet_links.py
+++ b/tests/fleet/test_fleet_links.py
@@ -84,7 +84,7 @@
     for bounds in ([1], [3, 2], [1, 1]):
         with pytest.raises(codec.FrameError):
             codec.decode_message(
-                codec.encode_message(replica.TransferEnd(1, 1, [("a", 1, bounds)]))[records.HEAD.size :]
+                codec.encode_message(replica.TransferEnd(1, 1, [("a", 1, bounds)]))[records.HEADER.size :]
             )
 
 
