--- a/sprucegate/discovery/list_format.py
+++ b/sprucegate/discovery/list_format.py
@@ -94,7 +94,9 @@
                 raise _fault(file, text, index, "servers", f"more than {ENTRIES_MAX} entries")
     file = texts[0][0] if texts else "?"
     if not found:
-        raise OperatorFileError(file, 1, "servers", "lists no servers, which is taken for a mistake")
+        raise OperatorFileError(
+            file, 1, "servers", "lists no servers; an empty list is rejected as a mistake"
+        )
     if not weights:
         raise OperatorFileError(file, 1, "weight", "all weights are 0")
     return found
--- a/sprucegate/discovery/merged_endpoints.py
+++ b/sprucegate/discovery/merged_endpoints.py
@@ -7,7 +7,7 @@
 
 
 class MergedEndpoints:
-    """Passes each change of the view to `driver.apply`; `view.pending_reports` has what other fronts are to be told."""
+    """Passes each change of the view to `driver.apply`; `view.pending_reports` has the reports for other fronts."""
 
     def __init__(self, driver, view):
         self.driver = driver
--- a/sprucegate/discovery/merged_view.py
+++ b/sprucegate/discovery/merged_view.py
@@ -1,4 +1,4 @@
-"""The merged view of all sources: which servers serve, drain or are removed, and what other fronts are told of it.
+"""The merged view of all sources: which servers serve, drain or are removed, and reports of it for other fronts.
 
 No I/O, no clock: the caller passes the time (ns). A server is identified by its endpoint id: a new id at a known
 address is another server.
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -107,9 +107,8 @@
             self._apply_queue()
         while self.queue:
             await asyncio.sleep(BATCH_INTERVAL_S)
-        await asyncio.to_thread(
-            int
-        )  # the first thread takes 0.1 s to start: do it before requests are served
+        # The first thread takes 0.1 s to start: start it before requests are served.
+        await asyncio.to_thread(int)
         self.tasks = [
             self.loop.create_task(each())
             for each in (self._watch_loop, self._poll_loop, self._reload_loop, self._snapshot_loop)
@@ -217,9 +216,8 @@
             if not answer["more"]:
                 self.digest = digest
                 return servers
-            await asyncio.sleep(
-                0
-            )  # lines that are buffered already would otherwise block the loop until the last
+            # Reading lines that are buffered already doesn't yield: without this the loop is blocked until the last.
+            await asyncio.sleep(0)
 
     def _on_invalid(self, fault):
         self.incomplete = None
--- a/sprucegate/fleet/failure_detector/detector.py
+++ b/sprucegate/fleet/failure_detector/detector.py
@@ -305,7 +305,7 @@
         return [DeclaredDead()] if update.state >= MemberState.DEAD else []
 
     def _name_conflict(self, update: Member) -> NameConflict:
-        """If both processes are alive, one takes an alias: else they would outbid each other's incarnation for ever."""
+        """If both processes are alive, one takes an alias: else both would raise their incarnations for ever."""
         own_bits = self.own.incarnation & RANDOM_BITS_MASK
         other_bits = update.incarnation & RANDOM_BITS_MASK
         alias = f"{self.own.name}~{own_bits:08x}" if self._renewals and own_bits > other_bits else ""
--- a/tests/discovery/test_discovery_in_front.py
+++ b/tests/discovery/test_discovery_in_front.py
@@ -41,8 +41,8 @@
     def front(self, *hosts):
         return Front(self.path, *hosts, kdl=self.kdl)
 
-    def heard(self):
-        """The names of the caches that were sent a request since the last call."""
+    def caches_with_requests(self):
+        """Return the names of the caches that were sent a request since the last call."""
         found = set()
         for name, cache_server in self.caches.items():
             while not cache_server.heard.empty():
@@ -67,33 +67,33 @@
     end, first = time.monotonic() + 10, 10_000
     while True:
         first += 100
-        setup.heard()
+        setup.caches_with_requests()
         send_gets(front, first)
-        if (heard := setup.heard()) == names:
+        if (found := setup.caches_with_requests()) == names:
             return
-        assert time.monotonic() < end, heard
+        assert time.monotonic() < end, found
 
 
 def test_lists_are_applied_rejected_held_and_confirmed(setup):
     setup.write(setup.text())
     with setup.front() as front:
         send_gets(front, 0)
-        assert setup.heard() == {"s-0b", "s-0c", "s-0d"}
+        assert setup.caches_with_requests() == {"s-0b", "s-0c", "s-0d"}
         setup.write(setup.text(s_0b="draining"))
         assert front.until("servers_taken")["changed"] == 1
         send_gets(front, 100)
-        assert setup.heard() == {"s-0c", "s-0d"}
+        assert setup.caches_with_requests() == {"s-0c", "s-0d"}
         setup.write("servers {\n}\n")
         assert front.until("servers_refused")["line"] == 1
         setup.write(setup.text().replace('kind="std"', 'kind="bogus"', 1))
         assert front.until("servers_refused")["key"] == "kind"
         send_gets(front, 200)
-        assert setup.heard() == {"s-0c", "s-0d"}
+        assert setup.caches_with_requests() == {"s-0c", "s-0d"}
         setup.write(setup.text("s-0c"))
         held = front.until("servers_held")
         assert (held["location"], held["share"]) == ("here", 0.5)
         send_gets(front, 300)
-        assert setup.heard() == {"s-0c", "s-0d"}
+        assert setup.caches_with_requests() == {"s-0c", "s-0d"}
         done = subprocess.run(
             [
                 sys.executable,
@@ -111,7 +111,7 @@
         assert done.returncode == 0
         front.until("servers_taken")
         send_gets(front, 400)
-        assert setup.heard() == {"s-0c"}
+        assert setup.caches_with_requests() == {"s-0c"}
 
 
 def test_neither_bus_nor_file_lifts_a_drain_of_the_other(setup):
@@ -131,7 +131,7 @@
         front.tells.put({"offset": 3, "topology": {"seq": 3, "whole": False, "hosts": [hosts[1]]}})
         front.until("told")
         send_gets(front, 0)
-        assert setup.heard() == {"s-0d"}
+        assert setup.caches_with_requests() == {"s-0d"}
 
 
 def test_a_drained_server_is_no_longer_a_fill_source(setup):
@@ -140,7 +140,7 @@
         send_gets(front, 0, 30)
         setup.write(setup.text(s_0b="draining"))
         front.until("servers_taken")
-        setup.heard()
+        setup.caches_with_requests()
         send_gets(front, 0, 30)  # the same objects: the front believes that s-0b holds a third of them
         for cache_server in setup.caches.values():
             while not cache_server.heard.empty():
@@ -157,13 +157,12 @@
     setup.list.unlink()
     with setup.front() as front:  # the list is missing
         send_gets(front, 100)
-        assert setup.heard() <= {"s-0c", "s-0d"}
-        setup.write(
-            setup.text("s-0b", "s-0c", s_0b="serving")
-        )  # once it is back, the drain of the file is lifted
+        assert setup.caches_with_requests() <= {"s-0c", "s-0d"}
+        # Once the list is back, its own drain is lifted.
+        setup.write(setup.text("s-0b", "s-0c", s_0b="serving"))
         front.until("servers_taken")
         send_gets(front, 200)
-        assert setup.heard() == {"s-0b", "s-0c"}
+        assert setup.caches_with_requests() == {"s-0b", "s-0c"}
     newest = max((setup.path / "state").glob("*.snap"))
     newest.write_bytes(newest.read_bytes()[:-3])
     setup.write("torn {")
@@ -194,9 +193,9 @@
                 file.flush()
                 time.sleep(0.002)
         assert front.until("servers_taken")["changed"] == 1
-        setup.heard()
+        setup.caches_with_requests()
         send_gets(front, 100)
-        assert setup.heard() == {"s-0c", "s-0d"}
+        assert setup.caches_with_requests() == {"s-0c", "s-0d"}
 
 
 def test_the_newest_of_two_lists_is_applied_and_a_list_may_become_a_symlink(setup):
@@ -225,13 +224,13 @@
     folder("list.kdl", setup.text())
     with setup.front() as front:
         send_gets(front, 0)
-        assert setup.heard() == set(setup.caches)
+        assert setup.caches_with_requests() == set(setup.caches)
         fresh = folder("fresh.d", setup.text(s_0b="draining"))
         os.rename(setup.list, setup.path / "old.d")
         os.rename(fresh, setup.list)
         assert front.until("servers_taken")["changed"] == 1
         send_gets(front, 100)
-        assert setup.heard() == {"s-0c", "s-0d"}
+        assert setup.caches_with_requests() == {"s-0c", "s-0d"}
 
 
 def test_300_generations_while_200_gets_are_open(setup):
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -232,7 +232,7 @@
         assert viewing.broken(played(seed, size, loss).trace) == []
 
 
-def _hide_suspicions(monkeypatch):
+def _hide_failures(monkeypatch):
     monkeypatch.setattr(
         ViewTracker,
         "on_member_changed",
@@ -251,7 +251,7 @@
 @pytest.mark.parametrize(
     "name, inject",
     [
-        ("live_though_away", _hide_suspicions),
+        ("live_though_away", _hide_failures),
         ("gone_though_there", _disable_refutation),
         ("stays_in_part", _disable_catch_up),
     ],
