--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -100,7 +100,7 @@
             for name, row in self._rows().items()
         }
         for name, member in self.members().items():
-            if allows(PeerAction.LISTED, HEALTH_STATE_OF_MEMBER[member.state]):
+            if allows(PeerAction.LIST_FOR_MAINTENANCE, HEALTH_STATE_OF_MEMBER[member.state]):
                 found[name] = ManagedServer(name, "front", "", "front", "", 1)
         return found
 
@@ -127,7 +127,7 @@
             self.driver.aside = self.own_drain
         for box in [b for b in self.applied_drains if b not in self.log_drains]:
             at, started = self.applied_drains.pop(box)
-            self.merged.word(at, started, DRAIN_SOURCE, False, now)
+            self.merged.apply_drain_report(at, started, DRAIN_SOURCE, False, now)
         for box in self.log_drains:
             row = rows.get(box)
             if row is None:
@@ -136,7 +136,7 @@
             if self.applied_drains.get(box) != server:
                 # For each start that is listed: one that comes back while its permit is still out is not used either.
                 self.applied_drains[box] = server
-                self.merged.word(*server, DRAIN_SOURCE, True, now)
+                self.merged.apply_drain_report(*server, DRAIN_SOURCE, True, now)
         for permit in machine.permits.open_by_box.values():
             if permit.step is PermitStep.COLD and self.cold.get(permit.box, ("",))[0] != permit.start:
                 self.cold[permit.box] = permit.start, now, self.counts.get(permit.box, [0])[0]
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -168,7 +168,7 @@
         # One connection per server is kept in reserve, up to half of the bound over all servers.
         reserved = min(len(servers.by_id), servers.max_connections // 2)
         full = (
-            len(server.transport_state) >= CONNECTIONS
+            len(server.transport_state) >= CONNECTIONS_PER_CACHE
             or servers.connections >= servers.max_connections - reserved
         )
         # A partly received answer that nobody waits for may never be completed: its connection would then be closed
