--- a/sprucegate/assembly/__init__.py
+++ b/sprucegate/assembly/__init__.py
@@ -1,1 +1,1 @@
-"""The one room that knows front, membership and fleet, and puts a front together from them."""
+"""Puts a front together from its packages (front, discovery, fleet); the only package that imports all of them."""
--- a/sprucegate/assembly/keep.py
+++ b/sprucegate/assembly/keep.py
@@ -1,4 +1,4 @@
-"""A process that does nothing but keep the agreed log."""
+"""A voter process: a member of the replicated log that serves no requests."""
 
 import asyncio
 import os
@@ -13,29 +13,29 @@
 
 
 async def keep(name, fleet, agreement, rollout, log, **trusted):
-    """Until SIGTERM; the exit status."""
-    own = agreement.addresses[name]
-    life = int.from_bytes(os.urandom(4), "big")
-    agreed = None
+    """Run a voter until SIGTERM; return the exit status."""
+    own_address = agreement.addresses[name]
+    incarnation = int.from_bytes(os.urandom(4), "big")
+    consensus = None
 
     def greeting():
-        return codec.Greeting(codec.VERSION, fleet.name, "front", name, own, life)
+        return codec.Greeting(codec.VERSION, fleet.name, "front", name, own_address, incarnation)
 
-    def heard(_, message):
+    def on_message(_, message):
         if isinstance(message, codec.ConsensusFrame):
-            agreed.heard(message)
+            consensus.heard(message)
 
-    async def asked(question):
+    async def on_question(question):
         if question.what != "agreed":
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known to a keeper"})
-        return orjson.dumps({"ok": True, "front": name, **agreed.shown()})
+        return orjson.dumps({"ok": True, "front": name, **consensus.shown()})
 
-    links = PeerLinks(fleet.address, log, greeting, heard, asked, VOTER_CONNECTIONS_MAX)
-    agreed = ConsensusDriver(
+    links = PeerLinks(fleet.address, log, greeting, on_message, on_question, VOTER_CONNECTIONS_MAX)
+    consensus = ConsensusDriver(
         name,
-        life,
+        incarnation,
         ConsensusSettings(agreement.addresses, agreement.state, rollout.limits),
-        life,
+        incarnation,
         log,
         links,
         **trusted,
@@ -46,10 +46,10 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    await agreed.start()
+    await consensus.start()
     log("keeper_ready", listen=fleet.listen)
     await stop.wait()
-    await agreed.stop()
+    await consensus.stop()
     links.stop()
     log("keeper_stopped")
     return 0
--- a/sprucegate/front/log.py
+++ b/sprucegate/front/log.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output, one JSON object each. A line that would block is dropped and counted."""
+"""Log lines on standard output, one JSON object per line. A line that would block is dropped and counted."""
 
 import os
 
@@ -9,27 +9,27 @@
 
 
 class Writer:
-    """Writes whole lines to a descriptor without blocking, and holds back at most the rest of one.
+    """Writes whole lines to a descriptor without blocking; buffers at most the unwritten rest of one line.
 
     :ivar dropped: lines dropped since the last one that was written
-    :ivar rest: bytes of a line of which the descriptor took only a part
+    :ivar unwritten: the rest of a line that was written only in part
     """
 
     def __init__(self, fd):
         self.fd = fd
         self.dropped = 0
-        self.rest = b""
+        self.unwritten = b""
         os.set_blocking(fd, False)
 
     def write(self, line):
-        """Write one line, or drop it where the descriptor takes nothing."""
+        """Write one line, or drop it if the descriptor is not writable."""
         try:
-            # The end of a line cut before goes first, so that each line stays one.
-            if self.rest:
-                self.rest = self.rest[os.write(self.fd, self.rest) :]
-            if self.rest:
+            # The rest of a partly written line goes first, so that lines stay whole.
+            if self.unwritten:
+                self.unwritten = self.unwritten[os.write(self.fd, self.unwritten) :]
+            if self.unwritten:
                 raise BlockingIOError
-            self.rest = line[os.write(self.fd, line) :]
+            self.unwritten = line[os.write(self.fd, line) :]
             self.dropped = 0
         except OSError:
             self.dropped += 1
@@ -43,7 +43,7 @@
         self.writer = Writer(fd)
 
     def __call__(self, event, **fields):
-        """Write one event; where lines were dropped before it, it bears their number."""
+        """Write one event; it contains the number of lines dropped before it, if any."""
         if self.writer.dropped:
             fields["lines_dropped"] = self.writer.dropped
         line = {"at": clock.unix() // MILLISECOND, "front": self.name, "event": event, **fields}
--- a/sprucegate/front/protocol/bus.py
+++ b/sprucegate/front/protocol/bus.py
@@ -1,4 +1,4 @@
-"""The event bus: server-sent events to list entries and purges. Opens no socket, decides nothing."""
+"""Decoder of the event bus: server-sent events to endpoint lists and invalidations. It has no I/O and no decisions."""
 
 import re
 from math import isfinite
@@ -12,16 +12,16 @@
 from sprucegate.upstream.hosts import EndpointList, endpoint_id
 
 MS = 1_000_000
-EVENT_MOST = 4 << 20  # bytes of one event; the whole list is the largest
+EVENT_BYTES_MAX = 4 << 20  # the complete endpoint list is the largest event
 STATES = {"up": EndpointState.SERVING, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
 
 
 class MalformedEventError(ProtocolError, ValueError):
-    """An event that lacks what it needs."""
+    """An event or a response that can't be decoded."""
 
 
 class InvalidationEvent(NamedTuple):
-    """Copies of one object (or of one group, where `object` is -1) from before `at` are void."""
+    """Copies of one object (or of one group, where `object` is -1) from before `at` are invalid."""
 
     object: int
     group: int
@@ -29,17 +29,22 @@
 
 
 class EventReader:
-    """Events of one stream as (id, data) pairs, fed as the bytes come; any bytes show that it lives."""
+    """Parses server-sent events incrementally into (id, data) pairs.
+
+    :ivar unparsed: bytes of an incomplete line
+    :ivar id: the last event id
+    :ivar data: data lines of an incomplete event
+    """
 
     def __init__(self):
-        self.held, self.id, self.data = b"", "", []
+        self.unparsed, self.id, self.data = b"", "", []
 
     def feed(self, chunk):
-        """Return the events that are whole with these bytes; raises MalformedEventError."""
-        self.held += chunk
-        if len(self.held) + sum(map(len, self.data)) > EVENT_MOST:
-            raise MalformedEventError("an event longer than its bound")
-        *lines, self.held = re.split(rb"\r\n|\n|\r(?!\Z)", self.held)
+        """Return the events that these bytes complete; raises MalformedEventError."""
+        self.unparsed += chunk
+        if len(self.unparsed) + sum(map(len, self.data)) > EVENT_BYTES_MAX:
+            raise MalformedEventError("event exceeds the size limit")
+        *lines, self.unparsed = re.split(rb"\r\n|\n|\r(?!\Z)", self.unparsed)
         events = []
         for line in lines:
             if not line:
@@ -57,51 +62,53 @@
 
 
 class StreamReader:
-    """The stream's HTTP answer, whole or in chunks, down to its events."""
+    """Parses the HTTP response that carries the event stream, chunked or not, into its events."""
 
     def __init__(self):
-        self.parser, self.events, self.found = httptools.HttpResponseParser(self), EventReader(), []
+        self.parser, self.events, self.complete = httptools.HttpResponseParser(self), EventReader(), []
 
     def on_body(self, body):
-        """Take a piece of the response's body, for httptools."""
-        self.found += self.events.feed(body)
+        """Handle a part of the response's body; a callback of httptools."""
+        self.complete += self.events.feed(body)
 
     def feed(self, chunk):
-        """Return the events that are whole with these bytes; raises MalformedEventError."""
+        """Return the events that these bytes complete; raises MalformedEventError."""
         try:
             self.parser.feed_data(chunk)
         except httptools.HttpParserError as fault:
-            raise MalformedEventError(f"no readable answer: {fault}") from None
+            raise MalformedEventError(f"invalid HTTP response: {fault}") from None
         if self.parser.get_status_code() not in (0, 200):
-            raise MalformedEventError(f"answered {self.parser.get_status_code()}")
-        found, self.found = self.found, []
-        return found
+            raise MalformedEventError(f"HTTP response with status {self.parser.get_status_code()}")
+        complete, self.complete = self.complete, []
+        return complete
 
 
 def read(data, locations, kinds):
-    """One event as (offset, Hosts or Purge or None); what is not known is passed over with None."""
+    """Decode one event to (offset, EndpointList or InvalidationEvent or None); None for an unknown type of event."""
     try:
         event = orjson.loads(data) if isinstance(data, bytes) else data
         offset = int(event["offset"])
         if "topology" in event:
-            said = event["topology"]
-            hosts = [(_listed(entry, locations, kinds), entry) for entry in said["hosts"]]
-            for listed, entry in hosts:
-                _checked(listed, entry.get("dial", ""))
-            names = {listed.id: (entry["host"], entry.get("dial", "")) for listed, entry in hosts}
-            return offset, EndpointList(bool(said.get("whole")), [listed for listed, _ in hosts], names)
+            content = event["topology"]
+            hosts = [(_endpoint(entry, locations, kinds), entry) for entry in content["hosts"]]
+            for endpoint, entry in hosts:
+                _validate(endpoint, entry.get("dial", ""))
+            names = {endpoint.id: (entry["host"], entry.get("dial", "")) for endpoint, entry in hosts}
+            return offset, EndpointList(
+                bool(content.get("whole")), [endpoint for endpoint, _ in hosts], names
+            )
         if "ban" in event:
-            said = event["ban"]
-            obj = int(said["url"], 16) if "url" in said else -1
+            content = event["ban"]
+            obj = int(content["url"], 16) if "url" in content else -1
             return offset, InvalidationEvent(
-                obj, int(said.get("tag", -1)) if obj < 0 else -1, int(said["ts"]) * MS
+                obj, int(content.get("tag", -1)) if obj < 0 else -1, int(content["ts"]) * MS
             )
         return offset, None
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError, OverflowError) as fault:
-        raise MalformedEventError(f"event that can't be read ({type(fault).__name__}: {fault})") from None
+        raise MalformedEventError(f"invalid event ({type(fault).__name__}: {fault})") from None
 
 
-def _listed(entry, locations, kinds):
+def _endpoint(entry, locations, kinds):
     return Endpoint(
         id=endpoint_id(entry["host"]),
         location=locations.get(entry.get("site"), -1),
@@ -113,11 +120,11 @@
     )
 
 
-def _checked(listed, address):
-    """Against a list that is believed by half: what can't be used is found before anything of it is applied."""
-    if not (isfinite(listed.weight) and listed.weight > 0):
-        raise ValueError(f"share {listed.weight}")
+def _validate(endpoint, address):
+    """Raise ValueError for an entry that can't be used, before any entry is applied: a list is applied whole or not."""
+    if not (isfinite(endpoint.weight) and endpoint.weight > 0):
+        raise ValueError(f"share {endpoint.weight}")
     host, _, port = address.rpartition(":")
-    if address or listed.state is not EndpointState.GONE:  # where one was that has gone is no longer wanted
+    if address or endpoint.state is not EndpointState.GONE:  # a removed server needs no address
         if not host or not port.isdecimal() or not 0 < int(port) < 65536:
             raise ValueError(f"dial {address[:60]!r}")
