--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -1,4 +1,4 @@
-"""Start and stop of one front."""
+"""Start, reload and shutdown of one front."""
 
 import asyncio
 import errno
@@ -14,8 +14,8 @@
 from sprucegate.front.log import Log
 from sprucegate.front.subscription import Subscription
 
-# Errors of bind, listen and socket that may pass: the address is held by another, or descriptors or memory are out.
-PASSING = (
+# Errors of socket, bind and listen that may pass: the address is in use, or descriptors or memory are exhausted.
+TRANSIENT_ERRORS = (
     errno.EADDRINUSE,
     errno.EADDRNOTAVAIL,
     errno.EMFILE,
@@ -24,27 +24,27 @@
     errno.ENOMEM,
     errno.EINTR,
 )
-LISTEN_WITHIN = 5.0  # seconds for which they are tried again
-LISTEN_AGAIN = 0.1
-TURN = 0.01  # seconds between two looks at what is still open at the end
-RELOADED = ("bus", "known", "offset")  # what SIGHUP applies; all else takes a restart
+LISTEN_RETRY_LIMIT_S = 5.0  # for which listening is tried again after a transient error
+LISTEN_RETRY_INTERVAL_S = 0.1
+DRAIN_POLL_INTERVAL_S = 0.01  # between two checks of what is still open during shutdown
+RELOADABLE_FIELDS = ("bus", "known", "offset")  # applied by SIGHUP; all others need a restart
 
 
-async def serve(wanted, log=None):
-    """Serve until SIGTERM, then answer all that was taken; the exit status."""
-    loop, log, pool = asyncio.get_running_loop(), log or Log(wanted.name), BufferPool(wanted.descriptors)
+async def serve(config, log=None):
+    """Serve until SIGTERM, then complete all requests accepted; return the exit status."""
+    loop, log, pool = asyncio.get_running_loop(), log or Log(config.name), BufferPool(config.descriptors)
     stop = asyncio.Event()
-    # Before anything else of the start: a SIGTERM that comes meanwhile is kept for the end of it.
+    # Before the rest of the start: a SIGTERM during the start takes effect at its end.
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    driver = Driver(wanted, pool, log)
-    loop.set_exception_handler(driver.loop_fault)
-    if wanted.membership is not None:
-        # Here and not above: a front without it loads none of its libraries.
+    driver = Driver(config, pool, log)
+    loop.set_exception_handler(driver.on_loop_exception)
+    if config.membership is not None:
+        # Imported here so that a front without it doesn't load its dependencies.
         from sprucegate.discovery.service import Membership
 
-        driver.membership = Membership(driver, wanted, wanted.membership)
-    if wanted.fleet is not None:
+        driver.membership = Membership(driver, config, config.membership)
+    if config.fleet is not None:
         from sprucegate.fleet.service import FleetService
 
         if driver.membership is None:
@@ -54,83 +54,87 @@
             driver.membership = MergedEndpoints(driver, View(("bus",), 0, driver.clock()))
         driver.fleet = FleetService(
             driver,
-            wanted.fleet,
-            wanted.name,
-            wanted.seed,
+            config.fleet,
+            config.name,
+            config.seed,
             driver.membership,
-            wanted.agreement,
-            shares=wanted.shares,
+            config.agreement,
+            shares=config.shares,
         )
-        # Before the first list: it may lift a drain of this front's own that the last run left.
+        # Before the first list: it may lift a drain that this front set in its last run.
         await driver.fleet.load()
-    for _, news in wanted.known:  # first all of them: the newest tells how old the others are
-        driver.stamped(news, driver.clock())
-    for _, news in wanted.known:
-        driver.told(news)
-    listed = wanted.membership is None
-    if not listed:
-        # Other fronts may hold a list that takes away too much: with servers of the last run they are heard first.
-        listed = not await driver.membership.recovers() or wanted.fleet is None
-        if listed:
+    for _, event in config.known:  # all time stamps first: ages are computed relative to the newest one
+        driver.record_platform_stamps(event, driver.clock())
+    for _, event in config.known:
+        driver.on_discovery_event(event)
+    membership_ready = config.membership is None
+    if not membership_ready:
+        # Other fronts may be holding back a list that removes too many servers: if servers of the last run are
+        # known, the fleet is joined before the sources are read.
+        membership_ready = not await driver.membership.recovers() or config.fleet is None
+        if membership_ready:
             await driver.membership.start()
-    for _ in range(3):  # turns that a signal takes from the system to its handler, and one more
+    for _ in range(3):  # iterations of the loop until a signal reaches its handler, and one more
         await asyncio.sleep(0)
     if stop.is_set():
-        # Nobody was let in yet: there is nothing to serve on for.
-        if wanted.membership is not None:
+        # No connection was accepted yet, so there is nothing to complete.
+        if config.membership is not None:
             driver.membership.stop()
-        log("stopped", **driver.book.taken())
+        log("stopped", **driver.book.read_and_reset())
         return 0
-    repeatable = () if wanted.shares is None else (wanted.shares.header_bytes,)
-    take_in = ConnectionReader(driver, pool, wanted.descriptors // 2, wanted.times, frozenset(repeatable))
-    listener = await _listening(wanted.listen, stop, log)
+    repeatable = () if config.shares is None else (config.shares.header_bytes,)
+    reader = ConnectionReader(driver, pool, config.descriptors // 2, config.times, frozenset(repeatable))
+    listener = await _open_listener(config.listen, stop, log)
     if listener is None:
-        if wanted.membership is not None:
-            driver.membership.stop()  # or its reading process would outlive the front
-        log("stopped", **driver.book.taken())
+        if config.membership is not None:
+            driver.membership.stop()  # or its worker process would outlive the front
+        log("stopped", **driver.book.read_and_reset())
         return 0 if stop.is_set() else 1
     now = driver.clock()
     driver.servers.warm_up(driver.router.endpoints_to_connect(driver.servers.most), now)
-    subscription = Subscription(driver, wanted)
+    subscription = Subscription(driver, config)
     subscription.start()
-    loop.add_signal_handler(signal.SIGHUP, reload, subscription, wanted, log)
-    take_in.listen(listener)
-    swept = loop.create_task(housekeeping(driver, take_in, pool, log))
+    loop.add_signal_handler(signal.SIGHUP, reload, subscription, config, log)
+    reader.listen(listener)
+    housekeeping_task = loop.create_task(housekeeping(driver, reader, pool, log))
     if driver.fleet is not None:
-        # What comes meanwhile is served; but nobody is told to send here before its guard facts are there.
+        # Requests that arrive meanwhile are served, but the front isn't reported ready before it has caught up with
+        # the fleet's facts.
         driver.fleet.start()
-        await _either(driver.fleet.up, stop)
-        if not listed:
+        await _wait_for_either(driver.fleet.up, stop)
+        if not membership_ready:
             await driver.membership.start()
     driver.ready = True
-    log("ready", listen="{}:{}".format(*wanted.listen), caches=len(driver.servers.places), last=wanted.offset)
+    log("ready", listen="{}:{}".format(*config.listen), caches=len(driver.servers.places), last=config.offset)
     await stop.wait()
     if driver.fleet is not None:
         driver.fleet.leave()
-    log("stopping", gets=len(driver.open))
-    driver.relay.ending = True  # so that clients go elsewhere, and rest on no connection of this one
-    began = driver.clock()
-    await asyncio.sleep(wanted.times.still_coming / 1e9)
-    while not take_in.stop_listening() or take_in.finish(driver.clock()) or driver.open:
-        # A client that never reads its answer, or a patience past the kill, must not hold up the exit.
-        if driver.clock() - began > wanted.times.last:
+    log("stopping", gets=len(driver.open_requests))
+    driver.response_writer.stopping = (
+        True  # so that clients go to other fronts and keep no connection to this one
+    )
+    started_at = driver.clock()
+    await asyncio.sleep(config.times.accept_after_sigterm / 1e9)
+    while not reader.stop_listening() or reader.drain(driver.clock()) or driver.open_requests:
+        # A client that never reads its response, or one whose deadline is after the SIGKILL, must not delay the exit.
+        if driver.clock() - started_at > config.times.drain_timeout:
             driver.stop()
-            await asyncio.sleep(5 * TURN)
+            await asyncio.sleep(5 * DRAIN_POLL_INTERVAL_S)
             break
-        await asyncio.sleep(TURN)
-    swept.cancel()
-    for client in list(take_in.clients):
-        take_in.close(client, "stopping")
+        await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+    housekeeping_task.cancel()
+    for client in list(reader.clients):
+        reader.close(client, "stopping")
     driver.servers.stop()
     if driver.fleet is not None:
         await driver.fleet.stop()
-    if wanted.membership is not None:
+    if config.membership is not None:
         driver.membership.stop()
-    log("stopped", **driver.book.taken())
+    log("stopped", **driver.book.read_and_reset())
     return 0
 
 
-async def _either(one, other):
+async def _wait_for_either(one, other):
     tasks = [asyncio.ensure_future(event.wait()) for event in (one, other)]
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
@@ -138,9 +142,9 @@
 
 
 def reload(subscription, started_with, log):
-    """SIGHUP: what can change under load is taken over whole; a faulty file changes nothing."""
+    """Handle SIGHUP: apply the reloadable fields together; an invalid file changes nothing."""
     try:
-        wanted = configuration.read(os.environ)._replace(
+        config = configuration.read(os.environ)._replace(
             servers=started_with.servers,
             membership=started_with.membership,
             fleet=started_with.fleet,
@@ -148,24 +152,25 @@
             shares=started_with.shares,
             log_gets=started_with.log_gets,
         )
-    except Exception as fault:  # whatever a file can hold, the front goes on with the old one
+    except Exception as fault:  # whatever the file contains, the front keeps its configuration
         log("reload_failed", error=f"{type(fault).__name__}: {fault}")
         return
-    subscription.reloaded(wanted.bus, wanted.known)
-    restart = [
+    subscription.on_reload(config.bus, config.known)
+    changed_fields = [
         key
-        for key in wanted._fields
-        if key not in RELOADED and getattr(wanted, key) != getattr(started_with, key)
+        for key in config._fields
+        if key not in RELOADABLE_FIELDS and getattr(config, key) != getattr(started_with, key)
     ]
-    log("reloaded", bus="{}:{}".format(*wanted.bus), last=subscription.last, needs_restart=restart)
+    log("reloaded", bus="{}:{}".format(*config.bus), last=subscription.last, needs_restart=changed_fields)
 
 
-async def _listening(address, stop, log):
-    """A socket that listens, or None: where its address stays taken, or a stop was asked for meanwhile.
+async def _open_listener(address, stop, log):
+    """Return a listening socket, or None if its address stays in use or a stop was requested meanwhile.
 
-    What holds an address at a restart is mostly the process before, or a connection that the system gave the port to.
+    At a restart the address is mostly held by the previous process, or by an outgoing connection that was assigned
+    the port.
     """
-    end, told = time.monotonic() + LISTEN_WITHIN, False
+    deadline, logged = time.monotonic() + LISTEN_RETRY_LIMIT_S, False
     while True:
         listener = None
         try:
@@ -178,44 +183,44 @@
         except OSError as fault:
             if listener is not None:
                 listener.close()
-            lasting = fault.errno not in PASSING or time.monotonic() > end
-            if lasting or not told:
-                told = True
+            permanent = fault.errno not in TRANSIENT_ERRORS or time.monotonic() > deadline
+            if permanent or not logged:
+                logged = True
                 log(
                     "listen_failed",
                     address="{}:{}".format(*address),
                     error=str(fault),
-                    tried_again=not lasting,
+                    tried_again=not permanent,
                 )
-            if lasting:
+            if permanent:
                 return None
-        await asyncio.sleep(LISTEN_AGAIN)
+        await asyncio.sleep(LISTEN_RETRY_INTERVAL_S)
         if stop.is_set():
             return None
 
 
-def _kept_on(driver, sweep):
-    """A sweep that breaks is a fault, and the next one comes all the same."""
+def _run_sweep(driver, sweep):
+    """Run a sweep; an exception is logged and doesn't prevent the next one."""
     try:
         sweep(driver.clock())
     except Exception as fault:
         driver.fault(fault)
 
 
-async def housekeeping(driver, take_in, pool, log):
-    """Sweep clients and servers twice a second, and log the counters once a second, until cancelled."""
+async def housekeeping(driver, reader, pool, log):
+    """Sweep clients twice and servers once a second, and log the counters once a second, until cancelled."""
     while True:
         for _ in range(2):
             await asyncio.sleep(0.5)
-            _kept_on(driver, take_in.sweep)
-        _kept_on(driver, driver.servers.sweep)
-        driver.invariants.second()
-        driver.invariants.quiet(len(driver.open), len(driver.ids), pool.out)
+            _run_sweep(driver, reader.sweep)
+        _run_sweep(driver, driver.servers.sweep)
+        driver.invariants.start_second()
+        driver.invariants.check_no_leaks(len(driver.open_requests), len(driver.requests_by_id), pool.in_use)
         log(
             "second",
-            open=len(driver.open),
-            clients=len(take_in.clients),
+            open=len(driver.open_requests),
+            clients=len(reader.clients),
             caches=driver.servers.connections,
-            buffers=pool.out,
-            **driver.book.taken(),
+            buffers=pool.in_use,
+            **driver.book.read_and_reset(),
         )
--- a/sprucegate/front/configuration.py
+++ b/sprucegate/front/configuration.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads and validates the configuration of a front, and applies its defaults."""
 
 import os
 import resource
@@ -12,61 +12,62 @@
 from sprucegate.simulator.settings import settings_from
 
 REQUIRED = object()
-KINDS = {str: "text", dict: "an object", list: "a list"}
+TYPE_NAMES = {str: "text", dict: "an object", list: "a list"}
 
 
 class FrontConfigurationError(ConfigurationError):
-    """A message that names the key at fault."""
+    """An invalid configuration; the message names the key."""
 
 
 MS, S = 1_000_000, 1_000_000_000
 
-# What the platform's protocol states for all deployments alike, none of it in the settings.
-STILL_COMING = (
-    700 * MS
-)  # after SIGTERM clients send for 0.4 s at most on new connections, 0.2 s more on open ones
-LONGEST_COUNTED = (
-    3 * S
-)  # SIGKILL comes no earlier than the longest viewer timeout, or this, plus STILL_COMING
-CLIENTS_IDLE = 4 * S  # clients close a connection that is idle for so long
-RESENT = 200 * MS  # a client sends on a connection it has just opened, or sees that one has ended
-BEFORE_KILL = (
-    400 * MS
-)  # kept free before SIGKILL may come, for answers that have to be written on a busy core
+# Times that the platform's protocol fixes for all deployments; the settings don't contain them.
+# After SIGTERM clients send on new connections for at most 0.4 s, and on open ones for 0.2 s more.
+ACCEPT_AFTER_SIGTERM = 700 * MS
+# SIGKILL comes no earlier than ACCEPT_AFTER_SIGTERM plus the longest viewer timeout or this, whichever is shorter.
+VIEWER_TIMEOUT_BEFORE_KILL_MAX = 3 * S
+CLIENT_IDLE_TIMEOUT = 4 * S  # after which clients close an idle connection
+# Within this time a client sends on a connection that it has just opened, or notices that one was closed.
+CLIENT_REACTION_TIME = 200 * MS
+# Margin before SIGKILL, in which the last responses are written even on a busy core.
+KILL_MARGIN = 400 * MS
 
 
 class ConnectionTimes(NamedTuple):
-    """Bounds of connections to clients and of a front's end, nanoseconds; from the settings but for the page's own."""
+    """Time-outs of client connections and of a front's shutdown, nanoseconds; from settings and the constants above."""
 
-    unfinished: int  # for a first request, or one begun, to be whole
-    idle: int  # between two requests
-    sending: int  # for an answer to be read
-    lingering: int  # for a client to go once it is told so
-    fresh: int  # for the first request on a connection, when the front ends
-    still_coming: int  # from SIGTERM to the listener's end
-    last: int  # from SIGTERM until all that is open is given up
+    request_timeout: int  # for the first request, or one that has begun, to be complete
+    idle_timeout: int  # between two requests
+    write_timeout: int  # for a client to read a response
+    linger_timeout: int  # for a client to close after our side was shut down
+    first_request_wait: int  # for the first request on a new connection, while the front stops
+    accept_after_sigterm: int  # from SIGTERM until the listener is closed
+    drain_timeout: int  # from SIGTERM until all open requests are given up
 
 
 def times_from(settings):
-    """Return the bounds of client connections that follow from the settings."""
-    longest = max([given for given in settings.get("viewer_timeout") or () if given], default=LONGEST_COUNTED)
-    counted = min(longest, LONGEST_COUNTED)
+    """Return the ConnectionTimes that follow from the settings."""
+    longest = max(
+        [given for given in settings.get("viewer_timeout") or () if given],
+        default=VIEWER_TIMEOUT_BEFORE_KILL_MAX,
+    )
+    longest_before_kill = min(longest, VIEWER_TIMEOUT_BEFORE_KILL_MAX)
     return ConnectionTimes(
-        # A request's time is counted from its last byte: short viewer timeouts make no client write faster. Within
-        # this, though, all that was begun before SIGKILL may come can still be whole and answered.
-        unfinished=LONGEST_COUNTED * 7 // 10,
-        idle=3 * CLIENTS_IDLE,
-        # Nobody waits for an answer longer than the longest viewer timeout.
-        sending=longest,
-        lingering=counted * 7 // 10,
-        fresh=RESENT,
-        still_coming=STILL_COMING,
-        last=counted + STILL_COMING - BEFORE_KILL,
+        # Not derived from the viewer timeouts: these count from the last byte of a request and don't make clients
+        # send faster. A request that has begun can still be completed and answered before SIGKILL may come.
+        request_timeout=VIEWER_TIMEOUT_BEFORE_KILL_MAX * 7 // 10,
+        idle_timeout=3 * CLIENT_IDLE_TIMEOUT,
+        # No client waits for a response longer than the longest viewer timeout.
+        write_timeout=longest,
+        linger_timeout=longest_before_kill * 7 // 10,
+        first_request_wait=CLIENT_REACTION_TIME,
+        accept_after_sigterm=ACCEPT_AFTER_SIGTERM,
+        drain_timeout=longest_before_kill + ACCEPT_AFTER_SIGTERM - KILL_MARGIN,
     )
 
 
 class FrontConfiguration(NamedTuple):
-    """What the operators want of one front."""
+    """Configuration of one front."""
 
     name: str
     listen: tuple
@@ -74,83 +75,87 @@
     memory_mb: float
     descriptors: int
     bus: tuple
-    flow: float  # bytes a second of one transfer to a client
-    link: float  # bytes a second of all of them
-    offset: int  # last event known at the start
-    known: list  # events up to then, as bus.read gives them
-    ds_names: dict  # delivery service's name -> its index
+    flow: float  # bytes per second of one transfer to a client
+    link: float  # bytes per second of all transfers together
+    offset: int  # of the last event known at the start
+    known: list  # the events up to that one, as returned by bus.read
+    ds_names: dict  # index of a delivery service by its name
     locations: dict
     kinds: dict
-    settings: dict  # for the module, under its own names
+    settings: dict  # of the router, by its names for them
     times: ConnectionTimes
-    servers: object = None  # what the operator's file says of them; None: all speak lines
-    membership: object = None  # and of sources of the list; None: the bus alone
-    fleet: object = None  # and of other fronts; None: this one is alone
-    agreement: object = None  # and of the agreed log, with the limits of going out; None: nothing is agreed
-    shares: object = None  # and of places for slow fills; None: each starts at once
-    log_gets: bool = False  # whether each GET gets a line in the log, with its steps
+    # The following come from the operator's file.
+    servers: object = None  # protocols of upstream servers; None: the line protocol for all
+    membership: object = None  # sources of the endpoint list; None: the bus alone
+    fleet: object = None  # the other fronts; None: this front is alone
+    agreement: object = None  # the replicated log and the limits of the rollout; None: no consensus
+    shares: object = None  # quotas of concurrent fills; None: each fill starts at once
+    log_gets: bool = False  # whether each request is logged with its trace
 
 
-def _pick(data, key, kind, default=REQUIRED):
+def _lookup(data, key, kind, default=REQUIRED):
     *path, last = key.split(".")
     for at, name in enumerate(path):
-        data = _checked(data.get(name, {}), ".".join(path[: at + 1]), dict)
+        data = _require_type(data.get(name, {}), ".".join(path[: at + 1]), dict)
     if data.get(last) is not None:
-        return _checked(data[last], key, kind)
+        return _require_type(data[last], key, kind)
     if default is REQUIRED:
         raise FrontConfigurationError(f"{key}: is missing")
     return default
 
 
-def _checked(value, key, kind):
+def _require_type(value, key, kind):
     if isinstance(value, bool) or not isinstance(value, kind):
         raise FrontConfigurationError(
-            f"{key}: must be {KINDS.get(kind, 'a number')}, not {type(value).__name__}"
+            f"{key}: must be {TYPE_NAMES.get(kind, 'a number')}, not {type(value).__name__}"
         )
     return value
 
 
-def _address(text, key):
+def _parse_address(text, key):
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) <= 65_535:
         raise FrontConfigurationError(f"{key}: must be HOST:PORT, not {text[:60]!r}")
     return host, int(port)
 
 
-def _above(value, key, least):
+def _at_least(value, key, least):
     if not value >= least:
         raise FrontConfigurationError(f"{key}: must be at least {least}, not {value}")
     return value
 
 
-def _descriptors(told):
-    """What the process really gets: told more than that, it would run out of them before its own bounds act."""
+def _descriptor_limit(configured):
+    """Return how many descriptors to use.
+
+    At most those that the process may open: above that it would run out of them before its own limits apply.
+    """
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return int(min(1024, told, told if allowed == resource.RLIM_INFINITY else allowed))
+    return int(min(1024, configured, configured if allowed == resource.RLIM_INFINITY else allowed))
 
 
-def _flat(value, path, into):
-    """Nested JSON as the wire's paths and texts, which the name table reads."""
+def _flatten(value, path, into):
+    """Flatten nested JSON to dotted paths and texts, the format of `simulator.settings`."""
     if isinstance(value, dict):
         for name, inner in value.items():
-            _flat(inner, f"{path}.{name}" if path else name, into)
+            _flatten(inner, f"{path}.{name}" if path else name, into)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         into[f"{path}.count"] = str(len(value))
         for at, item in enumerate(value):
-            _flat(item, f"{path}.{at}", into)
+            _flatten(item, f"{path}.{at}", into)
     elif isinstance(value, list):
-        into[path] = ",".join(map(_text, value))
+        into[path] = ",".join(map(_to_text, value))
     else:
-        into[path] = _text(value)
+        into[path] = _to_text(value)
     return into
 
 
-def _text(value):
+def _to_text(value):
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def _names(data, key, field=None):
-    items = _pick(data, key, list)
+def _index_names(data, key, field=None):
+    items = _lookup(data, key, list)
     names = [item.get(field) if field and isinstance(item, dict) else item for item in items]
     for at, name in enumerate(names):
         if not isinstance(name, str) or not name:
@@ -159,10 +164,10 @@
 
 
 def read(environ):
-    """What the environment and the file it names ask for; raises Faulty."""
+    """Return the FrontConfiguration of the environment and the file it names; raises FrontConfigurationError."""
     path = environ.get("BALANCER_CONFIG")
     if not path:
-        raise FrontConfigurationError("BALANCER_CONFIG: is not set; it names the configuration file")
+        raise FrontConfigurationError("BALANCER_CONFIG: is not set; it must name the configuration file")
     try:
         with open(path, "rb") as file:
             data = orjson.loads(file.read())
@@ -173,7 +178,7 @@
     except orjson.JSONDecodeError as fault:
         raise FrontConfigurationError(f"BALANCER_CONFIG: {path} is not JSON: {fault}") from None
     if not isinstance(data, dict):
-        raise FrontConfigurationError(f"BALANCER_CONFIG: {path} holds no object")
+        raise FrontConfigurationError(f"BALANCER_CONFIG: {path} is not a JSON object")
     for key, variable in (("name", "BALANCER_NAME"), ("listen", "BALANCER_LISTEN")):
         data.setdefault(key, environ.get(variable))
     return wanted(data)
@@ -182,40 +187,42 @@
 def wanted(data):
     """Return the FrontConfiguration of the parsed JSON; raises FrontConfigurationError with the key at fault."""
     number = (int, float)
-    locations, kinds = _names(data, "settings.failureDomains"), _names(data, "settings.shapes")
+    locations, kinds = _index_names(data, "settings.failureDomains"), _index_names(data, "settings.shapes")
     known = []
-    for at, event in enumerate(_pick(data, "known.batch", list)):
+    for at, event in enumerate(_lookup(data, "known.batch", list)):
         try:
             known.append(bus.read(event, locations, kinds))
         except bus.MalformedEventError as fault:
             raise FrontConfigurationError(f"known.batch[{at}]: {fault}") from None
-    seed = _pick(data, "seed", str)
+    seed = _lookup(data, "seed", str)
     try:
         seed = int(seed, 16)
     except ValueError:
         raise FrontConfigurationError(f"seed: must be hex digits, not {seed[:60]!r}") from None
     settings = settings_from(
-        _flat(_pick(data, "settings", dict), "", {}),
+        _flatten(_lookup(data, "settings", dict), "", {}),
         lambda text: FrontConfigurationError(f"settings: {text}"),
     )
     for name, path in (("connect_timeout", "allowed.connectTimeout"), ("keepalive", "allowed.keepalive")):
-        # Without them a front would go by another deployment's: connections would be used as their caches close them.
+        # No defaults: those of another deployment would use connections just as their servers close them.
         if name not in settings:
             raise FrontConfigurationError(f"settings.{path}: is missing")
-    if found := configuration_checks.fault(settings, len(locations)):
-        raise FrontConfigurationError(f"settings.{found[0]}: {found[1]}")
+    if contradiction := configuration_checks.find_contradiction(settings, len(locations)):
+        raise FrontConfigurationError(f"settings.{contradiction[0]}: {contradiction[1]}")
     return FrontConfiguration(
-        name=_pick(data, "name", str),
-        listen=_address(_pick(data, "listen", str), "listen"),
+        name=_lookup(data, "name", str),
+        listen=_parse_address(_lookup(data, "listen", str), "listen"),
         seed=seed,
-        memory_mb=_above(_pick(data, "limits.memory_mb", number, 192), "limits.memory_mb", 32),
-        descriptors=_descriptors(_above(_pick(data, "limits.sockets", number, 1024), "limits.sockets", 64)),
-        bus=_address(_pick(data, "bus", str), "bus"),
-        flow=_above(_pick(data, "flow_bytes_per_s", number), "flow_bytes_per_s", 1),
-        link=_above(_pick(data, "link_bytes_per_s", number), "link_bytes_per_s", 1),
-        offset=_above(_pick(data, "known.offset", int), "known.offset", 0),
+        memory_mb=_at_least(_lookup(data, "limits.memory_mb", number, 192), "limits.memory_mb", 32),
+        descriptors=_descriptor_limit(
+            _at_least(_lookup(data, "limits.sockets", number, 1024), "limits.sockets", 64)
+        ),
+        bus=_parse_address(_lookup(data, "bus", str), "bus"),
+        flow=_at_least(_lookup(data, "flow_bytes_per_s", number), "flow_bytes_per_s", 1),
+        link=_at_least(_lookup(data, "link_bytes_per_s", number), "link_bytes_per_s", 1),
+        offset=_at_least(_lookup(data, "known.offset", int), "known.offset", 0),
         known=known,
-        ds_names=_names(data, "settings.categories", "name"),
+        ds_names=_index_names(data, "settings.categories", "name"),
         locations=locations,
         kinds=kinds,
         settings=settings,
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -1,4 +1,4 @@
-"""Take in: client connections, and requests as they become whole."""
+"""Accepts client connections and reads complete requests from them."""
 
 import asyncio
 from collections import deque
@@ -6,122 +6,146 @@
 from sprucegate.front.client_connections import ClientConnection, ConnectionState
 from sprucegate.upstream.sockets import receive_into, set_no_delay, waited
 
-TURN = 3  # requests begun in one turn of the loop
-LOOKS = 16  # connections looked at for one that may give way to a new one
-PAUSE = 0.02  # seconds for which the listener rests where nobody can be taken: the rest wait in its queue
+REQUESTS_PER_ITERATION = 3  # requests dispatched in one iteration of the event loop
+CONNECTIONS_PER_PASS = 16  # connections accepted, or examined for eviction, in one pass
+ACCEPT_PAUSE_S = (
+    0.02  # pause of accepting at the connection limit; new connections wait in the kernel's queue
+)
 
 
 class ConnectionReader:
-    """Accepts clients' connections, reads requests from them, and closes those that are idle or over their bounds."""
+    """Accepts clients' connections, reads requests from them, and closes those that are idle or over their limits.
 
-    def __init__(self, driver, pool, most, times, repeatable=frozenset()):
-        """`most` connections at a time; `times` are the bounds of the configuration, in nanoseconds."""
-        self.driver, self.pool, self.most, self.times, self.repeatable = driver, pool, most, times, repeatable
-        self.clients, self.loop = {}, asyncio.get_running_loop()  # the one that asked last stands last
-        self.silent = {}  # those that have not yet sent a whole request, the oldest first
-        self.whole, self.begins, self.listener, self.paused = deque(), False, None, None
-        self.emptied = False  # whether the last look at the queue found nobody there
+    :ivar max_connections: upper bound of connections at a time
+    :ivar timeouts: ConnectionTimes of the configuration, in nanoseconds
+    :ivar repeatable: headers that may occur twice in a request
+    :ivar clients: open connections; the one with the latest request is last
+    :ivar without_request: connections that have not sent a complete request yet, the oldest first
+    :ivar pending_requests: complete requests that are not dispatched yet
+    :ivar dispatch_scheduled: whether `_dispatch` is scheduled in the event loop
+    :ivar resume_timer: resumes accepting after a pause, or None
+    :ivar accept_queue_empty: whether the last accept found no waiting connection
+    """
+
+    def __init__(self, driver, pool, max_connections, timeouts, repeatable=frozenset()):
+        self.driver, self.pool, self.max_connections, self.timeouts, self.repeatable = (
+            driver,
+            pool,
+            max_connections,
+            timeouts,
+            repeatable,
+        )
+        self.clients, self.loop = {}, asyncio.get_running_loop()
+        self.without_request = {}
+        self.pending_requests, self.dispatch_scheduled, self.listener, self.resume_timer = (
+            deque(),
+            False,
+            None,
+            None,
+        )
+        self.accept_queue_empty = False
 
     # Connections.
 
     def listen(self, listener):
-        """Takes connections by a reader: of a cancelled accept the one it had just taken would be lost."""
+        """Accept connections from a reader callback: a cancelled `sock_accept` would lose one it had just accepted."""
         self.listener = listener
-        self.loop.add_reader(listener, self._acceptable)
-
-    def _acceptable(self):
-        for at in range(LOOKS):
-            if len(self.clients) >= self.most:
-                if at:
-                    return  # whether another one stands there, only the next turn tells
-                if not self._make_room():
-                    # Left in the queue, it may still be served; closed at once it would have no answer at all.
+        self.loop.add_reader(listener, self._on_acceptable)
+
+    def _on_acceptable(self):
+        for accepted in range(CONNECTIONS_PER_PASS):
+            if len(self.clients) >= self.max_connections:
+                if accepted:
+                    return  # whether another one is waiting is known only in the next iteration
+                if not self._evict_one():
+                    # In the queue it may still be served; closed at once it would get no response at all.
                     self.driver.book.count("accepts_put_off")
-                    return self._pause()
+                    return self._pause_accepting()
             if not self._accept():
                 return
 
     def _accept(self):
-        """Whether another one may stand behind the one just taken."""
+        """Accept one connection; return whether another one may be waiting."""
         try:
             sock, _ = self.listener.accept()
         except BlockingIOError:
-            self.emptied = True
+            self.accept_queue_empty = True
             return False
         except (ConnectionAbortedError, InterruptedError):
-            return True  # that one has left; others may stand behind it
+            return True  # this one was aborted; others may be waiting
         except OSError as fault:
-            # Out of descriptors: the listener stays readable, and asked at once again it would take all of a core.
+            # Out of descriptors: the listener stays readable, so retrying at once would use a whole core.
             self.driver.log("accept_failed", error=str(fault))
-            self.emptied = False
-            self._pause()
+            self.accept_queue_empty = False
+            self._pause_accepting()
             return False
         sock.setblocking(False)
         set_no_delay(sock)
         client = ClientConnection(sock, self.driver.clock(), self.repeatable)
-        self.clients[client] = self.silent[client] = None
-        self.loop.add_reader(sock, self._readable, client)
+        self.clients[client] = self.without_request[client] = None
+        self.loop.add_reader(sock, self._on_readable, client)
         return True
 
-    def _pause(self):
-        if self.paused is None:
+    def _pause_accepting(self):
+        if self.resume_timer is None:
             self.loop.remove_reader(self.listener)
-            self.paused = self.loop.call_later(PAUSE, self._go_on)
+            self.resume_timer = self.loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
 
-    def _go_on(self):
-        self.paused = None
+    def _resume_accepting(self):
+        self.resume_timer = None
         if self.listener is not None:
-            self.loop.add_reader(self.listener, self._acceptable)
+            self.loop.add_reader(self.listener, self._on_acceptable)
 
     def stop_listening(self):
-        """Takes whoever stands in the queue first: closed with the listener, they would be reset.
+        """Accept all waiting connections, then close the listener, which would reset any left in its queue.
 
-        False where one could not be taken now, for want of a descriptor or of memory: the listener stays then.
+        False if one could not be accepted for lack of descriptors or memory: the listener then stays open.
         """
         if self.listener is None:
             return True
         while self._accept():
             pass
-        if not self.emptied:
+        if not self.accept_queue_empty:
             return False
-        if self.paused is not None:
-            self.paused.cancel()
+        if self.resume_timer is not None:
+            self.resume_timer.cancel()
         self.loop.remove_reader(self.listener)
         self.listener.close()
         self.listener = None
         return True
 
-    def _make_room(self):
-        """Ends one for a new one: who was told to go, then who never asked, then the one idle longest.
+    def _evict_one(self):
+        """Close a connection to make room for a new one; return whether one could be closed.
 
-        Each only after a look at what has just come: a request in the kernel's buffer counts as sent.
+        Half-closed ones go first, then those that never sent a request, then the one idle longest. Each is read from
+        before: a request in the kernel's buffer counts as sent.
         """
         if (
-            gone := next((c for c in self.clients if c.state is ConnectionState.HALF_CLOSED), None)
+            half_closed := next((c for c in self.clients if c.state is ConnectionState.HALF_CLOSED), None)
         ) is not None:
-            return self.close(gone, "told_to_go")
-        for those in (self.silent, self.clients):
-            for client in [c for c in those if c.is_idle()][:LOOKS]:
-                if self.look(client):
+            return self.close(half_closed, "told_to_go")
+        for candidates in (self.without_request, self.clients):
+            for client in [c for c in candidates if c.is_idle()][:CONNECTIONS_PER_PASS]:
+                if self.read_and_check_idle(client):
                     client.shut_down(self.driver.clock())
                     return self.close(client, "made_room")
-        # Half a request, the oldest one: no answer is owed.
-        half = next((c for c in self.silent if c.state is ConnectionState.IDLE), None)
-        return half is not None and self.close(half, "half_request")
+        # Last, the oldest one that has sent part of a request: no response is outstanding on it.
+        partial = next((c for c in self.without_request if c.state is ConnectionState.IDLE), None)
+        return partial is not None and self.close(partial, "half_request")
 
-    def look(self, client):
-        """Whether it still rests once what has just come was read."""
+    def read_and_check_idle(self, client):
+        """Read what has just arrived; return whether the connection is still idle."""
         if client.is_idle():
-            self._readable(client)
+            self._on_readable(client)
         return client.is_idle()
 
-    def end(self, client):
-        """Ends a connection that rests; a request that came meanwhile is served first."""
-        if self.look(client):
-            self.silent.pop(client, None)
+    def close_if_idle(self, client):
+        """Shut down an idle connection; a request that has just arrived is served first."""
+        if self.read_and_check_idle(client):
+            self.without_request.pop(client, None)
             client.shut_down(self.driver.clock())
 
-    def _readable(self, client):
+    def _on_readable(self, client):
         buffer = self.pool.take()
         if buffer is None:
             return self.close(client, "no_buffer")
@@ -130,106 +154,112 @@
             if size == 0:
                 self.close(client, "peer")
             elif size and client.accepts_requests():
-                self._fed(client, buffer[:size])
+                self._on_data(client, buffer[:size])
         except OSError:
             self.close(client, "peer")
-        except Exception as fault:  # this connection's own, whatever it is
+        except Exception as fault:  # any other failure ends this connection alone
             self.driver.fault(fault)
             self.close(client, "fault")
         finally:
             self.pool.give_back(buffer)
 
     def close(self, client, why):
-        """True, for who made room by it. `why` is counted: "peer" where the client ended it."""
+        """Close a connection; `why` is counted: "peer" where the client ended it. Returns True, for `_evict_one`."""
         if client.state is ConnectionState.CLOSED:
             return True
         self.driver.book.count(f"clients_closed {why}")
-        self.driver.invariants.closed(client, why)
+        self.driver.invariants.check_close(client, why)
         client.on_closed(self.driver.clock())
-        for those in (self.clients, self.silent):
-            those.pop(client, None)
+        for connections in (self.clients, self.without_request):
+            connections.pop(client, None)
         self.loop.remove_reader(client.sock)
         if client.writer is not None:
-            # Closed under a pending write, its number could be another connection's by then.
+            # Before the socket is closed: the kernel may then give its descriptor to another connection.
             client.writer.cancel()
         client.sock.close()
-        if client.get is not None:
-            self.driver.guarded(client.get, self.driver.left, client.get)
+        if client.open_request is not None:
+            self.driver.guarded(client.open_request, self.driver.client_left, client.open_request)
         return True
 
     # Requests.
 
-    def _fed(self, client, data):
-        now, begun = self.driver.clock(), client.reader.begun
+    def _on_data(self, client, data):
+        now, was_started = self.driver.clock(), client.reader.request_started
         requests = client.reader.feed(data)
-        came = now - waited(client.sock) if requests else now
-        if client.reader.begun and not begun and client.asked and client.state is ConnectionState.IDLE:
-            client.since = now  # not moved by later bytes: one that dribbles is bounded too
+        arrived = now - waited(client.sock) if requests else now
+        if (
+            client.reader.request_started
+            and not was_started
+            and client.has_sent_request
+            and client.state is ConnectionState.IDLE
+        ):
+            client.since = now  # later bytes don't move it, so that the time-out also ends a slow sender
         for request in requests:
             if client.state is not ConnectionState.IDLE:
-                # One at a time is agreed; what was sent ahead goes unread, and the answer under way is the last.
-                client.last = True
+                # Pipelining isn't supported: pipelined requests are not read, and the current response is the last.
+                client.close_after_response = True
                 break
             client.on_request(now)
-            client.last = not request.keep_alive
-            self.silent.pop(client, None)
+            client.close_after_response = not request.keep_alive
+            self.without_request.pop(client, None)
             self.clients[client] = self.clients.pop(client)
-            self.whole.append((client, request, came))
-        if self.whole and not self.begins:
-            self.begins = True
-            self.loop.call_soon(self._begin)
-        if client.reader.fault:
-            client.last = True
+            self.pending_requests.append((client, request, arrived))
+        if self.pending_requests and not self.dispatch_scheduled:
+            self.dispatch_scheduled = True
+            self.loop.call_soon(self._dispatch)
+        if client.reader.rejection:
+            client.close_after_response = True
             if client.state is ConnectionState.IDLE:
-                self.driver.relay.refuse(client, client.reader.fault)
+                self.driver.response_writer.reject(client, client.reader.rejection)
 
-    def _begin(self):
-        """A few at a time, so that what caches have answered is read in between.
+    def _dispatch(self):
+        """Dispatch a few requests, so that responses of caches are read in between.
 
-        Against a jam in the front itself: answers that wait behind new requests look like slow caches, which
-        the module then spares by sheds that the clients repeat.
+        Otherwise, when the front itself is congested, responses that wait behind new requests look like slow caches.
+        The router then sheds requests to relieve them, and clients repeat those.
         """
-        for _ in range(min(TURN, len(self.whole))):
-            client, request, at = self.whole.popleft()
+        for _ in range(min(REQUESTS_PER_ITERATION, len(self.pending_requests))):
+            client, request, at = self.pending_requests.popleft()
             if client.state is ConnectionState.REQUEST_IN_PROGRESS:
-                self.driver.request(client, request, at)
-        self.begins = bool(self.whole)
-        if self.begins:
-            self.loop.call_soon(self._begin)
+                self.driver.receive_request(client, request, at)
+        self.dispatch_scheduled = bool(self.pending_requests)
+        if self.dispatch_scheduled:
+            self.loop.call_soon(self._dispatch)
 
     def sweep(self, now):
-        """A request never finished, a connection never used or never closed by its client: all go in time."""
+        """Close connections over their time-outs: an unfinished request, an unused one, one the client never closes."""
         for client in list(self.clients):
             waited = now - client.since
             if client.state is ConnectionState.HALF_CLOSED:
-                if waited > self.times.lingering:
+                if waited > self.timeouts.linger_timeout:
                     self.close(client, "lingered")
             elif client.state is ConnectionState.WRITING_RESPONSE:
-                if waited > self.times.sending:
+                if waited > self.timeouts.write_timeout:
                     self.driver.book.count("clients_not_reading")
                     self.close(client, "not_reading")
             elif client.state is ConnectionState.IDLE:
-                waits = client.reader.begun or not client.asked
-                if waited > (self.times.unfinished if waits else self.times.idle):
-                    self.driver.book.count("clients_timed_out" if waits else "clients_idle")
-                    if client.reader.begun:
-                        self.silent.pop(client, None)
+                awaits_request = client.reader.request_started or not client.has_sent_request
+                if waited > (self.timeouts.request_timeout if awaits_request else self.timeouts.idle_timeout):
+                    self.driver.book.count("clients_timed_out" if awaits_request else "clients_idle")
+                    if client.reader.request_started:
+                        self.without_request.pop(client, None)
                         client.shut_down(now)
                     else:
-                        self.end(client)
+                        self.close_if_idle(client)
 
-    def finish(self, now):
-        """One look at all, at the front's end: those that rest are ended. Whether anything still goes on.
+    def drain(self, now):
+        """Shut down idle connections while the front stops; return whether any connection is still in use.
 
-        Who never asked, or has begun a request, keeps what time a request takes; who was told to go, the time in
-        which a client that reads would have gone.
+        A connection without a request yet, or with a partial one, keeps the time that sending a request takes. A
+        half-closed one keeps the time within which a client that reads would have closed.
         """
-        goes_on = False
+        in_use = False
         for client in list(self.clients):
-            fresh = not client.asked and now - client.since <= self.times.fresh
+            fresh = not client.has_sent_request and now - client.since <= self.timeouts.first_request_wait
             if client.is_idle() and not fresh:
-                self.end(client)
-            goes_on |= client.state is not ConnectionState.CLOSED and not (
-                client.state is ConnectionState.HALF_CLOSED and now - client.since > self.times.fresh
+                self.close_if_idle(client)
+            in_use |= client.state is not ConnectionState.CLOSED and not (
+                client.state is ConnectionState.HALF_CLOSED
+                and now - client.since > self.timeouts.first_request_wait
             )
-        return goes_on
+        return in_use
--- a/sprucegate/front/counters.py
+++ b/sprucegate/front/counters.py
@@ -1,10 +1,10 @@
-"""Counters of what became of requests, attempts and connections, for the log."""
+"""Counters of requests, attempts and connections by outcome, for the log."""
 
 from collections import Counter
 
 
 class Counters:
-    """Counts by name since they were last read."""
+    """Counts by name since the last call of `read_and_reset`."""
 
     def __init__(self):
         self.counts = Counter()
@@ -13,7 +13,7 @@
         """Add `times` to a counter."""
         self.counts[name] += times
 
-    def taken(self):
-        """Return the counts since the last call, sorted by name, and start again from zero."""
+    def read_and_reset(self):
+        """Return the counts since the last call, sorted by name, and reset them to zero."""
         counts, self.counts = self.counts, Counter()
         return dict(sorted(counts.items()))
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -1,4 +1,4 @@
-"""The driver: what happens becomes calls on the Router, what it decides becomes actions."""
+"""The driver of the router: passes events to the Router and performs the actions that it returns."""
 
 import asyncio
 import heapq
@@ -6,11 +6,11 @@
 from itertools import count
 
 from sprucegate import clock as system
-from sprucegate.front.admission import LIVE, admit
+from sprucegate.front.admission import LIVENESS_PATH, admit
 from sprucegate.front.counters import Counters
 from sprucegate.front.invariants import Invariants
 from sprucegate.front.open_requests import OpenAttempt
-from sprucegate.front.protocol.http import RejectedRequest, tagged
+from sprucegate.front.protocol.http import RejectedRequest, etag_header
 from sprucegate.front.response_cache import CachedResponse, ResponseCache
 from sprucegate.front.response_writer import ResponseWriter
 from sprucegate.routing.actions import AwaitSlot, CancelAttempt, FailRequest, RejectRequest, SendAttempt
@@ -23,361 +23,432 @@
 from sprucegate.upstream.servers import UpstreamServers
 
 MS = 1_000_000
-COMPACTED = 128  # entries of the heap of time-outs from which those that are over are let go
-AGAIN = 50 * MS  # until a timer is tried again that could not be worked out
+TIMEOUT_HEAP_COMPACT_MIN = 128  # entries in the heap of time-outs from which ended attempts are removed
+TIMER_RETRY_NS = 50 * MS  # delay before the timer is tried again when its deadline could not be computed
 
 
 class Driver:
-    """Drives the router: passes on what happens, performs the actions that it returns, and keeps its timer."""
+    """Drives the router: passes on events, performs the actions that it returns, and keeps its timer.
+
+    :ivar response_writer: writes the responses to clients
+    :ivar book: the counters
+    :ivar ready: the front has started and takes requests
+    :ivar aside: a permit of the rollout drains this front: the liveness check fails, requests are still served
+    :ivar max_open_requests: requests above this number are shed
+    :ivar open_requests: OpenRequest by the router's handle
+    :ivar requests_by_id: OpenRequest by call id
+    :ivar attempt_timeouts: heap of (deadline, tie-breaker, OpenAttempt)
+    :ivar timeouts_compact_at: length of the heap at which ended attempts are removed from it
+    :ivar timer_due: when the timer fires (monotonic ns), or None
+    :ivar places: the quota of concurrent fills, or None: each fill starts at once
+    :ivar response_cache: the front's own response cache
+    """
 
     def __init__(self, wanted, pool, log, clock=system.now):
         self.wanted, self.log, self.clock, self.loop = wanted, log, clock, asyncio.get_running_loop()
         self.platform = system.PlatformTime()
         self.router = Router(RoutingSettings.from_mapping(wanted.settings), wanted.seed, clock())
-        self.relay, self.book, self.ready, self.aside = ResponseWriter(self), Counters(), False, False
+        self.response_writer, self.book, self.ready, self.aside = (
+            ResponseWriter(self),
+            Counters(),
+            False,
+            False,
+        )
         self.invariants = Invariants(wanted.settings, self.book.count, log)
-        self.sending = Sending(self.book.count, self.invariants.began)
+        self.sending = Sending(self.book.count, self.invariants.check_attempt)
         self.servers = UpstreamServers(self, pool, wanted.settings, wanted.descriptors // 3, wanted.servers)
-        self.most = wanted.settings.get("max_open", 1 << 30)
-        self.open, self.ids, self.limits, self.order = {}, {}, [], count()
-        self.compacts_at = COMPACTED
-        self.timer, self.armed, self.membership, self.fleet = None, None, None, None
-        self.places = None  # who shares out places for slow fills; None: each starts at once
-        self.copies = ResponseCache(min(OWN_COPIES_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link)
+        self.max_open_requests = wanted.settings.get("max_open", 1 << 30)
+        self.open_requests, self.requests_by_id, self.attempt_timeouts, self.tie_breakers = (
+            {},
+            {},
+            [],
+            count(),
+        )
+        self.timeouts_compact_at = TIMEOUT_HEAP_COMPACT_MIN
+        self.timer, self.timer_due, self.membership, self.fleet = None, None, None, None
+        self.places = None
+        self.response_cache = ResponseCache(
+            min(OWN_COPIES_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link
+        )
 
-    # What happens.
+    # Events.
 
-    def request(self, client, request, at):
-        """Take a whole request; `at` is when its last byte came (monotonic ns)."""
+    def receive_request(self, client, http_request, at):
+        """Handle a complete request; `at`: when its last byte arrived (monotonic ns)."""
         now = self.clock()
-        if request.target == LIVE:
-            up = self.ready and not self.aside and not self.relay.ending
-            self.relay.write(client, 200 if up else 503, b"\n")
+        if http_request.target == LIVENESS_PATH:
+            up = self.ready and not self.aside and not self.response_writer.stopping
+            self.response_writer.write(client, 200 if up else 503, b"\n")
             return
         try:
-            get = admit(client, request, self.wanted.ds_names, self.wanted.settings, self.ids, now - at)
+            request = admit(
+                client,
+                http_request,
+                self.wanted.ds_names,
+                self.wanted.settings,
+                self.requests_by_id,
+                now - at,
+            )
         except Exception as fault:
             self.fault(fault)
-            get = RejectedRequest(500, "this request could not be read")
-        if isinstance(get, RejectedRequest):
+            request = RejectedRequest(500, "this request could not be read")
+        if isinstance(request, RejectedRequest):
             self.book.count("bad_requests")
-            self.relay.refuse(client, get)
+            self.response_writer.reject(client, request)
             return
-        client.get, self.ids[get.id], get.until = get, get, now + max(0, get.asked.ttl)
-        get.story.append((now, "read"))
+        client.open_request, self.requests_by_id[request.id], request.client_deadline = (
+            request,
+            request,
+            now + max(0, request.asked.ttl),
+        )
+        request.trace.append((now, "read"))
         if self.places is not None:
-            get.tenant = self.places.tenant(request.headers)
-        if len(self.open) >= self.most:
+            request.tenant = self.places.tenant(http_request.headers)
+        if len(self.open_requests) >= self.max_open_requests:
             self.book.count("shed_over_bound")
-            get.handle = self.router.start_request(get.asked, now)
-            self.guarded(get, self.say, get, get.handle.give_up(now), now)
+            request.handle = self.router.start_request(request.asked, now)
+            self.guarded(request, self.say, request, request.handle.give_up(now), now)
             return
-        self.guarded(get, self._taken, get, now)
-
-    def _taken(self, get, now):
-        if self._own(get, now):
-            return self.forget(get)
-        get.handle = self.router.start_request(get.asked, now)
-        decided = get.handle.route(now)
-        self.open[get.handle] = get
-        self.say(get, decided, now)
-
-    def _own(self, get, now):
-        """Answers from a copy of the front's own, where it has one and the module lets it."""
-        key = get.ds, get.thing, get.part
-        copy = self.copies.find(key)
+        self.guarded(request, self._begin_routing, request, now)
+
+    def _begin_routing(self, request, now):
+        if self._respond_from_cache(request, now):
+            return self.forget(request)
+        request.handle = self.router.start_request(request.asked, now)
+        actions = request.handle.route(now)
+        self.open_requests[request.handle] = request
+        self.say(request, actions, now)
+
+    def _respond_from_cache(self, request, now):
+        """Respond from the front's own cache if it has the object and the router allows it; return whether it did."""
+        key = request.ds, request.thing, request.part
+        cached = self.response_cache.find(key)
         if (
-            copy is None
-            or get.asked.write
+            cached is None
+            or request.asked.write
             or not self.router.may_answer_from_own_copy(
-                get.asked, copy.made, copy.since, self.copies.wait(now), now
+                request.asked, cached.generated_at, cached.stored_at, self.response_cache.link_wait(now), now
             )
         ):
             return False
-        same = copy.tag and get.have == copy.tag
-        self.copies.sent(key, len(copy.body) // 20 if same else len(copy.body), now)
-        self.relay.answer(get, 304 if same else 200, b"" if same else copy.body, tagged(copy.tag))
+        not_modified = cached.etag and request.have == cached.etag
+        self.response_cache.record_sent(
+            key, len(cached.body) // 20 if not_modified else len(cached.body), now
+        )
+        self.response_writer.respond(
+            request,
+            304 if not_modified else 200,
+            b"" if not_modified else cached.body,
+            etag_header(cached.etag),
+        )
         self.book.count("gets_own")
         return True
 
     def ended(self, out, outcome, found, waited, load, at=None):
-        """`at` where several end at once: told one by one, they would be as many bad ends of a server."""
+        """Handle the end of an attempt, once.
+
+        `at`: one time for all attempts that end together. With a time each, they would count as as many separate
+        failures of the server.
+        """
         if not out.ended:
             self.guarded(out.get, self._ended, out, outcome, found, waited, load, at)
 
     def _ended(self, out, outcome, found, waited, load, at):
-        now, get = at or self.clock(), out.get
+        now, request = at or self.clock(), out.get
         out.ended, out.outcome, out.may_have_run = True, outcome, not outcome.never_executed
-        get.story.append((now, f"attempt {out.number} {outcome.name.lower()}"))
+        request.trace.append((now, f"attempt {out.number} {outcome.name.lower()}"))
         self.book.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
-            self.fleet.forwarded(out.cache, outcome, found, now - out.at, get.asked)
-        finished = get.answered or get.client.get is not get
-        decided = get.handle.attempt_ended(
+            self.fleet.forwarded(out.cache, outcome, found, now - out.at, request.asked)
+        finished = request.answered or request.client.open_request is not request
+        actions = request.handle.attempt_ended(
             out.number, outcome, found, now - out.at, waited, load, finished, now
         )
         if out.place is not None:
             self.places.ended(out, outcome, found, waited, now)
-        if decided:
-            self.say(get, decided, now)
-        elif get.handle.is_settled():
-            self.forget(get)
-
-    def forget(self, get):
-        """Drop a request that is over; nothing more is kept of it."""
-        self.invariants.forgotten(get)
-        if self.wanted.log_gets and get.id in self.ids:
-            self._log(get)
-        self.ids.pop(get.id, None)
+        if actions:
+            self.say(request, actions, now)
+        elif request.handle.is_settled():
+            self.forget(request)
+
+    def forget(self, request):
+        """Drop the state of a request that is over."""
+        self.invariants.check_forgotten(request)
+        if self.wanted.log_gets and request.id in self.requests_by_id:
+            self._log_request(request)
+        self.requests_by_id.pop(request.id, None)
         if self.places is not None:
-            self.places.left(get)
-        # Get and forwards hold each other: left so, each GET would wait for the collector.
-        if self.open.pop(get.handle, None) is not None:
-            get.forwards.clear()
+            self.places.left(request)
+        # Request and attempts refer to each other: the cycle would leave each request to the garbage collector.
+        if self.open_requests.pop(request.handle, None) is not None:
+            request.attempts.clear()
 
-    def _where(self, forward):
-        """A forward's server and the source of a fill, by name."""
+    def _describe_target(self, action):
+        """Return the names of an attempt's server and of the source of its fill, for the log."""
         names = [
-            place.name if place is not None else f"{at:x}"
-            for at in (forward.cache, forward.fill_source)
-            for place in [self.servers.places.get(at)]
+            server.name if server is not None else f"{at:x}"
+            for at in (action.cache, action.fill_source)
+            for server in [self.servers.places.get(at)]
         ]
         return (
             f"to {names[0]}"
-            if forward.fill_source == forward.cache
+            if action.fill_source == action.cache
             else f"to {names[0]}, filled from {names[1]}"
         )
 
-    def _log(self, get):
-        """One GET from its first byte here to its end: what was decided and came of it, each with its time (ms)."""
-        began = get.story[0][0] if get.story else 0
+    def _log_request(self, request):
+        """Log one request from its first byte to its end: decisions and outcomes, each with its time (ms)."""
+        began = request.trace[0][0] if request.trace else 0
         self.log(
             "get",
-            id=get.id.decode("latin-1"),
-            ds=get.ds,
-            object=get.thing,
-            part=get.part,
-            story=[f"{(at - began) // MS} {what}" for at, what in get.story],
+            id=request.id.decode("latin-1"),
+            ds=request.ds,
+            object=request.thing,
+            part=request.part,
+            story=[f"{(at - began) // MS} {event}" for at, event in request.trace],
         )
 
-    def returned(self, out, said):
-        """The first answer that a server returns goes to the client as it is."""
-        if said.still_good:
-            self.relay.answer(out.get, 304, headers=tagged(said.tag))
+    def returned(self, out, response):
+        """Pass the first response that a server returns on to the client unchanged."""
+        if response.still_good:
+            self.response_writer.respond(out.get, 304, headers=etag_header(response.tag))
         else:
-            self.relay.answer(out.get, 200, said.body, tagged(said.tag))
-            get, now = out.get, self.clock()
-            made = self._made(out, said, now)
-            if made is not None and self.router.should_store_own_copy(get.asked, made, now):
-                self.copies.put((get.ds, get.thing, get.part), CachedResponse(said.body, said.tag, made, now))
+            self.response_writer.respond(out.get, 200, response.body, etag_header(response.tag))
+            request, now = out.get, self.clock()
+            generated_at = self._generated_at(out, response, now)
+            if generated_at is not None and self.router.should_store_own_copy(
+                request.asked, generated_at, now
+            ):
+                self.response_cache.put(
+                    (request.ds, request.thing, request.part),
+                    CachedResponse(response.body, response.tag, generated_at, now),
+                )
         self.book.count("gets_returned")
 
-    def _made(self, out, said, now):
-        """When a copy was made, at the earliest, on this front's clock; None where that can't be told."""
-        if said.age is not None:
-            return out.at - said.age
-        self.platform.copy_stamped(said.made, out.cache, now)
+    def _generated_at(self, out, response, now):
+        """Return the earliest time at which a response was generated, on this front's clock; None where unknown."""
+        if response.age is not None:
+            return out.at - response.age
+        self.platform.copy_stamped(response.made, out.cache, now)
         self.router.platform_clock_offset = self.platform.least_offset
-        age = self.platform.copy_age(said.made, now) if said.made else None
+        age = self.platform.copy_age(response.made, now) if response.made else None
         return None if age is None else now - age
 
-    def left(self, get):
-        """The client of a request has closed its connection or cancelled."""
+    def client_left(self, request):
+        """Handle a client that closed its connection or cancelled."""
         self.book.count("gets_left")
         now = self.clock()
-        get.answered, get.client.get, get.left_at = True, None, now
-        get.story.append((now, "client left"))
+        request.answered, request.client.open_request, request.client_left_at = True, None, now
+        request.trace.append((now, "client left"))
         if self.places is not None:
-            self.places.left(get)
-        self.take_back(get)
-        self.say(get, get.handle.client_disconnected(now), now)
+            self.places.left(request)
+        self.withdraw_unsent(request)
+        self.say(request, request.handle.client_disconnected(now), now)
 
-    def take_back(self, get, overtaken=lambda out: True):
-        """Forwards of which nothing has left yet, and that are no longer to be sent, never are.
+    def withdraw_unsent(self, request, is_affected=lambda out: True):
+        """Withdraw the affected attempts of which no byte was sent, and end them as not sent.
 
-        One waits for a connection to come up, or behind one that takes nothing, for as long as its GET may wait.
+        Such an attempt waits for a connection to be established, or behind one whose peer reads nothing, for up to
+        its request's remaining time.
         """
-        for out in list(get.forwards.values()):
-            if not out.ended and overtaken(out) and self.servers.withdraw(out):
+        for out in list(request.attempts.values()):
+            if not out.ended and is_affected(out) and self.servers.withdraw(out):
                 self.loop.call_soon(self.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
 
-    def take_back_all(self, overtaken):
-        """What was decided before the news just told and not begun is decided anew: it would be sent after them."""
-        for get in list(self.open.values()):
-            self.take_back(get, overtaken)
+    def withdraw_all_unsent(self, is_affected):
+        """Withdraw the affected unsent attempts of all requests, so that they are routed again.
 
-    def told(self, news):
-        """A list or a purge, from the bus or from what was known at the start."""
+        They were decided before the discovery event just applied, and would be sent after it.
+        """
+        for request in list(self.open_requests.values()):
+            self.withdraw_unsent(request, is_affected)
+
+    def on_discovery_event(self, event):
+        """Apply an endpoint list or an invalidation, from the event bus or from the start configuration."""
         now = self.clock()
-        self.stamped(news, now)
-        if isinstance(news, EndpointList):
+        self.record_platform_stamps(event, now)
+        if isinstance(event, EndpointList):
             if self.membership is not None:
-                news = self.membership.merged(news, now)
-            if news is not None:
-                self.apply(news)
+                event = self.membership.merged(event, now)
+            if event is not None:
+                self.apply(event)
             if self.fleet is not None:
                 self.fleet.listed()
-        elif news is not None:
+        elif event is not None:
             if self.fleet is not None:
-                self.fleet.purged(news.object, news.group, news.at)
-            self.router.invalidate(news.object, news.group, self.platform.age(news.at, now), now)
-            # The oldest copy that a forward takes was worked out before the purge.
-            self.take_back_all(
-                lambda out: news.group == out.get.asked.group
-                if news.object < 0
-                else news.object == out.get.asked.object
+                self.fleet.purged(event.object, event.group, event.at)
+            self.router.invalidate(event.object, event.group, self.platform.age(event.at, now), now)
+            # The maximum age that an attempt accepts was computed before this invalidation.
+            self.withdraw_all_unsent(
+                lambda out: event.group == out.get.asked.group
+                if event.object < 0
+                else event.object == out.get.asked.object
             )
         self.arm(now)
 
-    def stamped(self, news, now):
-        """What news of discovery shows of the platform's clock; known before, their ages are told apart."""
-        if isinstance(news, EndpointList):
-            for entry in news.entries:
+    def record_platform_stamps(self, event, now):
+        """Record the platform's time stamps in a discovery event: ages are computed relative to the newest one."""
+        if isinstance(event, EndpointList):
+            for entry in event.entries:
                 self.platform.stamped(entry.started, now)
-        elif news is not None:
-            self.platform.stamped(news.at, now)
+        elif event is not None:
+            self.platform.stamped(event.at, now)
         self.router.platform_clock_offset = self.platform.least_offset
 
     def apply(self, hosts):
-        """A list as it now holds: from the bus alone, or merged from all sources."""
+        """Apply an effective endpoint list: that of the bus alone, or the one merged from all sources."""
         self.servers.listed(hosts)
         self.router.update_endpoints(hosts.entries, hosts.whole, self.clock())
-        serves = {entry.id for entry in hosts.entries if entry.state is EndpointState.SERVING}
+        serving = {entry.id for entry in hosts.entries if entry.state is EndpointState.SERVING}
         named = hosts.names.keys()
-        self.invariants.listed(serves, named, hosts.whole)
-        self.take_back_all(
+        self.invariants.record_endpoint_list(serving, named, hosts.whole)
+        self.withdraw_all_unsent(
             lambda out: any(
-                at not in serves and (hosts.whole or at in named) for at in (out.cache, out.source)
+                at not in serving and (hosts.whole or at in named) for at in (out.cache, out.source)
             )
         )
         self.arm(self.clock())
 
     def stop(self):
-        """The end of the drain: what is still open gets its final answer now."""
+        """At the end of the drain, give each open request its final response."""
         now = self.clock()
-        for get in list(self.open.values()):
-            if not get.answered:
-                self.guarded(get, self.say, get, get.handle.give_up(now), now)
+        for request in list(self.open_requests.values()):
+            if not request.answered:
+                self.guarded(request, self.say, request, request.handle.give_up(now), now)
 
-    def list_failed(self):
-        """The endpoint list could not be had."""
+    def on_discovery_lost(self):
+        """Tell the router that the endpoint list could not be read."""
         self.router.endpoint_list_failed(self.clock())
 
-    # What is decided.
+    # Actions.
 
-    def say(self, get, decided, now):
+    def say(self, request, actions, now):
         """Perform the router's actions for one request, in order."""
-        for one in decided:
-            match one:
+        for action in actions:
+            match action:
                 case SendAttempt():
-                    out = get.forwards[one.number] = OpenAttempt(
-                        get, one.number, one.cache, one.fill_source, now, now + one.timeout
+                    out = request.attempts[action.number] = OpenAttempt(
+                        request, action.number, action.cache, action.fill_source, now, now + action.timeout
                     )
                     if self.wanted.log_gets:
-                        get.story.append((now, f"attempt {one.number} {self._where(one)}"))
-                    if get.client.peer_has_closed():
-                        # Its end stands behind what this turn of the loop still does: nobody waits any more.
+                        request.trace.append(
+                            (now, f"attempt {action.number} {self._describe_target(action)}")
+                        )
+                    if request.client.peer_has_closed():
+                        # The event loop reports the close only after what it still handles in this iteration, but
+                        # the client no longer waits.
                         self.loop.call_soon(
                             self.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
                         )
-                        self.left(get)
+                        self.client_left(request)
                         continue
                     if (
-                        former := get.forwards.get(one.number - 1)
-                    ) is not None and former.outcome is not None:
-                        self.book.count(f"retries_after_{former.outcome.name.lower()}")
+                        previous := request.attempts.get(action.number - 1)
+                    ) is not None and previous.outcome is not None:
+                        self.book.count(f"retries_after_{previous.outcome.name.lower()}")
                     if self.places is not None:
-                        self.places.sent(get, out, one, now)
-                    self.servers.forward(out, one)
-                    self._limit(out)
+                        self.places.sent(request, out, action, now)
+                    self.servers.forward(out, action)
+                    self._add_timeout(out)
                     self.armed_by(out.limit)
                 case AwaitSlot():
-                    self.places.waits(get, one.fill_source, now)
+                    self.places.waits(request, action.fill_source, now)
                 case RejectRequest():
                     self.book.count("gets_shed")
-                    self.book.count("gets_shed_after_attempts" if get.forwards else "gets_shed_unsent")
-                    self.take_back(get)
-                    wait = b"X-Come-Back-Ms: %d\r\n" % (one.retry_after // MS) if one.retry_after else b""
-                    self.relay.answer(get, 503, headers=wait)
+                    self.book.count("gets_shed_after_attempts" if request.attempts else "gets_shed_unsent")
+                    self.withdraw_unsent(request)
+                    retry_after_header = (
+                        b"X-Come-Back-Ms: %d\r\n" % (action.retry_after // MS) if action.retry_after else b""
+                    )
+                    self.response_writer.respond(request, 503, headers=retry_after_header)
                 case FailRequest():
                     self.book.count("gets_errored")
-                    self.take_back(get)
-                    self.relay.answer(get, 502)
+                    self.withdraw_unsent(request)
+                    self.response_writer.respond(request, 502)
                 case CancelAttempt():
-                    out = get.forwards[one.number]
+                    out = request.attempts[action.number]
                     self.servers.cancel(out)
                     self.loop.call_soon(self.ended, out, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, {})
-        if get.handle.is_settled():
-            self.forget(get)
+        if request.handle.is_settled():
+            self.forget(request)
 
-    def _limit(self, out):
-        """Its time-out; those of forwards that have ended go as they become many, not at their time."""
-        if len(self.limits) >= self.compacts_at:
-            self.limits = [one for one in self.limits if not one[2].ended]
-            heapq.heapify(self.limits)
-            self.compacts_at = max(COMPACTED, 2 * len(self.limits))
-        heapq.heappush(self.limits, (out.limit, next(self.order), out))
+    def _add_timeout(self, out):
+        """Schedule an attempt's time-out.
+
+        Entries of ended attempts are removed once the heap has grown, not only when their time comes.
+        """
+        if len(self.attempt_timeouts) >= self.timeouts_compact_at:
+            self.attempt_timeouts = [entry for entry in self.attempt_timeouts if not entry[2].ended]
+            heapq.heapify(self.attempt_timeouts)
+            self.timeouts_compact_at = max(TIMEOUT_HEAP_COMPACT_MIN, 2 * len(self.attempt_timeouts))
+        heapq.heappush(self.attempt_timeouts, (out.limit, next(self.tie_breakers), out))
 
     def armed_by(self, due):
-        """Bring the timer forward where `due` is earlier."""
-        if self.armed is None or due < self.armed:
+        """Bring the timer forward if `due` is earlier."""
+        if self.timer_due is None or due < self.timer_due:
             self.arm(self.clock())
 
     def arm(self, now):
-        """One timer, for what the module or a forward's time-out is due at first."""
-        while self.limits and self.limits[0][2].ended:
-            heapq.heappop(self.limits)
+        """Set the one timer to the earliest deadline of the router, the attempts and the transports."""
+        while self.attempt_timeouts and self.attempt_timeouts[0][2].ended:
+            heapq.heappop(self.attempt_timeouts)
         due = self.router.next_deadline()
-        if self.limits and (due is None or self.limits[0][0] < due):
-            due = self.limits[0][0]
-        theirs = self.servers.next_due()
-        if theirs is not None and (due is None or theirs < due):
-            due = theirs
-        if due is None or self.armed is not None and self.armed <= due:
+        if self.attempt_timeouts and (due is None or self.attempt_timeouts[0][0] < due):
+            due = self.attempt_timeouts[0][0]
+        transports_due = self.servers.next_due()
+        if transports_due is not None and (due is None or transports_due < due):
+            due = transports_due
+        if due is None or self.timer_due is not None and self.timer_due <= due:
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.armed = due
-        self.timer = self.loop.call_later(max(0, due - now) / 1e9, self._due)
+        self.timer_due = due
+        self.timer = self.loop.call_later(max(0, due - now) / 1e9, self._on_timer)
 
-    def _due(self):
-        now, self.armed, self.timer = self.clock(), None, None
-        # Each by itself: this one timer stands for all deadlines, and has to be armed again whatever breaks.
-        for step in (self.servers.due, self._time_outs, self._given_up, self.arm):
+    def _on_timer(self):
+        now, self.timer_due, self.timer = self.clock(), None, None
+        # Each step is guarded by itself: this timer serves all deadlines and must be armed again whatever fails.
+        for step in (self.servers.due, self._expire_attempts, self._run_router_timers, self.arm):
             try:
                 step(now)
             except Exception as fault:
                 self.fault(fault)
-        if self.timer is None and self.open:
-            self.armed, self.timer = now + AGAIN, self.loop.call_later(AGAIN / 1e9, self._due)
+        if self.timer is None and self.open_requests:
+            self.timer_due, self.timer = (
+                now + TIMER_RETRY_NS,
+                self.loop.call_later(TIMER_RETRY_NS / 1e9, self._on_timer),
+            )
 
-    def _time_outs(self, now):
-        # Before the module's own: it is to learn that a forward came to nothing, not that it was cancelled.
-        while self.limits and self.limits[0][0] <= now:
-            out = heapq.heappop(self.limits)[2]
+    def _expire_attempts(self, now):
+        # Before the router's own timers, so that it learns that an attempt timed out, not that it was cancelled.
+        while self.attempt_timeouts and self.attempt_timeouts[0][0] <= now:
+            out = heapq.heappop(self.attempt_timeouts)[2]
             if not out.ended:
-                self.guarded(out.get, self._timed_out, out)
+                self.guarded(out.get, self._time_out, out)
 
-    def _timed_out(self, out):
+    def _time_out(self, out):
         never_executed = self.servers.cancel(out, timed_out=True)
         self.ended(out, never_executed or AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, 0, {})
 
-    def _given_up(self, now):
-        for handle, decided in self.router.on_timer(now):
-            if handle in self.open:
-                self.guarded(self.open[handle], self.say, self.open[handle], decided, now)
+    def _run_router_timers(self, now):
+        for handle, actions in self.router.on_timer(now):
+            if handle in self.open_requests:
+                self.guarded(self.open_requests[handle], self.say, self.open_requests[handle], actions, now)
 
-    def guarded(self, get, action, *given):
-        """Whatever breaks in an action, its GET still gets its one answer and the others go on."""
+    def guarded(self, request, action, *arguments):
+        """Call `action`; if it raises, the request gets its one response (500) and other requests go on."""
         try:
-            action(*given)
+            action(*arguments)
         except Exception as fault:
             self.fault(fault)
-            self.relay.answer(get, 500)
-            self.forget(get)
+            self.response_writer.respond(request, 500)
+            self.forget(request)
 
-    def loop_fault(self, loop, context):
-        """What no caller caught, in place of asyncio's own handler, which writes to standard error and may block."""
+    def on_loop_exception(self, loop, context):
+        """Log an exception that nothing caught.
+
+        Replaces asyncio's own handler, which writes to standard error and may block.
+        """
         fault = context.get("exception")
         if fault is not None:
             return self.fault(fault)
@@ -385,7 +456,7 @@
         self.book.count("faults")
 
     def fault(self, fault):
-        """Log and count an exception of the program."""
+        """Log and count an unexpected exception."""
         at = (traceback.extract_tb(fault.__traceback__) or [None])[-1]
         self.log(
             "fault", error=f"{type(fault).__name__}: {fault}", where=f"{at.name}:{at.lineno}" if at else ""
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -1,28 +1,31 @@
-"""Invariants of a front, checked as it runs: each violation is counted and logged with its ids, and changes nothing.
+"""Runtime checks of a front's invariants: each violation is counted and logged with its ids, and changes nothing.
 
-A violation is a fault of the program. The rules are kept elsewhere (`upstream/sending.py`,
-`client_connections.TRANSITIONS`, `ResponseWriter.answer`); this module checks the outcome independently of how they
-decide. A count other than 0 in the log's `second` lines is to be reported with the lines around it.
+A violation is a bug. The rules are enforced elsewhere (`upstream/sending.py`, `client_connections.TRANSITIONS`,
+`ResponseWriter.respond`); this module checks the outcome independently of that code. A non-zero count in the log's
+`second` lines is to be reported together with the lines around it.
 """
 
 from sprucegate.front.client_connections import ConnectionState
 from sprucegate.units import MILLISECOND as MS
 
-GONE_LATE = 100 * MS  # an attempt that begins so long after its client went counts as a lost request
-ANSWER_LATE = 500 * MS  # an answer so long after its time counts as none
-WAIT_SLACK = 150 * MS  # by which the wait told to a server may be over what its client has left
-REMEMBERED = 10_000  # servers that drain or have gone
-LOGGED = 20  # breaches logged in one second; all are counted
+# Tolerances: what is later than this is a violation.
+SEND_AFTER_DISCONNECT_TOLERANCE = 100 * MS  # from the client's disconnect to the first byte of an attempt
+LATE_RESPONSE_TOLERANCE = (
+    500 * MS
+)  # from the client's deadline to the response, which counts as none after that
+ATTEMPT_DEADLINE_TOLERANCE = 150 * MS  # from the client's deadline to the deadline of an attempt
+UNAVAILABLE_SERVERS_MAX = 10_000  # draining or removed servers that are remembered
+LOGGED_PER_SECOND_MAX = 20  # violations logged in one second; all are counted
 
 
 class Invariants:
     """Checks what a front does. `count(name)` adds one to a counter; `log(event, **fields)` writes a line.
 
-    :ivar effects: the effect of a request that runs twice, by delivery service; "idempotent" where not set
-    :ivar most_attempts: most attempts of a request
+    :ivar effects: the effect of a repeated execution, by delivery service; "idempotent" where not set
+    :ivar most_attempts: upper bound of attempts of a request
     :ivar logged: violations logged in this second
-    :ivar closed_to: ids of servers that the last lists named as draining or gone, the latest last; one that a
-        complete list omits isn't among them
+    :ivar unavailable_servers: ids of servers that the last lists named as draining or removed, the latest last; one
+        that a complete list omits isn't among them
     """
 
     def __init__(self, settings, count, log):
@@ -31,96 +34,105 @@
         self.count = count
         self.log = log
         self.logged = 0
-        self.closed_to = {}
+        self.unavailable_servers = {}
 
-    def second(self):
-        """Start another second, with a new allowance of logged violations; called once a second."""
+    def start_second(self):
+        """Reset the number of logged violations; called once a second."""
         self.logged = 0
 
-    def listed(self, serves, named, whole):
-        """Record an endpoint list: ids of the servers that serve, ids that it names, and whether it is complete."""
-        closed = {} if whole else self.closed_to
-        for at in serves:
-            closed.pop(at, None)
-        closed.update(dict.fromkeys(named - serves))
-        while len(closed) > REMEMBERED:
-            del closed[next(iter(closed))]
-        self.closed_to = closed
-
-    def broken(self, rule, get, **fields):
-        """Count a violation of a rule by a request, and log it with the request's events."""
+    def record_endpoint_list(self, serving, named, whole):
+        """Record an endpoint list: ids of serving servers, ids that it names, and whether it is complete."""
+        unavailable = {} if whole else self.unavailable_servers
+        for at in serving:
+            unavailable.pop(at, None)
+        unavailable.update(dict.fromkeys(named - serving))
+        while len(unavailable) > UNAVAILABLE_SERVERS_MAX:
+            del unavailable[next(iter(unavailable))]
+        self.unavailable_servers = unavailable
+
+    def report_violation(self, rule, request, **fields):
+        """Count a violation of a rule by a request, and log it with the request's trace."""
         self.count(f"invariant_violations {rule}")
         self.logged += 1
-        if self.logged <= LOGGED:
+        if self.logged <= LOGGED_PER_SECOND_MAX:
             self.log(
                 "invariant_broken",
                 rule=rule,
-                id=get.id.decode("latin-1"),
-                story=[f"{at // MS} {what}" for at, what in get.story],
+                id=request.id.decode("latin-1"),
+                story=[f"{at // MS} {event}" for at, event in request.trace],
                 **fields,
             )
 
-    # What is checked.
+    # Checks.
 
-    def began(self, out, now):
+    def check_attempt(self, out, now):
         """Check an attempt whose first byte was just sent."""
-        get = out.get
-        get.story.append((now, f"attempt {out.number} sent"))
+        request = out.get
+        request.trace.append((now, f"attempt {out.number} sent"))
         attempt = {"attempt": out.number, "server": out.cache}
-        if get.answered:
-            self.broken("attempt_after_answer", get, **attempt)
-        if get.left_at is not None and now - get.left_at > GONE_LATE:
-            self.broken("attempt_after_client_left", get, **attempt)
-        if get.client is not None and get.client.state not in (
+        if request.answered:
+            self.report_violation("attempt_after_answer", request, **attempt)
+        if (
+            request.client_left_at is not None
+            and now - request.client_left_at > SEND_AFTER_DISCONNECT_TOLERANCE
+        ):
+            self.report_violation("attempt_after_client_left", request, **attempt)
+        if request.client is not None and request.client.state not in (
             ConnectionState.REQUEST_IN_PROGRESS,
             ConnectionState.CLOSED,
         ):
-            self.broken("attempt_without_request", get, phase=get.client.state.name, **attempt)
-        if self.closed_to and (out.cache in self.closed_to or out.source in self.closed_to):
-            self.broken("attempt_to_draining", get, source=out.source, **attempt)
-        if out.limit > get.until + WAIT_SLACK:
-            self.broken("wait_over_patience", get, **attempt)
+            self.report_violation(
+                "attempt_without_request", request, phase=request.client.state.name, **attempt
+            )
+        if self.unavailable_servers and (
+            out.cache in self.unavailable_servers or out.source in self.unavailable_servers
+        ):
+            self.report_violation("attempt_to_draining", request, source=out.source, **attempt)
+        if out.limit > request.client_deadline + ATTEMPT_DEADLINE_TOLERANCE:
+            self.report_violation("wait_over_patience", request, **attempt)
         if out.number >= self.most_attempts:
-            self.broken("attempts_over_cap", get, **attempt)
-        if out.number and self._may_have_run(get, out) and self._effect(get) != "idempotent":
-            self.broken("repeated_while_it_may_have_run", get, **attempt)
+            self.report_violation("attempts_over_cap", request, **attempt)
+        if out.number and self._may_have_run(request, out) and self._effect(request) != "idempotent":
+            self.report_violation("repeated_while_it_may_have_run", request, **attempt)
 
-    def answered(self, get, status, named, now):
+    def check_response(self, request, status, named, now):
         """Check a response that is about to be written; `named`: not a 304, or one with the client's entity tag."""
-        get.story.append((now, f"answered {status}"))
-        if now - get.until > ANSWER_LATE:
-            self.broken("answered_late", get, status=status, late_ms=(now - get.until) // MS)
+        request.trace.append((now, f"answered {status}"))
+        if now - request.client_deadline > LATE_RESPONSE_TOLERANCE:
+            self.report_violation(
+                "answered_late", request, status=status, late_ms=(now - request.client_deadline) // MS
+            )
         if not named:
-            self.broken("not_modified_unnamed", get)
+            self.report_violation("not_modified_unnamed", request)
 
-    def forgotten(self, get):
+    def check_forgotten(self, request):
         """Check a request that is no longer tracked."""
-        if not get.answered:
-            self.broken("never_answered", get)
+        if not request.answered:
+            self.report_violation("never_answered", request)
 
-    def closed(self, client, why):
+    def check_close(self, client, why):
         """Check a client connection that this side closes for a reason ("peer": the client closed it)."""
         if (
             client.state is ConnectionState.REQUEST_IN_PROGRESS
             and why != "peer"
-            and client.get is not None
+            and client.open_request is not None
             and not client.peer_has_closed()
         ):
-            self.broken("closed_over_request", client.get, why=why)
+            self.report_violation("closed_over_request", client.open_request, why=why)
 
-    def quiet(self, gets, ids, buffers):
+    def check_no_leaks(self, gets, ids, buffers):
         """Check that without open requests no ids and no buffers are in use."""
         if not gets and (ids or buffers):
             self.count("invariant_violations left_over")
             self.log("invariant_broken", rule="left_over", ids=ids, buffers=buffers)
 
-    def _effect(self, get):
-        ds = get.asked.delivery_service
+    def _effect(self, request):
+        ds = request.asked.delivery_service
         return self.effects[ds] if ds < len(self.effects) and self.effects[ds] is not None else "idempotent"
 
     @staticmethod
-    def _may_have_run(get, out):
+    def _may_have_run(request, out):
         return any(
-            number < out.number and (not one.ended or one.may_have_run)
-            for number, one in get.forwards.items()
+            number < out.number and (not earlier.ended or earlier.may_have_run)
+            for number, earlier in request.attempts.items()
         )
--- a/sprucegate/front/open_requests.py
+++ b/sprucegate/front/open_requests.py
@@ -9,17 +9,17 @@
     :ivar get: its request
     :ivar number: its number within the request, from 0
     :ivar cache: id of the server that it is sent to
-    :ivar source: id of the server from which that one fills a miss
+    :ivar source: id of the server from which `cache` fills a miss
     :ivar at: when it was decided (ns)
     :ivar limit: when it times out (ns)
     :ivar transport: the transport that sends it
-    :ivar connection: its connection, None before it has one
+    :ivar connection: the connection that carries it, None before it has one
     :ivar progress: how much of it was sent
     :ivar ended: whether its outcome is known
-    :ivar place: its slot of the concurrency quota of fills, where there is one
-    :ivar said: what the transport needs to encode it once it is sent
+    :ivar place: its slot of the quota of concurrent fills, or None
+    :ivar said: the arguments from which the transport encodes it when it is sent
     :ivar may_have_run: True until its outcome proves that it was never executed
-    :ivar outcome: its AttemptOutcome, None before its end
+    :ivar outcome: its AttemptOutcome, None until it has ended
     """
 
     __slots__ = (
@@ -62,20 +62,20 @@
     :ivar client: its ClientConnection
     :ivar id: the client's call id
     :ivar ds: name of its delivery service
-    :ivar thing: its object's key, hexadecimal
-    :ivar part: number of the object's slice
+    :ivar thing: key of its object, hexadecimal
+    :ivar part: number of the slice of the object
     :ivar have: entity tag of the client's stored response; "" where it has none
     :ivar body: its content
     :ivar asked: the request as the router's event
     :ivar handle: the router's handle, None before the router has it
-    :ivar forwards: its attempts by number
-    :ivar left_on: connections on which an attempt was cancelled: a late response there bears the same id
-    :ivar answered: whether its response was given, or its client has gone
-    :ivar tenant: the tenant whose share of the fills' quota it uses
-    :ivar token: the key by which servers recognise a repeat of it; "" where it has none
-    :ivar until: when its client stops waiting (ns)
-    :ivar left_at: when its client was seen to have gone (ns), or None
-    :ivar story: (time, what happened), for the log
+    :ivar attempts: its OpenAttempts by number
+    :ivar left_on: connections on which an attempt was cancelled: a late response there would carry the same id
+    :ivar answered: whether its response was written, or its client has disconnected
+    :ivar tenant: index of the tenant whose share of the fills' quota it uses
+    :ivar token: idempotency key by which servers recognise a repeat; "" where it has none
+    :ivar client_deadline: when its client stops waiting (ns)
+    :ivar client_left_at: when its client was found to have disconnected (ns), or None
+    :ivar trace: (time, event) pairs, for the log
     """
 
     __slots__ = (
@@ -88,14 +88,14 @@
         "body",
         "asked",
         "handle",
-        "forwards",
+        "attempts",
         "left_on",
         "answered",
         "tenant",
         "token",
-        "until",
-        "left_at",
-        "story",
+        "client_deadline",
+        "client_left_at",
+        "trace",
     )
 
     def __init__(self, client, call_id, ds, thing, part, have, body, asked, token=""):
@@ -108,11 +108,11 @@
         self.body = body
         self.asked = asked
         self.handle = None
-        self.forwards = {}
+        self.attempts = {}
         self.answered = False
         self.tenant = 0
         self.token = token
-        self.until = 0
-        self.left_at = None
-        self.story = []
+        self.client_deadline = 0
+        self.client_left_at = None
+        self.trace = []
         self.left_on = []
--- a/sprucegate/front/protocol/http.py
+++ b/sprucegate/front/protocol/http.py
@@ -4,8 +4,8 @@
 
 import httptools
 
-HEAD_MOST_BYTES = 8192
-BODY_MOST_BYTES = 48_000
+HEAD_BYTES_MAX = 8192
+BODY_BYTES_MAX = 48_000
 NOT_MODIFIED = 304
 REASONS = {
     200: "OK",
@@ -23,7 +23,7 @@
 
 
 class Request(NamedTuple):
-    """A whole request; names of headers are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -41,72 +41,76 @@
 
 
 class RequestReader:
-    """Reads the requests of one connection. After a fault nothing more is read.
+    """Parses the requests of one connection. After an invalid request nothing more is read.
 
     The methods `on_*` are httptools' callbacks.
 
-    :ivar fault: the Refusal that the first invalid request gets, or None
-    :ivar begun: part of a request was read
-    :ivar whole: requests read whole by the current call of `feed`
-    :ivar in_head: the request line and headers are not complete
-    :ivar head_size: their bytes so far, counted by whole chunks
+    :ivar rejection: the RejectedRequest for the first invalid request, or None
+    :ivar request_started: part of a request was read
+    :ivar complete: requests completed by the current call of `feed`
+    :ivar in_head: the request line and headers are not complete yet
+    :ivar head_size: their size so far in bytes, counted in whole chunks
     """
 
     def __init__(self, repeatable=frozenset()):
-        """`repeatable`: headers that may occur twice; differing values are then replaced by an empty one."""
+        """`repeatable`: headers that may occur more than once; differing values are replaced by an empty one."""
         self.parser = httptools.HttpRequestParser(self)
         self.repeatable = repeatable
-        self.fault = None
-        self.whole = []
-        self._clear()
+        self.rejection = None
+        self.complete = []
+        self._reset()
 
-    def _clear(self):
+    def _reset(self):
         self.target = b""
         self.headers = {}
         self.body = b""
         self.in_head = True
         self.head_size = 0
-        self.begun = False
+        self.request_started = False
 
     def on_message_begin(self):
         """Handle the first byte of a request."""
-        self.begun = True
+        self.request_started = True
 
     def on_url(self, url):
         """Handle a part of the request target."""
         self.target += url
 
     def on_header(self, name, value):
-        """Handle a header; one that differs from an earlier one of its name is a fault, unless repeatable."""
+        """Handle a header; a differing value for an earlier name is an error, unless the header is repeatable."""
         name = name.lower()
         if name in self.headers and self.headers[name] != value:
-            # Two differing lengths or ids would allow request smuggling (RFC 9112 section 11.2).
+            # Differing lengths or ids would allow request smuggling (RFC 9112 section 11.2).
             if name in self.repeatable:
                 value = b""
             else:
-                self.fault = self.fault or RejectedRequest(
+                self.rejection = self.rejection or RejectedRequest(
                     400, f"header {name.decode('latin-1')} stands twice"
                 )
         self.headers[name] = value
 
     def on_headers_complete(self):
-        """Handle the end of the headers; a Content-Length above the bound is a fault before its body arrives."""
+        """Handle the end of the headers; a Content-Length above the limit is rejected before its body arrives."""
         self.in_head = False
         length = self.headers.get(b"content-length", b"0")
-        if length.isdigit() and int(length) > BODY_MOST_BYTES:
-            self.fault = self.fault or RejectedRequest(413, f"a body holds at most {BODY_MOST_BYTES} bytes")
+        if length.isdigit() and int(length) > BODY_BYTES_MAX:
+            self.rejection = self.rejection or RejectedRequest(
+                413, f"a body holds at most {BODY_BYTES_MAX} bytes"
+            )
 
     def on_body(self, body):
-        """Handle a part of the body, within the bound."""
+        """Handle a part of the body, up to the limit."""
         self.body += body
-        if len(self.body) > BODY_MOST_BYTES:
-            self.fault = self.fault or RejectedRequest(413, f"a body holds at most {BODY_MOST_BYTES} bytes")
+        if len(self.body) > BODY_BYTES_MAX:
+            self.rejection = self.rejection or RejectedRequest(
+                413, f"a body holds at most {BODY_BYTES_MAX} bytes"
+            )
             self.body = b""
 
     def on_message_complete(self):
         """Handle the end of a request."""
-        if not self.fault:
-            self.whole.append(
+        if not self.rejection:
+            self.complete.append(
                 Request(
                     self.parser.get_method(),
                     self.target,
@@ -115,34 +119,36 @@
                     self.parser.should_keep_alive(),
                 )
             )
-        self._clear()
+        self._reset()
 
     def feed(self, data):
-        """Return the requests that these bytes complete; `fault` is set once they can't be a request."""
-        if self.fault:
+        """Return the requests that these bytes complete; `rejection` is set if they can't be a valid request."""
+        if self.rejection:
             return []
         if self.in_head:
             self.head_size += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.fault = RejectedRequest(400, "no other protocol is spoken here")
+            self.rejection = RejectedRequest(400, "no other protocol is spoken here")
         except httptools.HttpParserError:
-            self.fault = self.fault or RejectedRequest(400, "not a readable HTTP/1.1 request")
-        if self.in_head and self.head_size > HEAD_MOST_BYTES:
-            # httptools keeps an unfinished header itself: without a bound a client could fill the memory.
-            self.fault = self.fault or RejectedRequest(431, f"a head holds at most {HEAD_MOST_BYTES} bytes")
-        whole, self.whole = self.whole, []
-        return whole
+            self.rejection = self.rejection or RejectedRequest(400, "not a readable HTTP/1.1 request")
+        if self.in_head and self.head_size > HEAD_BYTES_MAX:
+            # httptools buffers an incomplete header itself: without a limit a client could exhaust the memory.
+            self.rejection = self.rejection or RejectedRequest(
+                431, f"a head holds at most {HEAD_BYTES_MAX} bytes"
+            )
+        complete, self.complete = self.complete, []
+        return complete
 
 
-def answer(status, body=b"", headers=b"", close=False):
-    """Return the bytes of a response. It always has a length, so that a truncated one is recognised."""
+def encode_response(status, body=b"", headers=b"", close=False):
+    """Return the bytes of a response. It always has a length, so that a truncated one is detected."""
     length = b"" if status == NOT_MODIFIED else b"Content-Length: %d\r\n" % len(body)
     ending = b"Connection: close\r\n\r\n" if close else b"\r\n"
     return b"HTTP/1.1 %d %b\r\n%b%b%b%b" % (status, REASONS[status].encode(), length, headers, ending, body)
 
 
-def tagged(tag):
-    """Return the ETag header line of an entity tag given without quotes; empty for an empty one."""
-    return b'ETag: "%b"\r\n' % tag.encode() if tag else b""
+def etag_header(etag):
+    """Return the ETag header line for an entity tag without quotes; empty for an empty tag."""
+    return b'ETag: "%b"\r\n' % etag.encode() if etag else b""
--- a/sprucegate/front/response_cache.py
+++ b/sprucegate/front/response_cache.py
@@ -13,28 +13,28 @@
     """A stored response; times are nanoseconds on this front's clock.
 
     :ivar body: its content
-    :ivar tag: its entity tag, without quotes; "" where it has none
-    :ivar made: when the origin generated it, at the earliest
-    :ivar since: when it was stored here
+    :ivar etag: its entity tag, without quotes; "" where it has none
+    :ivar generated_at: the earliest time at which the origin generated it
+    :ivar stored_at: when it was stored here
     """
 
     body: bytes
-    tag: str
-    made: int
-    since: int
+    etag: str
+    generated_at: int
+    stored_at: int
 
 
 class ResponseCache:
-    """Stored responses by key, within an upper bound of bytes; the least recently used is evicted first.
+    """Stored responses by key, within a capacity in bytes; the least recently used is evicted first.
 
-    :ivar most_bytes: upper bound of all bodies together
+    :ivar capacity_bytes: upper bound of the bytes of all bodies
     :ivar link_bytes_per_s: rate at which responses from this cache are sent
     :ivar stored_bytes: bytes of all bodies
-    :ivar link_free_at: when the responses sent so far have left over the link (ns)
+    :ivar link_free_at: when the link will have transmitted the responses sent so far (ns)
     """
 
-    def __init__(self, most_bytes, link_bytes_per_s):
-        self.most_bytes = most_bytes
+    def __init__(self, capacity_bytes, link_bytes_per_s):
+        self.capacity_bytes = capacity_bytes
         self.link_bytes_per_s = link_bytes_per_s
         self.stored_bytes = 0
         self.responses = OrderedDict()
@@ -45,11 +45,11 @@
         return self.responses.get(key)
 
     def put(self, key, response):
-        """Store a response in place of an earlier one, and evict others down to the upper bound."""
+        """Store a response, replacing an earlier one, and evict others down to the capacity."""
         self.drop(key)
         self.responses[key] = response
         self.stored_bytes += len(response.body)
-        while self.stored_bytes > self.most_bytes:
+        while self.stored_bytes > self.capacity_bytes:
             least_recently_used = next(iter(self.responses))
             self.drop(least_recently_used)
 
@@ -59,11 +59,14 @@
         if response is not None:
             self.stored_bytes -= len(response.body)
 
-    def wait(self, now):
+    def link_wait(self, now):
         """Return how long (ns) a response sent now waits for earlier ones on the link."""
         return max(0, self.link_free_at - now)
 
-    def sent(self, key, size, now):
-        """Record that `size` bytes of the response under this key are sent: it was used, and the link is busy."""
+    def record_sent(self, key, size, now):
+        """Record that `size` bytes of the response under this key are sent.
+
+        It becomes the most recently used one, and the link is busy for that long.
+        """
         self.responses.move_to_end(key)
         self.link_free_at = max(self.link_free_at, now) + int(size / self.link_bytes_per_s * SECOND)
--- a/sprucegate/front/response_writer.py
+++ b/sprucegate/front/response_writer.py
@@ -8,52 +8,54 @@
 
 
 class ResponseWriter:
-    """Writes responses, at once as far as the socket takes them.
+    """Writes responses, at once as far as the socket accepts them.
 
-    :ivar ending: the front is stopping: each response is the last one on its connection
+    :ivar stopping: the front is stopping: each response is the last one on its connection
     """
 
     def __init__(self, driver):
         self.driver = driver
         self.loop = asyncio.get_running_loop()
-        self.ending = False
+        self.stopping = False
 
-    def answer(self, get, status, body=b"", headers=b""):
+    def respond(self, request, status, body=b"", headers=b""):
         """Write the response of a request; a second one for the same request is ignored."""
-        if get.answered:
+        if request.answered:
             return
-        named = status != http.NOT_MODIFIED or bool(get.have) and headers == http.tagged(get.have)
-        self.driver.invariants.answered(get, status, named, self.driver.clock())
-        get.answered = True
-        client = get.client
-        client.get = None
+        named = (
+            status != http.NOT_MODIFIED or bool(request.have) and headers == http.etag_header(request.have)
+        )
+        self.driver.invariants.check_response(request, status, named, self.driver.clock())
+        request.answered = True
+        client = request.client
+        client.open_request = None
         self.write(client, status, body, headers)
 
-    def refuse(self, client, refusal):
-        """Write the plain response to an invalid request; nothing more is read after it."""
-        client.last = True
-        headers = b"Content-Type: text/plain\r\n" + refusal.headers
-        self.write(client, refusal.status, refusal.text.encode() + b"\n", headers)
+    def reject(self, client, rejection):
+        """Write the plain-text response to an invalid request; nothing more is read on this connection."""
+        client.close_after_response = True
+        headers = b"Content-Type: text/plain\r\n" + rejection.headers
+        self.write(client, rejection.status, rejection.text.encode() + b"\n", headers)
 
     def write(self, client, status, body=b"", headers=b""):
-        """Write a response; what the socket doesn't take at once follows as it takes more."""
+        """Write a response; what the socket doesn't accept at once is written as it becomes writable."""
         if client.state is ConnectionState.CLOSED:
             return
-        client.last = client.last or self.ending
-        data = http.answer(status, body, headers, client.last)
+        client.close_after_response = client.close_after_response or self.stopping
+        data = http.encode_response(status, body, headers, client.close_after_response)
         client.on_response_started(self.driver.clock())
         try:
             sent = send(client.sock, data)
         except OSError:
-            return  # the reader sees its end too
+            return  # the connection reader sees the error too and closes the connection
         if sent < len(data):
             client.writer = PendingWrite(
-                self.loop, client.sock, memoryview(data)[sent:], lambda whole: self._written(client, whole)
+                self.loop, client.sock, memoryview(data)[sent:], lambda whole: self._on_written(client, whole)
             )
         else:
             client.on_response_written(self.driver.clock())
 
-    def _written(self, client, whole):
+    def _on_written(self, client, whole):
         client.writer = None
-        if whole:  # else the reader sees its end too
+        if whole:  # otherwise the connection reader sees the error and closes the connection
             client.on_response_written(self.driver.clock())
--- a/sprucegate/front/subscription.py
+++ b/sprucegate/front/subscription.py
@@ -1,4 +1,4 @@
-"""Subscribe: the event bus, read to its end and taken up again after the last event seen."""
+"""Subscription to the event bus: reads the stream and, after an end, resumes after the last event seen."""
 
 import asyncio
 import socket
@@ -7,51 +7,56 @@
 from sprucegate.front.protocol import bus
 from sprucegate.upstream.sockets import set_no_delay
 
-SILENCE = 1.7  # seconds without a byte: a comment comes each second, what is missed counts after 4
-WAITS = (0.1, 0.2, 0.4, 0.8, 1.0)
+# The bus sends a comment each second; a missed event counts after 4 s.
+READ_TIMEOUT_S = 1.7
+RECONNECT_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.0)
 
 
 class Subscription:
-    """Reads the event bus, from the last event seen on, for as long as the front runs."""
+    """Reads the event bus, from the last event seen on, for as long as the front runs.
 
-    def __init__(self, driver, wanted):
-        self.driver, self.wanted, self.last = driver, wanted, wanted.offset
+    :ivar last: offset of the last event seen
+    :ivar retried_after: value of `last` when the bus was last asked again for the event after it; -1 if never
+    """
+
+    def __init__(self, driver, config):
+        self.driver, self.config, self.last = driver, config, config.offset
         self.loop, self.task = asyncio.get_running_loop(), None
-        # Its own: lent one by one to whoever reads, none could be left for the list.
+        # A buffer of its own: connections could have taken all of the pool's, and the list would not be read.
         self.buffer = memoryview(bytearray(BUFFER_BYTES))
-        self.doubted = -1  # the last event before a fault for which the bus was asked again
+        self.retried_after = -1
 
     def start(self):
-        """Asks for what comes after the last event seen; a stream that was open before is left."""
+        """Subscribe from the event after the last one seen; an open stream is abandoned."""
         if self.task is not None:
             self.task.cancel()
         self.task = self.loop.create_task(self.run())
 
     async def run(self):
-        """Read, and connect again after each end with a growing backoff."""
+        """Read, and reconnect after each end of the stream with a growing delay."""
         failures = 0
         while True:
-            seen = self.last
+            last_before = self.last
             try:
                 error = await self._read()
-            except Exception as fault:  # or nothing would be told any more
+            except Exception as fault:  # the subscription must go on, or no event would be applied any more
                 self.driver.fault(fault)
-                error = "a fault of the program"
+                error = "unexpected exception"
             self.driver.log("bus_lost", error=error, last=self.last)
-            self.driver.list_failed()
-            failures = failures + 1 if seen == self.last else 0
-            await asyncio.sleep(WAITS[min(failures, len(WAITS) - 1)])
+            self.driver.on_discovery_lost()
+            failures = failures + 1 if last_before == self.last else 0
+            await asyncio.sleep(RECONNECT_DELAYS_S[min(failures, len(RECONNECT_DELAYS_S) - 1)])
 
     async def _read(self):
-        """Reads one stream to its end; the reason of the end."""
+        """Read one stream to its end; return why it ended."""
         sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.setblocking(False)
             set_no_delay(sock)
-            async with asyncio.timeout(SILENCE):
-                await self.loop.sock_connect(sock, self.wanted.bus)
-                host = "{}:{}".format(*self.wanted.bus)
+            async with asyncio.timeout(READ_TIMEOUT_S):
+                await self.loop.sock_connect(sock, self.config.bus)
+                host = "{}:{}".format(*self.config.bus)
                 await self.loop.sock_sendall(
                     sock,
                     (
@@ -61,12 +66,12 @@
                 )
             stream = bus.StreamReader()
             while True:
-                async with asyncio.timeout(SILENCE):
+                async with asyncio.timeout(READ_TIMEOUT_S):
                     size = await self.loop.sock_recv_into(sock, self.buffer)
                 if not size:
-                    return "the stream ended"
+                    return "the event bus closed the stream"
                 for _, data in stream.feed(bytes(self.buffer[:size])):
-                    self._event(data)
+                    self._on_event(data)
         except TimeoutError:
             return "silent"
         except (OSError, bus.MalformedEventError) as fault:
@@ -75,40 +80,43 @@
             if sock is not None:
                 sock.close()
 
-    def reloaded(self, address, known):
-        """The bus has moved: its new address is asked at once, since the old one tells nothing any more."""
-        self.wanted = self.wanted._replace(bus=address)
-        for offset, news in known:
-            if offset == self.last + 1:  # past a gap, what lies between would never be asked for
+    def on_reload(self, address, known):
+        """Subscribe at the bus's new address at once: the old one sends no more events."""
+        self.config = self.config._replace(bus=address)
+        for offset, event in known:
+            if offset == self.last + 1:  # past a gap, the missing events would never be requested
                 try:
-                    self._apply(offset, news)
+                    self._apply(offset, event)
                 except bus.MalformedEventError:
-                    break  # the bus is asked for it
+                    break  # the event is requested from the bus
         self.start()
 
-    def _event(self, data):
+    def _on_event(self, data):
         try:
-            offset, news = bus.read(data, self.wanted.locations, self.wanted.kinds)
+            offset, event = bus.read(data, self.config.locations, self.config.kinds)
         except bus.MalformedEventError as fault:
-            return self._doubt(fault)
+            return self._retry_or_skip(fault)
         if offset > self.last + 1:
-            self._doubt(bus.MalformedEventError(f"event {offset} follows {self.last}"))
-        self._apply(offset, news)
+            self._retry_or_skip(bus.MalformedEventError(f"event {offset} follows {self.last}"))
+        self._apply(offset, event)
+
+    def _retry_or_skip(self, fault):
+        """Raise an error, so that the event is requested once more.
 
-    def _doubt(self, fault):
-        """Asked for again once. The same fault then is the bus's own, and must not keep back what follows."""
-        if self.doubted != self.last:
-            self.doubted = self.last
+        If it occurs again the bus itself is at fault: it is logged, and must not hold up the events after it.
+        """
+        if self.retried_after != self.last:
+            self.retried_after = self.last
             raise fault
         self.driver.log("bus_gap", error=str(fault), last=self.last)
 
-    def _apply(self, offset, news):
+    def _apply(self, offset, event):
         if offset <= self.last:
-            return  # sent again after a break
+            return  # sent again after a reconnect
         try:
-            self.driver.told(news)
-        except Exception as fault:  # half applied: asked for again, and applied whole if it can be
+            self.driver.on_discovery_event(event)
+        except Exception as fault:  # perhaps applied in part: it is requested and applied once more
             self.driver.fault(fault)
-            self._doubt(bus.MalformedEventError(f"event {offset} could not be applied"))
+            self._retry_or_skip(bus.MalformedEventError(f"event {offset} could not be applied"))
         self.last = offset
-        self.driver.log("told", offset=offset, what=type(news).__name__)
+        self.driver.log("told", offset=offset, what=type(event).__name__)
--- a/tests/front/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -36,7 +36,7 @@
             wanted(dial), BufferPool(8), lambda event, **fields: logged.append((event, fields))
         )
         for _, news in made.wanted.known:
-            made.told(news)
+            made.on_discovery_event(news)
         return await act(made, logged)
 
     return asyncio.run(asyncio.wait_for(run(), 10))
@@ -47,7 +47,7 @@
     near.setblocking(False)
     client = ClientConnection(near, made.clock())
     client.on_request(made.clock())
-    made.request(client, *RequestReader().feed(get_text(patience=300)), made.clock())
+    made.receive_request(client, *RequestReader().feed(get_text(patience=300)), made.clock())
     return client, far
 
 
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -247,12 +247,12 @@
         if self.client.state is ConnectionState.IDLE and self.legal(
             self.client.on_request, ConnectionState.IDLE
         ):
-            self.owed, self.client.last = self.owed + 1, last
+            self.owed, self.client.close_after_response = self.owed + 1, last
 
     @rule()
     def front_ends(self):
         if self.client.state is ConnectionState.REQUEST_IN_PROGRESS:
-            self.client.last = True
+            self.client.close_after_response = True
 
     @rule()
     def answered(self):
@@ -273,11 +273,11 @@
     def sent_ahead(self):
         if self.client.state in (ConnectionState.REQUEST_IN_PROGRESS, ConnectionState.WRITING_RESPONSE):
             assert not self.legal(self.client.on_request)
-            self.client.last = True
+            self.client.close_after_response = True
 
     @rule()
     def flushed(self):
-        last = self.client.last
+        last = self.client.close_after_response
         if self.client.state is ConnectionState.WRITING_RESPONSE:
             assert self.legal(self.client.on_response_written, ConnectionState.WRITING_RESPONSE)
             assert self.client.state is (ConnectionState.HALF_CLOSED if last else ConnectionState.IDLE)
@@ -298,7 +298,7 @@
         assert self.owed == (self.client.state is ConnectionState.REQUEST_IN_PROGRESS)
         assert (
             not self.client.accepts_requests()
-            or not self.client.last
+            or not self.client.close_after_response
             and self.client.state not in (ConnectionState.HALF_CLOSED, ConnectionState.CLOSED)
         )
         assert not self.client.is_idle() or self.owed == 0
@@ -786,5 +786,5 @@
 def test_configurations_of_two_fronts_in_one_process_leave_nothing_for_each_other():
     twice = get_text(extra="X-Tenant: a\r\nX-Tenant: b\r\n")
     shares, plain = RequestReader(frozenset((b"x-tenant",))), RequestReader()
-    assert len(shares.feed(twice)) == 1 and shares.fault is None
-    assert plain.feed(twice) == [] and plain.fault.status == 400
+    assert len(shares.feed(twice)) == 1 and shares.rejection is None
+    assert plain.feed(twice) == [] and plain.rejection.status == 400
--- a/tests/front/test_crossings_sockets.py
+++ b/tests/front/test_crossings_sockets.py
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    "moment", ["run.Driver.told", "run.Subscription.start", "run.ConnectionReader.listen"]
+    "moment", ["run.Driver.on_discovery_event", "run.Subscription.start", "run.ConnectionReader.listen"]
 )
 def test_a_signal_between_the_loops_handlers_and_ready_is_kept_for_the_end_of_the_start(tmp_path, moment):
     front = not_started(tmp_path)
@@ -102,7 +102,7 @@
     assert (done.returncode, done.stderr) == (0, "")
     assert '"stopped"' in done.stdout.splitlines()[-1]
     # Before the listener stands nobody was let in, and nothing is waited for.
-    assert ('"ready"' in done.stdout) is (moment != "run.Driver.told")
+    assert ('"ready"' in done.stdout) is (moment != "run.Driver.on_discovery_event")
 
 
 def test_requests_read_and_not_yet_begun_when_the_end_looks_round_are_served(tmp_path):
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -467,10 +467,10 @@
         monkeypatch.setattr(owner, stage, breaks)
         client = ClientConnection(near, 0)
         client.on_request(0)
-        made.request(client, *RequestReader().feed(get_text()), made.clock())
+        made.receive_request(client, *RequestReader().feed(get_text()), made.clock())
         far.settimeout(5)
         near.close()
-        return b"".join(iter(lambda: far.recv(4096), b"")), len(made.open)
+        return b"".join(iter(lambda: far.recv(4096), b"")), len(made.open_requests)
 
     answer, still_open = asyncio.run(run())
     assert answer.startswith(b"HTTP/1.1 500 ") and answer.count(b"HTTP/1.1") == 1
@@ -516,13 +516,13 @@
 
     async def run():
         made = driver.Driver(wanted, BufferPool(4), lambda event, **_: None)
-        made.told(wanted.known[0][1])
+        made.on_discovery_event(wanted.known[0][1])
         near, far = socket.socketpair()
         near.setblocking(False)
         for at in range(1000):
             client = ClientConnection(near, 0)
             client.on_request(0)
-            made.request(
+            made.receive_request(
                 client, *RequestReader().feed(get_text(f"{at:016x}", patience=3_000_000)), made.clock()
             )
             if at % 50 == 0:
@@ -530,7 +530,7 @@
         await asyncio.sleep(0.3)
         far.close()
         near.close()
-        return len(made.limits), len(made.router.deadlines.waiting), len(made.open)
+        return len(made.attempt_timeouts), len(made.router.deadlines.waiting), len(made.open_requests)
 
     limits, waiting, still_open = asyncio.run(run())
     assert limits <= 200 and waiting <= 200 and still_open == 0
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -10,7 +10,7 @@
 from sprucegate.front.admission import admit
 from sprucegate.front.buffer_pool import BufferPool
 from sprucegate.front.protocol import bus
-from sprucegate.front.protocol.http import HEAD_MOST_BYTES, RequestReader
+from sprucegate.front.protocol.http import HEAD_BYTES_MAX, RequestReader
 from sprucegate.routing.actions import SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
 from sprucegate.upstream.lines import codec
@@ -30,12 +30,12 @@
         (b"GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nX-Call-Id: a\r\nX-Call-Id: b\r\n\r\n", 400),
         (b"PUT / HTTP/1.1\r\nContent-Length: 48001\r\n\r\n", 413),
-        (b"GET / HTTP/1.1\r\nA: " + b"a" * HEAD_MOST_BYTES, 431),
+        (b"GET / HTTP/1.1\r\nA: " + b"a" * HEAD_BYTES_MAX, 431),
     ],
 )
 def test_what_is_no_request_is_refused(text, status):
     reader = RequestReader()
-    assert reader.feed(text) == [] and reader.fault.status == status
+    assert reader.feed(text) == [] and reader.rejection.status == status
 
 
 @pytest.mark.parametrize(
@@ -213,4 +213,4 @@
     first, second = pool.take(), pool.take()
     assert pool.take() is None
     pool.give_back(first)
-    assert pool.take() is first and second is not first and pool.out == 2
+    assert pool.take() is first and second is not first and pool.in_use == 2
--- a/tests/front/test_invariants.py
+++ b/tests/front/test_invariants.py
@@ -9,7 +9,12 @@
 from helpers import SETTINGS, get_text, served
 
 from sprucegate.front.client_connections import ConnectionState
-from sprucegate.front.invariants import ANSWER_LATE, GONE_LATE, WAIT_SLACK, Invariants
+from sprucegate.front.invariants import (
+    ATTEMPT_DEADLINE_TOLERANCE,
+    LATE_RESPONSE_TOLERANCE,
+    SEND_AFTER_DISCONNECT_TOLERANCE,
+    Invariants,
+)
 from sprucegate.front.open_requests import OpenAttempt, OpenRequest
 from sprucegate.routing.events import Request
 
@@ -26,15 +31,17 @@
             self.counted.append,
             lambda event, **fields: self.logged.append(fields),
         )
-        client = SimpleNamespace(state=state, get=None, peer_has_closed=lambda: False)
+        client = SimpleNamespace(state=state, open_request=None, peer_has_closed=lambda: False)
         asked = Request("9b1f03aa5c7e2d41", 1, 0, 0, ds, 1, False, False, S)
-        self.get = client.get = OpenRequest(client, b"9b1f03aa5c7e2d41", "media", "1", 0, "", b"", asked)
-        self.get.until = NOW + S
-        self.out = self.get.forwards[0] = OpenAttempt(self.get, 0, 11, 21, NOW, NOW + S)
+        self.get = client.open_request = OpenRequest(
+            client, b"9b1f03aa5c7e2d41", "media", "1", 0, "", b"", asked
+        )
+        self.get.client_deadline = NOW + S
+        self.out = self.get.attempts[0] = OpenAttempt(self.get, 0, 11, 21, NOW, NOW + S)
 
     def again(self, may_have_run):
         self.out.ended, self.out.may_have_run = True, may_have_run
-        self.out = self.get.forwards[1] = OpenAttempt(self.get, 1, 12, 21, NOW, NOW + S)
+        self.out = self.get.attempts[1] = OpenAttempt(self.get, 1, 12, 21, NOW, NOW + S)
 
     def rules(self):
         return [text.removeprefix("invariant_violations ") for text in self.counted]
@@ -42,7 +49,7 @@
 
 def broken(checked, change, now=NOW):
     change(checked)
-    checked.made.began(checked.out, now)
+    checked.made.check_attempt(checked.out, now)
     return checked.rules()
 
 
@@ -50,11 +57,17 @@
     "rule, change",
     [
         ("attempt_after_answer", lambda c: setattr(c.get, "answered", True)),
-        ("attempt_after_client_left", lambda c: setattr(c.get, "left_at", NOW - GONE_LATE - 1)),
+        (
+            "attempt_after_client_left",
+            lambda c: setattr(c.get, "client_left_at", NOW - SEND_AFTER_DISCONNECT_TOLERANCE - 1),
+        ),
         ("attempt_without_request", lambda c: setattr(c.get.client, "state", ConnectionState.HALF_CLOSED)),
-        ("attempt_to_draining", lambda c: c.made.listed(set(), {11}, False)),
-        ("attempt_to_draining", lambda c: c.made.listed({11}, {11, 21}, False)),
-        ("wait_over_patience", lambda c: setattr(c.out, "limit", c.get.until + WAIT_SLACK + 1)),
+        ("attempt_to_draining", lambda c: c.made.record_endpoint_list(set(), {11}, False)),
+        ("attempt_to_draining", lambda c: c.made.record_endpoint_list({11}, {11, 21}, False)),
+        (
+            "wait_over_patience",
+            lambda c: setattr(c.out, "limit", c.get.client_deadline + ATTEMPT_DEADLINE_TOLERANCE + 1),
+        ),
         ("attempts_over_cap", lambda c: setattr(c.out, "number", 3)),
     ],
 )
@@ -73,9 +86,15 @@
     "change",
     [
         lambda c: None,
-        lambda c: setattr(c.get, "left_at", NOW - GONE_LATE),
-        lambda c: (c.made.listed(set(), {11}, False), c.made.listed({11}, {11}, False)),
-        lambda c: (c.made.listed(set(), {11}, False), c.made.listed({11, 21}, {11, 21}, True)),
+        lambda c: setattr(c.get, "client_left_at", NOW - SEND_AFTER_DISCONNECT_TOLERANCE),
+        lambda c: (
+            c.made.record_endpoint_list(set(), {11}, False),
+            c.made.record_endpoint_list({11}, {11}, False),
+        ),
+        lambda c: (
+            c.made.record_endpoint_list(set(), {11}, False),
+            c.made.record_endpoint_list({11, 21}, {11, 21}, True),
+        ),
     ],
 )
 def test_an_attempt_as_it_should_be_is_none(change):
@@ -84,12 +103,12 @@
 
 def test_a_seeded_defect_of_an_answer_is_found():
     late, unnamed, none, closed, left = [Checked() for _ in range(5)]
-    late.made.answered(late.get, 503, True, late.get.until + ANSWER_LATE + 1)
-    unnamed.made.answered(unnamed.get, 304, False, NOW)
-    none.made.forgotten(none.get)
-    closed.made.closed(closed.get.client, "made_room")
-    left.made.quiet(0, 1, 0)
-    left.made.quiet(0, 0, 1)
+    late.made.check_response(late.get, 503, True, late.get.client_deadline + LATE_RESPONSE_TOLERANCE + 1)
+    unnamed.made.check_response(unnamed.get, 304, False, NOW)
+    none.made.check_forgotten(none.get)
+    closed.made.check_close(closed.get.client, "made_room")
+    left.made.check_no_leaks(0, 1, 0)
+    left.made.check_no_leaks(0, 0, 1)
     assert [c.rules() for c in (late, unnamed, none, closed)] == [
         ["answered_late"],
         ["not_modified_unnamed"],
@@ -102,30 +121,30 @@
 
 def test_answers_and_ends_as_they_should_be_are_none():
     fine = Checked()
-    fine.made.answered(fine.get, 304, True, fine.get.until + ANSWER_LATE)
+    fine.made.check_response(fine.get, 304, True, fine.get.client_deadline + LATE_RESPONSE_TOLERANCE)
     fine.get.answered = True
-    fine.made.forgotten(fine.get)
-    fine.made.closed(fine.get.client, "peer")
-    fine.made.quiet(1, 1, 1)
-    fine.made.quiet(0, 0, 0)
+    fine.made.check_forgotten(fine.get)
+    fine.made.check_close(fine.get.client, "peer")
+    fine.made.check_no_leaks(1, 1, 1)
+    fine.made.check_no_leaks(0, 0, 0)
     assert fine.rules() == []
 
 
 def test_breaches_are_all_counted_and_few_a_second_logged():
     many = Checked()
     for _ in range(100):
-        many.made.forgotten(many.get)
+        many.made.check_forgotten(many.get)
     assert len(many.counted) == 100 and len(many.logged) == 20
-    many.made.second()
-    many.made.forgotten(many.get)
+    many.made.start_second()
+    many.made.check_forgotten(many.get)
     assert len(many.logged) == 21
 
 
 def test_servers_that_have_gone_are_remembered_within_a_bound():
     made = Checked().made
     for at in range(20_000):
-        made.listed(set(), {at}, False)
-    assert len(made.closed_to) <= 10_000 and 19_999 in made.closed_to
+        made.record_endpoint_list(set(), {at}, False)
+    assert len(made.unavailable_servers) <= 10_000 and 19_999 in made.unavailable_servers
 
 
 def test_a_front_in_service_breaks_none(tmp_path):
--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -115,9 +115,13 @@
         return configuration.times_from({"viewer_timeout": list(timeouts)})
 
     short, long = times(800 * MS, None, 1500 * MS), times(6000 * MS)
-    assert (short.unfinished, short.sending, short.last) == (2100 * MS, 1500 * MS, 1800 * MS)
+    assert (short.request_timeout, short.write_timeout, short.drain_timeout) == (
+        2100 * MS,
+        1500 * MS,
+        1800 * MS,
+    )
     # The kill comes no later for viewer timeouts over three seconds; answers may still be read so long.
-    assert (long.unfinished, long.sending, long.last) == (2100 * MS, 6000 * MS, 3300 * MS)
+    assert (long.request_timeout, long.write_timeout, long.drain_timeout) == (2100 * MS, 6000 * MS, 3300 * MS)
     assert times() == configuration.times_from({}) == times(3000 * MS)
 
 
