--- a/tests/front/test_crossings_sockets.py
+++ b/tests/front/test_crossings_sockets.py
@@ -1,4 +1,4 @@
-"""The rows of docs/design-crossings.md that rest on what the system does with sockets, and the ends of a start."""
+"""The races of docs/design-crossings.md that depend on socket behaviour of the system, and signals during the start."""
 
 import ctypes
 import os
@@ -28,15 +28,18 @@
 from helpers import REAL, Front, StandIn, cache, get_text, host, served
 
 LARGE = 240_000
-PIDFD_GETFD = 438  # pidfd_getfd(2), for which Python has no call of its own
+PIDFD_GETFD = 438  # number of pidfd_getfd(2), for which Python has no function
 
 
 def large(call_id, *_):
     return served(call_id, {}, b"x" * LARGE)
 
 
-def deaf(front):
-    """A client that reads nothing. By small segments the front's send buffer stays small too: a large answer waits."""
+def not_reading(front):
+    """Connect a client that reads nothing.
+
+    Small segments keep the send buffer of the front small too, so that a large response has to wait.
+    """
     sock = socket.socket()
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, 500)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
@@ -45,13 +48,13 @@
     return sock
 
 
-def resets(sock):
+def reset(sock):
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     sock.close()
 
 
 def sockets_of(front):
-    """The front's own sockets, by pidfd_getfd: what is set on them can be asked for from here."""
+    """Duplicate the front's sockets by pidfd_getfd, so that their options can be read here."""
     libc, at, found = ctypes.CDLL(None, use_errno=True), os.pidfd_open(front.process.pid), []
     for number in sorted(map(int, os.listdir(f"/proc/{front.process.pid}/fd"))):
         if os.readlink(f"/proc/{front.process.pid}/fd/{number}").startswith("socket:"):
@@ -62,27 +65,27 @@
     return found
 
 
-def number_of(front, client):
-    """The front's own descriptor of a client."""
+def descriptor_of(front, client):
+    """Return the front's descriptor number of a client."""
     for number, sock in sockets_of(front):
         with sock:
             try:
                 if sock.getpeername() == client.getsockname():
                     return number
             except OSError:
-                pass  # the listener, or one of another kind
-    raise AssertionError("it has no such client")
+                pass  # the listener, or a socket of another kind
+    raise AssertionError("the front has no such client")
 
 
-# The start and the end.
+# Start and shutdown.
 
 
 @pytest.mark.parametrize(
     "moment", ["run.Driver.on_discovery_event", "run.Subscription.start", "run.ConnectionReader.listen"]
 )
-def test_a_signal_between_the_loops_handlers_and_ready_is_kept_for_the_end_of_the_start(tmp_path, moment):
+def test_a_signal_during_the_start_takes_effect_at_its_end(tmp_path, moment):
     front = not_started(tmp_path)
-    signals_itself = f"""
+    code = f"""
 import os, signal, sys
 from sprucegate.__main__ import main
 from sprucegate.assembly import run
@@ -93,7 +96,7 @@
 {moment} = signalled
 sys.exit(main())"""
     done = subprocess.run(
-        [sys.executable, "-c", signals_itself],
+        [sys.executable, "-c", code],
         capture_output=True,
         text=True,
         timeout=20,
@@ -101,13 +104,13 @@
     )
     assert (done.returncode, done.stderr) == (0, "")
     assert '"stopped"' in done.stdout.splitlines()[-1]
-    # Before the listener stands nobody was let in, and nothing is waited for.
+    # Before the listener is open no connection was accepted, so the front exits without waiting.
     assert ('"ready"' in done.stdout) is (moment != "run.Driver.on_discovery_event")
 
 
-def test_requests_read_and_not_yet_begun_when_the_end_looks_round_are_served(tmp_path):
-    """Read in one turn and begun three a turn, they stand in `whole` while the end asks what still goes on."""
-    front, box, _ = two(tmp_path)
+def test_requests_read_but_not_dispatched_when_the_drain_checks_are_served(tmp_path):
+    """Read in one loop iteration, dispatched three per iteration, they are in `pending_requests` during the check."""
+    front, cache_server, _ = two(tmp_path)
     with front:
         rest = [front.connect() for _ in range(60)]
         assert [front.ask(LIVE, sock)[0] for sock in rest] == [200] * 60
@@ -118,21 +121,23 @@
         for at, sock in enumerate(rest):
             sock.sendall(get_text(key(at)))
         while time.monotonic() < begun + 0.8:
-            pass  # the end has its turn first when it goes on
+            pass  # the drain check runs first when the front continues
         goes_on(front)
         assert [answer_of(sock)[:12] for sock in rest] == [b"HTTP/1.1 200"] * 60
         assert front.process.wait(10) == 0
 
 
-def test_an_answer_still_being_written_at_the_end_is_written_whole(tmp_path):
-    front, _, _ = two(tmp_path, large, settings=SLOW_TO_CONNECT)  # its viewer timeouts leave 8 s for the end
+def test_a_response_being_written_at_sigterm_is_written_completely(tmp_path):
+    front, _, _ = two(
+        tmp_path, large, settings=SLOW_TO_CONNECT
+    )  # its viewer timeouts leave 8 s for the shutdown
     with front:
-        sock = deaf(front)
+        sock = not_reading(front)
         sock.sendall(get_text())
         second(front, lambda said: said.get("gets_returned"))
         front.process.send_signal(signal.SIGTERM)
         front.until("stopping")
-        for _ in range(2):  # past the 0.7 s: only the answer keeps it
+        for _ in range(2):  # beyond the 0.7 s for accepting: only the response delays the exit
             front.until("second")
         assert front.process.poll() is None
         said = answer_of(sock)
@@ -143,40 +148,40 @@
 # Clients.
 
 
-def test_a_client_that_resets_under_a_pending_write_leaves_its_number_to_the_next(tmp_path):
-    """The write ends before the socket is closed, and its number is free: none of its bytes goes to who comes next."""
+def test_a_reset_during_a_pending_write_does_not_send_its_bytes_to_the_next_client(tmp_path):
+    """The write is cancelled before the socket is closed and its descriptor may be assigned to another connection."""
     front, _, _ = two(tmp_path, large)
     reused = []
     with front:
         for at in range(5):
-            sock = deaf(front)
+            sock = not_reading(front)
             sock.sendall(get_text(key(2 * at)).replace(b"7f3a", b"%04x" % at))
             second(front, lambda said: said.get("gets_returned"))
-            mine = number_of(front, sock)
+            descriptor = descriptor_of(front, sock)
             stopped(front)
-            resets(sock)
-            new = front.connect()  # both stand in one round of events
+            reset(sock)
+            new = front.connect()  # both in one iteration of the event loop
             new.sendall(LIVE)
             goes_on(front)
             status, _, body = front.ask(b"", new)
             assert (status, body) == (200, b"\n")
-            reused.append(number_of(front, new) == mine)
+            reused.append(descriptor_of(front, new) == descriptor)
             new.settimeout(0.2)
             with pytest.raises(TimeoutError):
                 new.recv(1)
             new.close()
-        assert any(reused)  # or nothing was shown
+        assert any(reused)  # otherwise the test proves nothing
         assert "faults" not in front.until("second")
 
 
-def test_descriptors_that_are_used_again_in_one_round_of_events_serve_their_new_clients(tmp_path):
+def test_descriptors_reused_in_one_loop_iteration_serve_their_new_clients(tmp_path):
     front, _, _ = two(tmp_path)
     with front:
         old = [front.connect() for _ in range(20)]
         assert [front.ask(get_text(key(at)), sock)[0] for at, sock in enumerate(old)] == [200] * 20
         stopped(front)
         for sock in old[::2]:
-            resets(sock)
+            reset(sock)
         new = [front.connect() for _ in range(20)]
         for at, sock in enumerate([*old[1::2], *new]):
             sock.sendall(get_text(key(100 + at)))
@@ -185,8 +190,8 @@
         assert "faults" not in front.until("second")
 
 
-def without_delay(front):
-    """Ports of the other sides of a front's connections, each of which is seen to send at once."""
+def peers_without_delay(front):
+    """Return the peers' ports of a front's connections; asserts that each connection has TCP_NODELAY."""
     peers = set()
     for _, sock in sockets_of(front):
         with sock:
@@ -200,17 +205,22 @@
     return peers
 
 
-def test_no_socket_of_a_front_holds_small_writes_back(tmp_path):
-    """Those of clients, caches and the watch: what the system holds back goes with a close that crosses it."""
+def test_all_sockets_of_a_front_have_tcp_nodelay(tmp_path):
+    """For clients, caches and the subscription: bytes delayed by the kernel are lost if the peer closes meanwhile."""
     front, _, _ = two(tmp_path)
     with front:
         client = front.connect()
         assert front.ask(get_text(), client)[0] == 200
         hosts = front.config["known"]["batch"][0]["topology"]["hosts"]
-        box, root = (int(one["dial"].rpartition(":")[2]) for one in hosts)
-        wanted = {client.getsockname()[1], box, root, int(front.config["bus"].rpartition(":")[2])}
-        for _ in range(2000):  # the watch, left as silent, may just be on its way again
-            wanted -= without_delay(front)
+        cache_server, origin_server = (int(one["dial"].rpartition(":")[2]) for one in hosts)
+        wanted = {
+            client.getsockname()[1],
+            cache_server,
+            origin_server,
+            int(front.config["bus"].rpartition(":")[2]),
+        }
+        for _ in range(2000):  # the subscription may be reconnecting after its read time-out
+            wanted -= peers_without_delay(front)
             if not wanted:
                 return
         raise AssertionError(f"no connection to {wanted}")
@@ -219,8 +229,8 @@
 # Servers.
 
 
-def one_that_resets(go, answers=True):
-    """A cache that resets the connection of its first GET, answered or not, once it is let go; all others serve on."""
+def resetting_cache(go, answers=True):
+    """A cache that resets the connection of its first request, answered or not, after `go`; others are served."""
     first = []
 
     def talk(self, sock):
@@ -230,11 +240,11 @@
                 continue
             file.read(int(words[3]) + 2)
             self.heard.put((words[1], len(first)))
-            mine = not first
+            is_first = not first
             first.append(sock)
-            if not mine or answers:
+            if not is_first or answers:
                 sock.sendall(served(words[1], {}))
-            if mine:
+            if is_first:
                 go.wait(10)
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 file.close()
@@ -243,30 +253,36 @@
     return StandIn(talk)
 
 
-def test_a_reset_long_after_its_answer_costs_no_get(tmp_path):
+def test_a_reset_long_after_an_answer_does_not_fail_the_next_request(tmp_path):
     go = threading.Event()
-    box, root = one_that_resets(go), cache(served)
-    front = Front(tmp_path, host("s-0b", box.address, "std"), host("s-1f", root.address, "origin"))
+    cache_server, origin_server = resetting_cache(go), cache(served)
+    front = Front(
+        tmp_path, host("s-0b", cache_server.address, "std"), host("s-1f", origin_server.address, "origin")
+    )
     with front:
         assert front.ask(get_text(key(1)))[0] == 200
         front.until("second")
-        stopped(front)  # reset and GET stand in the kernel at once
+        stopped(front)  # the reset and the request are in the kernel at the same time
         go.set()
         sock = front.connect()
         sock.sendall(get_text(key(2)))
         goes_on(front)
         assert front.ask(b"", sock)[0] == 200
-        assert [box.heard.get(timeout=5)[0] for _ in range(2)] == [key(1).encode(), key(2).encode()]
-        assert root.heard.empty()  # that one too came from the cache, on another connection
+        assert [cache_server.heard.get(timeout=5)[0] for _ in range(2)] == [key(1).encode(), key(2).encode()]
+        assert (
+            origin_server.heard.empty()
+        )  # the second one was served by the cache too, on another connection
 
 
 @pytest.mark.parametrize("ds, status", [("media", 200), ("order", 502)])
 def test_a_reset_long_after_a_request_was_written_ends_it_as_one_that_may_have_run(tmp_path, ds, status):
     go = threading.Event()
-    resetting, good = one_that_resets(go, answers=False), cache(served)
-    # The one that resets is where this GET goes at first: a read to the cache, a write to the origin.
-    box, root = (resetting, good) if ds == "media" else (good, resetting)
-    front = Front(tmp_path, host("s-0b", box.address, "std"), host("s-1f", root.address, "origin"))
+    resetting, good = resetting_cache(go, answers=False), cache(served)
+    # The resetting server is the one that gets this request first: a GET goes to the cache, a PUT to the origin.
+    cache_server, origin_server = (resetting, good) if ds == "media" else (good, resetting)
+    front = Front(
+        tmp_path, host("s-0b", cache_server.address, "std"), host("s-1f", origin_server.address, "origin")
+    )
     with front:
         sock = front.connect()
         sock.sendall(get_text(key(0xF), ds=ds, method="PUT" if ds == "order" else "GET", patience=8000))
@@ -277,57 +293,68 @@
         assert front.ask(b"", sock)[0] == status
         assert [heard[0] for heard in resetting.heard.queue] == [key(0xF).encode()] * (
             ds == "media"
-        )  # sent again
+        )  # retried
         assert b"serve" not in [words[0] for words in good.heard.queue]
 
 
-def test_a_new_cache_at_the_address_of_one_that_has_gone_has_connections_of_its_own(tmp_path):
+def test_a_new_cache_at_the_address_of_a_removed_one_gets_its_own_connections(tmp_path):
     go = threading.Event()
-    box, root = cache(held(go)), cache(served)
-    front = Front(tmp_path, host("s-0b", box.address, "std"), host("s-1f", root.address, "origin"))
+    cache_server, origin_server = cache(held(go)), cache(served)
+    front = Front(
+        tmp_path, host("s-0b", cache_server.address, "std"), host("s-1f", origin_server.address, "origin")
+    )
     with front:
         old, new = front.connect(), front.connect()
         old.sendall(get_text(key(1), patience=8000))
-        assert box.heard.get(timeout=5)[1] == key(1).encode()
+        assert cache_server.heard.get(timeout=5)[1] == key(1).encode()
         front.tells.put(
             {
                 "offset": 2,
                 "topology": {
                     "seq": 2,
                     "whole": False,
-                    "hosts": [host("s-0b", box.address, "std", "removed"), host("s-0c", box.address, "std")],
+                    "hosts": [
+                        host("s-0b", cache_server.address, "std", "removed"),
+                        host("s-0c", cache_server.address, "std"),
+                    ],
                 },
             }
         )
         front.until("told")
         new.sendall(get_text(key(2), patience=8000).replace(b"7f3a", b"aaaa"))
-        assert box.heard.get(timeout=5)[1] == key(2).encode()  # though nothing is answered on the first one
+        assert (
+            cache_server.heard.get(timeout=5)[1] == key(2).encode()
+        )  # although the first connection has had no answer
         go.set()
         assert [front.ask(b"", sock)[0] for sock in (old, new)] == [200, 200]
-        assert box.heard.get(timeout=5)[0] == b"end"  # the old one's connection goes with its last answer
+        assert (
+            cache_server.heard.get(timeout=5)[0] == b"end"
+        )  # the removed cache's connection is closed after its last answer
         assert front.ask(get_text(key(3)).replace(b"7f3a", b"bbbb"), new)[0] == 200
 
 
-# The final answer.
+# The final response.
 
 
 @pytest.mark.parametrize("settings", [SLOW_TO_CONNECT, NEVER_CANCELS])
-def test_what_waits_for_a_connection_when_its_get_is_given_up_is_never_sent(tmp_path, settings):
-    front, hill, _ = uphill(tmp_path, settings)
+def test_an_attempt_that_waits_for_a_connection_when_its_request_is_given_up_is_never_sent(
+    tmp_path, settings
+):
+    front, slow_server, _ = uphill(tmp_path, settings)
     with front:
         sock = front.connect()
         sock.sendall(get_text(patience=1500))
         until_open(front, 1)
         assert front.ask(b"", sock)[0] == 503
-        sent = hill.lets()
-        for _ in range(2):  # in which a connection that is up is written to
+        sent = slow_server.lets()
+        for _ in range(2):  # time in which something would be sent on the established connection
             front.until("second")
         front.process.kill()
         assert sent.read() == b""
 
 
-def test_a_client_that_writes_slowly_is_waited_for_where_viewer_timeouts_are_short(tmp_path):
-    """A request's time is counted from its last byte; this one's pieces come further apart than its viewer timeout."""
+def test_a_client_that_sends_slowly_is_waited_for_despite_short_viewer_timeouts(tmp_path):
+    """A request's time counts from its last byte; the pieces of this one are further apart than its viewer timeout."""
     front, _, _ = two(tmp_path)
     front.configure(
         settings={
@@ -341,7 +368,7 @@
     with front:
         sock, text = front.connect(), get_text(patience=900)
         sock.sendall(text[:30])
-        front.until("second")  # the first one may come at once
+        front.until("second")  # the first line may already be due
         front.until("second")
         sock.sendall(text[30:])
         assert front.ask(b"", sock)[0] == 200
--- a/tests/front/test_deadline_sent.py
+++ b/tests/front/test_deadline_sent.py
@@ -1,4 +1,4 @@
-"""The wait that a server is told (`max`) is at most what the client has left when the request leaves the front."""
+"""The time limit sent to a server (`max`) is at most the time left for the client when the request is sent."""
 
 import asyncio
 import socket
@@ -14,41 +14,41 @@
 
 
 def test_a_forward_that_waited_for_its_connection_tells_what_is_left_by_then(tmp_path):
-    front, hill, _ = uphill(tmp_path, SLOW_TO_CONNECT)
+    front, slow_server, _ = uphill(tmp_path, SLOW_TO_CONNECT)
     with front:
         begun = time.monotonic()
         client = front.connect()
         client.sendall(get_text(key(1), patience=5000))
-        time.sleep(1.5)  # the next SYN comes 3 s after the first
-        line = hill.lets().readline().split()
+        time.sleep(1.5)  # the next SYN is sent 3 s after the first
+        line = slow_server.lets().readline().split()
         left = 5 - (time.monotonic() - begun)
-        told = int(dict(p.split("=", 1) for p in line[2].decode().split(","))["max"]) / 1000
-        assert 1 < left < 4.5 and told <= left + SLACK, (told, left)
+        sent = int(dict(p.split("=", 1) for p in line[2].decode().split(","))["max"]) / 1000
+        assert 1 < left < 4.5 and sent <= left + SLACK, (sent, left)
 
 
 def test_what_a_request_waited_before_it_could_be_read_is_off_its_time(tmp_path):
-    """The front stands still while it comes, on a resting connection and on one not yet taken."""
-    front, box, _ = two(tmp_path, lambda call, fields, body: None, lambda call, fields, body: None)
+    """The front is stopped while requests arrive, on an idle connection and on one not accepted yet."""
+    front, cache_server, _ = two(tmp_path, lambda call, fields, body: None, lambda call, fields, body: None)
     with front:
-        resting = front.connect()
-        front.ask(b"GET /status/live HTTP/1.1\r\nHost: a\r\n\r\n", resting)
+        idle = front.connect()
+        front.ask(b"GET /status/live HTTP/1.1\r\nHost: a\r\n\r\n", idle)
         stopped(front)
         begun = time.monotonic()
-        for at, sock in enumerate((resting, front.connect())):
+        for at, sock in enumerate((idle, front.connect())):
             sock.sendall(get_text(key(at), patience=3000))
         time.sleep(0.8)
         goes_on(front)
-        found = [box.heard.get(timeout=5)[2] for _ in range(2)]
+        found = [cache_server.heard.get(timeout=5)[2] for _ in range(2)]
         left = 3 - (time.monotonic() - begun)
         assert all(int(fields["max"]) / 1000 <= left + SLACK for fields in found), (left, found)
 
 
-def told(line):
+def max_of(line):
     return int(dict(p.split("=", 1) for p in line.split()[2].decode().split(","))["max"]) / 1000
 
 
-def behind_a_cache_that_does_not_read(act):
-    """Runs `act(made, sock, second)`: a forward that waits behind a large body, of which a part was sent."""
+def run_behind_blocked_connection(act):
+    """Run `act(made, sock, first, second)`: `second` is queued behind `first`, whose large body was sent in part."""
 
     async def run():
         loop = asyncio.get_running_loop()
@@ -64,33 +64,33 @@
     return asyncio.run(asyncio.wait_for(run(), 20))
 
 
-async def line_of(sock, call_id):
-    """The line of a request, behind whatever comes before it."""
+async def receive_line(sock, call_id):
+    """Return the line of a request; skips what precedes it."""
     loop, seen = asyncio.get_running_loop(), b""
     while b"serve " + call_id not in seen or not seen.endswith(b"\r\n"):
         seen = seen[-500:] + await loop.sock_recv(sock, 1 << 20)
     return seen[seen.index(b"serve " + call_id) :].split(b"\r\n")[0]
 
 
-def test_a_forward_behind_one_that_goes_slowly_tells_what_is_left_by_then():
+def test_an_attempt_queued_behind_a_slow_one_sends_the_time_left_by_then():
     async def act(made, sock, first, second):
         await asyncio.sleep(0.8)
-        return told(await line_of(sock, b"b" * 16))
+        return max_of(await receive_line(sock, b"b" * 16))
 
-    assert behind_a_cache_that_does_not_read(act) <= 0.7 + SLACK
+    assert run_behind_blocked_connection(act) <= 0.7 + SLACK
 
 
-def test_a_forward_whose_time_ended_in_the_queue_is_not_sent_and_ends_as_never_ran():
+def test_an_attempt_that_expires_in_the_queue_is_not_sent_and_ends_as_not_sent():
     async def act(made, sock, first, second):
         await asyncio.sleep(1.6)
         made.send(1, "c" * 16, timeout=8_000_000_000)
-        await line_of(sock, b"c" * 16)  # it would have come before this one
+        await receive_line(sock, b"c" * 16)  # it would have arrived before this one
         return await made.end(second), made.book.counts["sends_refused late"]
 
-    assert behind_a_cache_that_does_not_read(act) == (AttemptOutcome.NOT_SENT, 1)
+    assert run_behind_blocked_connection(act) == (AttemptOutcome.NOT_SENT, 1)
 
 
-def test_one_withdrawn_from_behind_a_blocked_connection_is_not_sent():
+def test_an_attempt_withdrawn_from_the_queue_of_a_blocked_connection_is_not_sent():
     async def act(made, sock, first, second):
         assert made.servers.withdraw(second)
         made.send(1, "c" * 16, timeout=8_000_000_000)
@@ -99,4 +99,4 @@
             seen += await loop.sock_recv(sock, 1 << 20)
         return b"serve " + b"b" * 16 in seen
 
-    assert behind_a_cache_that_does_not_read(act) is False
+    assert run_behind_blocked_connection(act) is False
