--- a/tests/front/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -1,4 +1,4 @@
-"""What breaks inside a front, or is not there for a moment when it starts, costs no more than itself."""
+"""An exception in one part of a front, or a resource missing at its start, affects nothing else."""
 
 import asyncio
 import socket
@@ -21,19 +21,19 @@
 from sprucegate.upstream.lines.codec import AnswerReader
 
 
-def wanted(dial=None):
+def configured(dial=None):
     hosts = [] if dial is None else [host("s-0b", dial, "std"), host("s-1f", dial, "origin")]
     known = {"offset": 1, "batch": [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": hosts}}]}
     return configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
 
 
-def in_a_loop(act, dial=None):
-    """Runs `act(driver, logged)` with a Driver whose list is taken."""
+def run_in_loop(act, dial=None):
+    """Run `act(driver, logged)` with a Driver that has applied its endpoint list."""
     logged = []
 
     async def run():
         made = driver.Driver(
-            wanted(dial), BufferPool(8), lambda event, **fields: logged.append((event, fields))
+            configured(dial), BufferPool(8), lambda event, **fields: logged.append((event, fields))
         )
         for _, news in made.wanted.known:
             made.on_discovery_event(news)
@@ -42,7 +42,7 @@
     return asyncio.run(asyncio.wait_for(run(), 10))
 
 
-def asked_of(made):
+def send_request(made):
     near, far = socket.socketpair()
     near.setblocking(False)
     client = ClientConnection(near, made.clock())
@@ -51,7 +51,7 @@
     return client, far
 
 
-def test_a_front_waits_for_an_address_that_is_still_taken(tmp_path):
+def test_a_front_retries_to_listen_while_its_address_is_in_use(tmp_path):
     front, _, _ = two(tmp_path, served)
     with front:
         front.process.kill()
@@ -63,30 +63,30 @@
         assert front.ask(get_text())[0] == 200
 
 
-def test_a_transport_that_breaks_when_it_is_due_keeps_no_get_from_its_answer(monkeypatch):
+def test_a_transport_that_raises_in_its_timer_does_not_prevent_responses(monkeypatch):
     async def act(made, logged):
         calls = []
 
-        def breaks(now):
+        def raises(now):
             calls.append(now)
             raise KeyError("broken")
 
-        monkeypatch.setattr(made.servers, "due", breaks)
-        client, far = asked_of(made)
+        monkeypatch.setattr(made.servers, "due", raises)
+        client, far = send_request(made)
         far.settimeout(5)
         answer = await asyncio.to_thread(far.recv, 4096)
         return answer, len(calls), [event for event, _ in logged if event == "fault"]
 
-    with socket.socket() as hangs:  # nobody takes the connection's request
-        hangs.bind(("127.0.0.1", 0))
-        hangs.listen(9)
-        answer, calls, faults = in_a_loop(act, f"127.0.0.1:{hangs.getsockname()[1]}")
+    with socket.socket() as unresponsive:  # no connection is ever accepted, no request read
+        unresponsive.bind(("127.0.0.1", 0))
+        unresponsive.listen(9)
+        answer, calls, faults = run_in_loop(act, f"127.0.0.1:{unresponsive.getsockname()[1]}")
     assert answer.startswith(b"HTTP/1.1 50") and calls and len(faults) == calls
 
 
-def test_housekeeping_goes_on_after_a_sweep_that_breaks(monkeypatch):
+def test_housekeeping_goes_on_after_a_sweep_that_raises(monkeypatch):
     async def act(made, logged):
-        take_in, swept = (
+        reader, swept = (
             ConnectionReader(made, made.servers.transports["lines"].pool, 8, made.wanted.times),
             [],
         )
@@ -95,30 +95,30 @@
             swept.append(now)
             raise ValueError("broken")
 
-        monkeypatch.setattr(take_in, "sweep", sweep)
+        monkeypatch.setattr(reader, "sweep", sweep)
         task = asyncio.ensure_future(
-            assembly.housekeeping(made, take_in, made.servers.transports["lines"].pool, made.log)
+            assembly.housekeeping(made, reader, made.servers.transports["lines"].pool, made.log)
         )
         await asyncio.sleep(1.7)
         task.cancel()
         return len(swept), [event for event, _ in logged]
 
-    swept, events = in_a_loop(act)
+    swept, events = run_in_loop(act)
     assert swept == 3 and events.count("fault") == 3 and "second" in events
 
 
-def test_a_request_whose_reading_breaks_ends_its_connection_and_no_other(tmp_path):
-    """And nothing is written to standard error, which may block."""
+def test_an_exception_while_parsing_a_request_closes_only_its_connection(tmp_path):
+    """Nothing is written to standard error either, which may block."""
     front, _, _ = two(tmp_path, served)
     with front:
         pass
     code = (
         "import sprucegate.front.protocol.http as http\n"
         "feed = http.RequestReader.feed\n"
-        "def breaks(self, data):\n"
+        "def raises(self, data):\n"
         "    if b'9b1f03aa5c7e2d41' in bytes(data): raise KeyError('broken')\n"
         "    return feed(self, data)\n"
-        "http.RequestReader.feed = breaks\n"
+        "http.RequestReader.feed = raises\n"
         "import sys, sprucegate.__main__ as program\n"
         "sys.exit(program.main())\n"
     )
@@ -140,31 +140,33 @@
 
 
 @pytest.mark.parametrize("dial", ["a..b:4100"])
-def test_a_server_whose_name_is_none_ends_as_unreachable_and_leaves_no_connection(dial):
+def test_a_server_with_an_invalid_host_name_is_unreachable_and_leaves_no_connection(dial):
     async def act(made, logged):
         ended = []
         made.ended = lambda out, outcome, found, waited, load, at=None: ended.append(outcome)
-        kept = asked_of(made)
+        kept = send_request(made)
         end = time.monotonic() + 3
         while not ended and time.monotonic() < end:
             await asyncio.sleep(0.02)
         return ended[:1], made.servers.connections, kept[0].peer_has_closed()
 
-    assert in_a_loop(act, dial) == ([AttemptOutcome.UNREACHABLE], 0, False)
+    assert run_in_loop(act, dial) == ([AttemptOutcome.UNREACHABLE], 0, False)
 
 
-def test_an_answer_whose_reading_breaks_ends_its_connection_and_the_get_goes_on(tmp_path, monkeypatch):
-    """What can't be foreseen is the end of one connection: its forwards are told at once, not after their time."""
+def test_an_exception_while_parsing_an_answer_closes_its_connection_and_ends_its_attempts(
+    tmp_path, monkeypatch
+):
+    """Attempts on that connection end at once, not after their time-outs."""
 
     async def act(made, logged):
         ended = []
         made.ended = lambda out, outcome, found, waited, load, at=None: ended.append(outcome)
 
-        def breaks(self, data):
+        def raises(self, data):
             raise KeyError("broken")
 
-        monkeypatch.setattr(AnswerReader, "feed", breaks)
-        kept = asked_of(made)
+        monkeypatch.setattr(AnswerReader, "feed", raises)
+        kept = send_request(made)
         end = time.monotonic() + 2
         while not ended and time.monotonic() < end:
             await asyncio.sleep(0.02)
@@ -176,5 +178,5 @@
         )
 
     with cache(served).sock as listener:
-        said = in_a_loop(act, f"127.0.0.1:{listener.getsockname()[1]}")
+        said = run_in_loop(act, f"127.0.0.1:{listener.getsockname()[1]}")
     assert said == ([AttemptOutcome.RESET], 0, ["fault"], False)
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -1,4 +1,4 @@
-"""The program itself, started and spoken to over loopback, between stand-ins for caches and bus."""
+"""End-to-end tests: the program as a process on loopback, with stand-ins for caches, origin and event bus."""
 
 import asyncio
 import json
@@ -21,8 +21,8 @@
 from sprucegate.front.protocol.http import RequestReader
 
 
-def held_back(go):
-    """A cache's reply that waits for `go`."""
+def delayed_reply(go):
+    """Return a reply function of a cache that waits for `go`."""
 
     def reply(call_id, fields, body):
         go.wait(5)
@@ -34,25 +34,27 @@
 LIVE = b"GET /status/live HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-def serve(path, reply, origin=served, **more):
-    """A front with one cache and an origin, and both stand-ins."""
-    box, root = cache(reply), cache(origin)
-    front = Front(path, host("s-0b", box.address, "std"), host("s-1f", root.address, "origin"), **more)
-    return front, box, root
+def front_with_servers(path, reply, origin=served, **more):
+    """Start a front with one cache and an origin; return it and both stand-ins."""
+    cache_server, origin_server = cache(reply), cache(origin)
+    front = Front(
+        path, host("s-0b", cache_server.address, "std"), host("s-1f", origin_server.address, "origin"), **more
+    )
+    return front, cache_server, origin_server
 
 
-def test_gets_are_answered_on_one_connection_and_a_tag_passes_through(tmp_path):
+def test_requests_on_one_connection_are_answered_and_etags_are_passed_on(tmp_path):
     def reply(call_id, fields, body):
         same = b"%b still_good etag=t1,made=5 0\r\n\r\n" % call_id
         return same if "have" in fields else served(call_id, fields)
 
-    front, box, _ = serve(tmp_path, reply)
+    front, cache_server, _ = front_with_servers(tmp_path, reply)
     with front:
         sock = front.connect()
         assert front.ask(LIVE, sock)[0] == 200
         status, headers, body = front.ask(get_text(), sock)
         assert (status, headers["ETag"], body) == (200, '"t1"', b"xxxxx")
-        word, call_id, fields, _ = box.heard.get(timeout=5)
+        word, call_id, fields, _ = cache_server.heard.get(timeout=5)
         assert (word, call_id, fields["profile"], fields["thing"], fields["nth"], fields["src"]) == (
             b"serve",
             b"9b1f03aa5c7e2d41",
@@ -62,16 +64,16 @@
             "s-1f",
         )
         assert front.ask(get_text(extra='If-None-Match: "t1"\r\n'), sock)[::2] == (304, b"")
-        assert box.heard.get(timeout=5)[2]["have"] == "t1"
+        assert cache_server.heard.get(timeout=5)[2]["have"] == "t1"
         status, headers, _ = front.ask(get_text(extra="Connection: close\r\n"), sock)
         assert (status, headers["Connection"], sock.recv(9)) == (200, "close", b"")
 
 
-def test_a_write_goes_to_the_origin_with_its_body(tmp_path):
-    front, _, root = serve(tmp_path, served)
+def test_a_put_is_sent_to_the_origin_with_its_body(tmp_path):
+    front, _, origin_server = front_with_servers(tmp_path, served)
     with front:
         assert front.ask(get_text(ds="order", method="PUT", body=b"b" * 48_000))[0] == 200
-        assert root.heard.get(timeout=5)[3] == b"b" * 48_000
+        assert origin_server.heard.get(timeout=5)[3] == b"b" * 48_000
 
 
 TOKENED = {
@@ -83,19 +85,19 @@
 }
 
 
-def test_the_token_of_a_tokened_get_passes_unchanged(tmp_path):
-    """Dropped on the way, it would run as often as its client repeats it."""
-    front, _, root = serve(tmp_path, served, settings=TOKENED)
+def test_an_idempotency_token_is_passed_on_unchanged(tmp_path):
+    """Without it the request would be executed as often as its client repeats it."""
+    front, _, origin_server = front_with_servers(tmp_path, served, settings=TOKENED)
     with front:
         token = "X-Dedupe-Key: 874c0800e55d6e52e37d72f7382e0326\r\n"
         assert front.ask(get_text(ds="order", method="PUT", body=b"b", extra=token))[0] == 200
-        assert root.heard.get(timeout=5)[2]["replay"] == "874c0800e55d6e52e37d72f7382e0326"
+        assert origin_server.heard.get(timeout=5)[2]["replay"] == "874c0800e55d6e52e37d72f7382e0326"
         assert front.ask(get_text("d" * 16, ds="order", method="PUT", body=b"b"))[0] == 200
-        assert "replay" not in root.heard.get(timeout=5)[2]
+        assert "replay" not in origin_server.heard.get(timeout=5)[2]
         for odd in ("a,src=s-0b", "a b", "x" * 65):
             text = get_text("e" * 16, ds="order", method="PUT", body=b"b", extra=f"X-Dedupe-Key: {odd}\r\n")
             assert front.ask(text)[0] == 400
-        assert root.heard.empty()
+        assert origin_server.heard.empty()
 
 
 @pytest.mark.parametrize(
@@ -109,34 +111,34 @@
         (b"odd", "order", 502),
     ],
 )
-def test_what_may_have_run_is_errored_and_all_else_shed(tmp_path, word, ds, status):
+def test_a_request_that_may_have_run_fails_with_502_and_others_are_shed_with_503(tmp_path, word, ds, status):
     def reply(call_id, fields, body):
         return b"%b %b - 0\r\n\r\n" % (call_id, word)
 
-    front, _, _ = serve(tmp_path, reply, reply)
+    front, _, _ = front_with_servers(tmp_path, reply, reply)
     with front:
         assert front.ask(get_text(ds=ds, method="PUT" if ds == "order" else "GET"))[0] == status
 
 
-def test_a_lost_connection_and_a_refused_one_tell_what_may_have_run(tmp_path):
-    front, _, root = serve(tmp_path, served, lambda *_: b"")
+def test_a_lost_connection_may_have_run_the_request_and_a_refused_one_did_not(tmp_path):
+    front, _, origin_server = front_with_servers(tmp_path, served, lambda *_: b"")
     with front:
         assert front.ask(get_text(ds="order", method="PUT"))[0] == 502
-        root.stop()
+        origin_server.stop()
         front.until("cache_connection_lost")
         assert front.ask(get_text("9b1f03aa5c7e2d42", ds="order", method="PUT"))[0] == 503
 
 
-def test_a_silent_cache_is_given_up_in_time_and_by_name(tmp_path):
-    front, box, _ = serve(tmp_path, lambda *_: None, lambda *_: None)
+def test_an_attempt_at_an_unresponsive_cache_times_out_and_is_cancelled_there(tmp_path):
+    front, cache_server, _ = front_with_servers(tmp_path, lambda *_: None, lambda *_: None)
     with front:
         status, _, _ = front.ask(get_text(patience=300))
         assert status in (502, 503)
-        assert [box.heard.get(timeout=5)[0] for _ in range(2)] == [b"serve", b"end"]
+        assert [cache_server.heard.get(timeout=5)[0] for _ in range(2)] == [b"serve", b"end"]
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"%b served - 5\r\nab",
         b"%b served etag=t1",
@@ -151,55 +153,55 @@
         b"%b served etag=t1,report=inflight:nan 2\r\nab\r\n",
     ],
 )
-def test_a_spoilt_answer_harms_its_own_get_alone_and_that_one_is_forwarded_again(tmp_path, spoilt):
-    ill, shown = "a" * 16, threading.Event()
+def test_a_malformed_response_affects_only_its_own_request_which_is_retried(tmp_path, malformed):
+    affected, shown = "a" * 16, threading.Event()
 
     def reply(call_id, fields, body):
-        if call_id == ill.encode() and not shown.is_set():
+        if call_id == affected.encode() and not shown.is_set():
             shown.set()
-            return spoilt.replace(b"%b", call_id)
+            return malformed.replace(b"%b", call_id)
         return served(call_id, fields)
 
-    boxes = [cache(reply), cache(reply)]
+    cache_servers = [cache(reply), cache(reply)]
     front = Front(
         tmp_path,
-        host("s-0b", boxes[0].address, "std"),
-        host("s-0c", boxes[1].address, "std"),
+        host("s-0b", cache_servers[0].address, "std"),
+        host("s-0c", cache_servers[1].address, "std"),
         host("s-1f", cache(served).address, "origin"),
     )
     with front:
         answer = {}
-        ask = lambda: answer.update(ill=front.ask(get_text(ill, patience=3000))[::2])  # noqa: E731
+        ask = lambda: answer.update(affected=front.ask(get_text(affected, patience=3000))[::2])  # noqa: E731
         thread = threading.Thread(target=ask)
         thread.start()
         assert shown.wait(5)
         assert [front.ask(get_text(c * 16))[::2] for c in "bcd"] == [(200, b"xxxxx")] * 3
         thread.join(10)
-        assert answer == {"ill": (200, b"xxxxx")}
+        assert answer == {"affected": (200, b"xxxxx")}
 
 
-def test_what_a_cache_sends_twice_or_unasked_is_no_ones_answer(tmp_path):
+def test_duplicate_and_unsolicited_responses_are_ignored(tmp_path):
     def reply(call_id, fields, body):
         extra = b"%b served - 3\r\nbad\r\n"
         return extra % (b"f" * 16) + served(call_id, fields, call_id) + extra % call_id
 
-    front, _, _ = serve(tmp_path, reply)
+    front, _, _ = front_with_servers(tmp_path, reply)
     with front:
         answers = [front.ask(get_text(c * 16).replace(b"7f3a", 4 * c.encode()))[::2] for c in "abc"]
         assert answers == [(200, c.encode() * 16) for c in "abc"]
 
 
-def test_answers_out_of_order_find_their_clients(tmp_path):
+def test_responses_out_of_order_reach_their_clients(tmp_path):
     both, second, waiting = threading.Barrier(2, timeout=5), threading.Event(), []
 
     def reply(call_id, fields, body):
         waiting.append(call_id)
         if len(waiting) == 1:
-            assert second.wait(5)  # on a connection of its own: neither waits for the other
+            assert second.wait(5)  # on a second connection: neither request waits for the other
         second.set()
         return served(call_id, fields, call_id)
 
-    front, _, _ = serve(tmp_path, reply)
+    front, _, _ = front_with_servers(tmp_path, reply)
     with front:
         answers = {}
 
@@ -215,14 +217,14 @@
         assert answers == {c * 16: c * 16 for c in "ab"}
 
 
-def test_a_client_that_leaves_has_its_forward_cancelled(tmp_path):
-    front, box, _ = serve(tmp_path, lambda *_: None)
+def test_the_attempt_of_a_client_that_disconnects_is_cancelled(tmp_path):
+    front, cache_server, _ = front_with_servers(tmp_path, lambda *_: None)
     with front:
         sock = front.connect()
         sock.sendall(get_text())
-        assert box.heard.get(timeout=5)[0] == b"serve"
+        assert cache_server.heard.get(timeout=5)[0] == b"serve"
         sock.close()
-        assert box.heard.get(timeout=5)[0] == b"end"
+        assert cache_server.heard.get(timeout=5)[0] == b"end"
 
 
 @pytest.mark.parametrize(
@@ -246,43 +248,43 @@
         (get_text().replace(b"X-Call-Id", b"X-None"), 400),
     ],
 )
-def test_bad_input_is_refused_and_reaches_no_cache(tmp_path, text, status):
-    front, box, _ = serve(tmp_path, served)
+def test_an_invalid_request_is_rejected_and_reaches_no_cache(tmp_path, text, status):
+    front, cache_server, _ = front_with_servers(tmp_path, served)
     with front:
         assert front.ask(text)[0] == status
         assert front.ask(get_text("c" * 16))[0] == 200
-        assert box.heard.get(timeout=5)[1] == b"c" * 16
+        assert cache_server.heard.get(timeout=5)[1] == b"c" * 16
 
 
-def test_an_id_that_is_open_is_refused_and_its_get_goes_on(tmp_path):
+def test_a_duplicate_of_an_open_call_id_is_rejected_and_the_first_request_goes_on(tmp_path):
     go = threading.Event()
-    front, box, _ = serve(tmp_path, held_back(go))
+    front, cache_server, _ = front_with_servers(tmp_path, delayed_reply(go))
     with front:
         sock = front.connect()
         sock.sendall(get_text())
-        box.heard.get(timeout=5)
+        cache_server.heard.get(timeout=5)
         assert front.ask(get_text().replace(b"7f3a", b"aaaa"))[0] == 409
         go.set()
-        assert sock.recv(4096).startswith(b"HTTP/1.1 200") and box.heard.empty()
-        assert front.ask(get_text())[0] == 200  # once it has ended it may come again
+        assert sock.recv(4096).startswith(b"HTTP/1.1 200") and cache_server.heard.empty()
+        assert front.ask(get_text())[0] == 200  # after its end the id may be used again
 
 
 @pytest.mark.parametrize("sent", [b"", get_text()[:20]])
-def test_a_client_that_never_asks_is_closed_in_time(tmp_path, sent):
-    front, _, _ = serve(tmp_path, served)
+def test_a_connection_without_a_complete_request_is_closed_after_its_timeout(tmp_path, sent):
+    front, _, _ = front_with_servers(tmp_path, served)
     with front:
-        asks, idle, sock = front.connect(), front.connect(), front.connect()
+        unused, idle, sock = front.connect(), front.connect(), front.connect()
         assert front.ask(get_text(), idle)[0] == 200
         sock.sendall(sent)
         sock.settimeout(3)
         begun = time.monotonic()
         assert sock.recv(9) == b"" and time.monotonic() - begun < 3
-        assert front.ask(get_text("c" * 16), idle)[0] == 200  # one that asked may stay
-        asks.close()
+        assert front.ask(get_text("c" * 16), idle)[0] == 200  # one that has sent a request stays open
+        unused.close()
 
 
-def test_those_who_never_asked_make_room_before_one_who_did(tmp_path):
-    front, _, _ = serve(tmp_path, served, limits={"cores": 1.0, "memory_mb": 32, "sockets": 64})
+def test_connections_without_a_request_are_evicted_first(tmp_path):
+    front, _, _ = front_with_servers(tmp_path, served, limits={"cores": 1.0, "memory_mb": 32, "sockets": 64})
     with front:
         sock = front.connect()
         assert front.ask(get_text(), sock)[0] == 200
@@ -292,12 +294,16 @@
         assert front.ask(get_text("d" * 16), crowd[-1])[0] == 200
 
 
-def test_an_event_that_cant_be_read_is_asked_for_again_then_passed_over(tmp_path):
-    front, box, root = serve(tmp_path, served)
+def test_a_malformed_event_is_requested_again_and_then_skipped(tmp_path):
+    front, cache_server, origin_server = front_with_servers(tmp_path, served)
     with front:
         drain = {
             "offset": 3,
-            "topology": {"seq": 2, "whole": False, "hosts": [host("s-0b", box.address, "std", "draining")]},
+            "topology": {
+                "seq": 2,
+                "whole": False,
+                "hosts": [host("s-0b", cache_server.address, "std", "draining")],
+            },
         }
         for _ in range(2):
             assert b"Last-Event-ID: 1\r\n" in front.bus.heard.get(timeout=5)
@@ -305,15 +311,15 @@
             if not _:
                 front.until("bus_lost")
                 front.tells.put(None)
-        for _ in range(4):  # the stream that was left may eat some
+        for _ in range(4):  # the abandoned stream may consume some
             front.tells.put(drain)
         assert front.until("bus_gap")["last"] == 1 and front.until("told")["offset"] == 3
         assert front.ask(get_text())[0] == 200
-        assert root.heard.get(timeout=5)[0] == b"serve" and box.heard.empty()
+        assert origin_server.heard.get(timeout=5)[0] == b"serve" and cache_server.heard.empty()
 
 
-def test_sigterm_is_not_held_up_by_a_patience_past_the_kill(tmp_path):
-    front, box, _ = serve(tmp_path, lambda *_: None, lambda *_: None)
+def test_shutdown_is_not_delayed_by_a_client_deadline_after_sigkill(tmp_path):
+    front, cache_server, _ = front_with_servers(tmp_path, lambda *_: None, lambda *_: None)
     front.configure(
         settings={
             **REAL["settings"],
@@ -323,7 +329,7 @@
     with front:
         sock, silent = front.connect(), front.connect()
         sock.sendall(get_text(patience=30_000))
-        box.heard.get(timeout=5)
+        cache_server.heard.get(timeout=5)
         begun = time.monotonic()
         front.process.send_signal(signal.SIGTERM)
         assert sock.recv(4096).startswith(b"HTTP/1.1 503")
@@ -331,37 +337,37 @@
         silent.close()
 
 
-def test_drains_and_purges_from_the_bus_hold_and_a_break_is_taken_up_again(tmp_path):
-    front, box, root = serve(tmp_path, served)
+def test_drains_and_purges_from_the_bus_are_applied_and_a_broken_stream_is_resumed(tmp_path):
+    front, cache_server, origin_server = front_with_servers(tmp_path, served)
     with front:
         assert b"Last-Event-ID: 1\r\n" in front.bus.heard.get(timeout=5)
         front.tells.put({"offset": 2, "ban": {"url": "7f3a9c21e0b4d655", "ts": 0}})
         front.until("told")
         front.tells.put(None)
         assert b"Last-Event-ID: 2\r\n" in front.bus.heard.get(timeout=5)
-        front.tells.put({"offset": 2, "ban": {"tag": 1, "ts": 0}})  # sent again: not applied twice
+        front.tells.put({"offset": 2, "ban": {"tag": 1, "ts": 0}})  # sent again: not applied a second time
         front.tells.put(
             {
                 "offset": 3,
                 "topology": {
                     "seq": 2,
                     "whole": False,
-                    "hosts": [host("s-0b", box.address, "std", "draining")],
+                    "hosts": [host("s-0b", cache_server.address, "std", "draining")],
                 },
             }
         )
         assert front.until("told")["offset"] == 3
         assert front.ask(get_text())[0] == 200
-        assert root.heard.get(timeout=5)[0] == b"serve" and box.heard.empty()
+        assert origin_server.heard.get(timeout=5)[0] == b"serve" and cache_server.heard.empty()
 
 
-def test_sigterm_answers_what_is_open_and_what_still_comes_then_ends(tmp_path):
+def test_after_sigterm_open_and_new_requests_are_answered_before_the_exit(tmp_path):
     go = threading.Event()
-    front, box, _ = serve(tmp_path, held_back(go))
+    front, cache_server, _ = front_with_servers(tmp_path, delayed_reply(go))
     with front:
         sock, idle = front.connect(), front.connect()
         sock.sendall(get_text())
-        box.heard.get(timeout=5)
+        cache_server.heard.get(timeout=5)
         front.process.send_signal(signal.SIGTERM)
         front.until("stopping")
         threading.Timer(0.1, go.set).start()
@@ -370,15 +376,15 @@
         assert front.process.wait(10) == 0 and idle.recv(9) == b""
 
 
-def test_sighup_asks_the_new_bus_from_the_last_event_and_a_faulty_file_changes_nothing(tmp_path):
-    front, box, root = serve(tmp_path, served)
+def test_sighup_resumes_at_the_new_bus_and_an_invalid_file_changes_nothing(tmp_path):
+    front, cache_server, origin_server = front_with_servers(tmp_path, served)
     with front:
         front.bus.heard.get(timeout=5)
         sock, tells = front.connect(), queue.Queue()
         moved = bus(tells)
         front.tells.put({"offset": 2, "ban": {"tag": 1, "ts": 0}})
         front.until("told")
-        for _ in range(2):  # one on the heels of another
+        for _ in range(2):  # two in quick succession
             front.configure(bus=moved.address)
             front.process.send_signal(signal.SIGHUP)
             assert front.until("reloaded")["needs_restart"] == []
@@ -386,28 +392,28 @@
         front.configure(bus="nowhere")
         front.process.send_signal(signal.SIGHUP)
         assert "bus" in front.until("reload_failed")["error"]
-        for offset in (2, 3, 3, 3, 3, 3):  # 2 was told before; streams left open eat some
+        for offset in (2, 3, 3, 3, 3, 3):  # 2 was applied before; abandoned streams consume some
             tells.put(
                 {
                     "offset": offset,
                     "topology": {
                         "seq": 2,
                         "whole": False,
-                        "hosts": [host("s-0b", box.address, "std", "draining")],
+                        "hosts": [host("s-0b", cache_server.address, "std", "draining")],
                     },
                 }
             )
         assert front.until("told")["offset"] == 3
         assert front.ask(get_text(), sock)[0] == 200
-        assert root.heard.get(timeout=5)[0] == b"serve" and box.heard.empty()
+        assert origin_server.heard.get(timeout=5)[0] == b"serve" and cache_server.heard.empty()
 
 
-def test_sighup_during_the_start_ends_nothing():
+def test_sighup_during_the_start_does_not_end_the_process():
     code = "import os, signal, sprucegate.__main__; os.kill(os.getpid(), signal.SIGHUP)"
     assert subprocess.run([sys.executable, "-c", code], timeout=20).returncode == 0
 
 
-def test_a_faulty_configuration_is_one_line_and_no_start(tmp_path):
+def test_an_invalid_configuration_is_reported_in_one_line_and_prevents_the_start(tmp_path):
     file = tmp_path / "config.json"
     known = {"offset": 0, "batch": []}
     file.write_text(json.dumps({**REAL, "listen": "127.0.0.1:1", "known": known}))
@@ -422,8 +428,8 @@
         assert done.returncode == 2 and named in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_request_in_many_pieces_and_one_left_unfinished(tmp_path):
-    front, _, _ = serve(tmp_path, served)
+def test_a_request_in_many_pieces_is_served_and_an_unfinished_one_times_out(tmp_path):
+    front, _, _ = front_with_servers(tmp_path, served)
     with front:
         sock = front.connect()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -432,13 +438,13 @@
             sock.sendall(text[at : at + 1])
         assert front.ask(text[-1:], sock)[0] == 200
         sock.sendall(text[:20])
-        assert sock.recv(9) == b""  # closed in bounded time
+        assert sock.recv(9) == b""  # closed after its time-out
 
 
-def test_an_own_copy_answers_until_it_is_purged(tmp_path):
+def test_the_fronts_own_cache_answers_until_the_object_is_purged(tmp_path):
     made = int(time.time() * 1000)
     reply = b"%%b served etag=t1,made=%d 2\r\nab\r\n" % made
-    front, box, _ = serve(tmp_path, lambda call_id, *_: reply % call_id)
+    front, cache_server, _ = front_with_servers(tmp_path, lambda call_id, *_: reply % call_id)
     with front:
         answers = [
             front.ask(get_text(c * 16, extra='If-None-Match: "t1"\r\n' if c == "d" else ""))[::2]
@@ -448,23 +454,23 @@
         front.tells.put({"offset": 2, "ban": {"tag": 17, "ts": made + 1}})
         front.until("told")
         assert front.ask(get_text("e" * 16))[::2] == (200, b"ab")
-        assert [box.heard.get(timeout=5)[1] for _ in range(3)] == [b"a" * 16, b"b" * 16, b"e" * 16]
+        assert [cache_server.heard.get(timeout=5)[1] for _ in range(3)] == [b"a" * 16, b"b" * 16, b"e" * 16]
 
 
 @pytest.mark.parametrize("owner, stage", [(driver.Router, "start_request"), (driver, "admit")])
-def test_a_stage_that_breaks_still_gives_its_get_one_answer(owner, stage, monkeypatch):
+def test_a_request_gets_one_response_when_a_processing_stage_raises(owner, stage, monkeypatch):
     known = {"offset": 1, "batch": []}
     wanted = configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
     logged = []
 
-    def breaks(*_):
+    def raises(*_):
         raise KeyError("broken")
 
     async def run():
         made = driver.Driver(wanted, BufferPool(4), lambda event, **_: logged.append(event))
         near, far = socket.socketpair()
         near.setblocking(False)
-        monkeypatch.setattr(owner, stage, breaks)
+        monkeypatch.setattr(owner, stage, raises)
         client = ClientConnection(near, 0)
         client.on_request(0)
         made.receive_request(client, *RequestReader().feed(get_text()), made.clock())
@@ -477,13 +483,15 @@
     assert logged == ["fault"] and still_open == 0
 
 
-def test_why_a_get_was_sent_again_or_shed_and_a_client_closed_is_counted(tmp_path):
-    """The first attempt of all is refused, wherever it goes; a GET with no time left is shed with nothing sent."""
+def test_causes_of_retries_sheds_and_closed_connections_are_counted(tmp_path):
+    """The very first attempt is refused by any cache; a request without time left is shed before any attempt."""
     reply = refuses_first()
-    boxes = [cache(reply) for _ in range(3)]
-    hosts = [host(f"s-{at + 11:x}", box.address, "std") for at, box in enumerate(boxes)]
-    root = cache(served)
-    with Front(tmp_path, *hosts, host("s-1f", root.address, "origin")) as front:
+    cache_servers = [cache(reply) for _ in range(3)]
+    hosts = [
+        host(f"s-{at + 11:x}", cache_server.address, "std") for at, cache_server in enumerate(cache_servers)
+    ]
+    origin_server = cache(served)
+    with Front(tmp_path, *hosts, host("s-1f", origin_server.address, "origin")) as front:
         assert front.ask(get_text("a" * 16, extra="Connection: close\r\n"))[0] == 200
         assert front.ask(get_text("b" * 16, patience=1))[0] == 503
         counted = Counter()
@@ -496,20 +504,20 @@
     assert counted["clients_closed peer"] == 2
 
 
-def test_a_front_with_thousands_of_caches_starts_within_its_descriptors(tmp_path):
-    box = cache(served)
-    hosts = [host(f"s-{at + 256:x}", box.address, "std") for at in range(3200)]
-    root = cache(served)
+def test_a_front_with_thousands_of_caches_stays_within_its_descriptor_limit(tmp_path):
+    cache_server = cache(served)
+    hosts = [host(f"s-{at + 256:x}", cache_server.address, "std") for at in range(3200)]
+    origin_server = cache(served)
     limits = {**REAL["limits"], "sockets": 128}
-    with Front(tmp_path, *hosts, host("s-1f", root.address, "origin"), limits=limits) as front:
-        for at in range(200):  # another object each, so other caches
+    with Front(tmp_path, *hosts, host("s-1f", origin_server.address, "origin"), limits=limits) as front:
+        for at in range(200):  # a different object each time, so that different caches are used
             text = get_text(f"{at:016x}", extra="Connection: close\r\n").replace(b"7f3a9c21", b"%08x" % at)
             assert front.ask(text)[0] == 200
             assert len(os.listdir(f"/proc/{front.process.pid}/fd")) <= 128
 
 
-def test_what_ended_is_not_kept_until_the_time_that_it_might_have_taken():
-    """Deadlines of an hour: neither the driver nor the module keeps a thousand GETs that have long been answered."""
+def test_state_of_ended_requests_is_not_kept_until_their_deadlines():
+    """With deadlines of an hour neither the driver nor the router keeps state of a thousand answered requests."""
     hosts = [host("s-0b", "127.0.0.1:9", "std"), host("s-1f", "127.0.0.1:9", "origin")]
     known = {"offset": 1, "batch": [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": hosts}}]}
     wanted = configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
@@ -526,11 +534,11 @@
                 client, *RequestReader().feed(get_text(f"{at:016x}", patience=3_000_000)), made.clock()
             )
             if at % 50 == 0:
-                await asyncio.sleep(0.02)  # connections that are refused
+                await asyncio.sleep(0.02)  # lets connections be refused
         await asyncio.sleep(0.3)
         far.close()
         near.close()
         return len(made.attempt_timeouts), len(made.router.deadlines.waiting), len(made.open_requests)
 
-    limits, waiting, still_open = asyncio.run(run())
-    assert limits <= 200 and waiting <= 200 and still_open == 0
+    timeouts, waiting, still_open = asyncio.run(run())
+    assert timeouts <= 200 and waiting <= 200 and still_open == 0
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -1,4 +1,4 @@
-"""What is spoken and configured, without a socket."""
+"""Codecs, admission and configuration of the front, without sockets."""
 
 import copy
 import json
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(get_text(body=b"abc")), 7))
-def test_a_request_is_read_however_it_is_cut(cut):
+def test_a_request_is_parsed_for_any_split_into_chunks(cut):
     text, reader = get_text(method="PUT", body=b"abc"), RequestReader()
     whole = reader.feed(text[:cut]) + reader.feed(text[cut:])
     assert [(r.method, r.body, r.headers[b"x-set"]) for r in whole] == [(b"PUT", b"abc", b"17")]
@@ -33,7 +33,7 @@
         (b"GET / HTTP/1.1\r\nA: " + b"a" * HEAD_BYTES_MAX, 431),
     ],
 )
-def test_what_is_no_request_is_refused(text, status):
+def test_an_invalid_request_is_rejected(text, status):
     reader = RequestReader()
     assert reader.feed(text) == [] and reader.rejection.status == status
 
@@ -51,13 +51,13 @@
         (b"GET", b"DELETE", 405, "GET"),
     ],
 )
-def test_a_request_that_lacks_something_is_told_what(old, new, status, named):
+def test_a_rejected_request_is_told_what_is_wrong(old, new, status, named):
     (request,) = RequestReader().feed(get_text().replace(old, new))
-    refused = admit(None, request, {"media": 0}, {}, {}, 0)
-    assert refused.status == status and named in refused.text
+    rejected = admit(None, request, {"media": 0}, {}, {}, 0)
+    assert rejected.status == status and named in rejected.text
 
 
-def test_time_spent_at_the_door_comes_off_the_patience():
+def test_time_waited_before_admission_is_subtracted_from_the_patience():
     (request,) = RequestReader().feed(get_text(extra='If-None-Match: "4be0"\r\n'))
     get = admit(None, request, {"media": 0}, {}, {}, 30_000_000)
     assert (get.asked.ttl, get.asked.object, get.asked.part, get.asked.group, get.have) == (
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(ANSWERS)))
-def test_answers_are_read_however_they_are_cut(cut):
+def test_answers_are_parsed_for_any_split_into_chunks(cut):
     reader = codec.AnswerReader()
     first, second = reader.feed(ANSWERS[:cut]) + reader.feed(ANSWERS[cut:])
     assert (first.id, first.body, first.fields["etag"]) == (b"aa", b"xxxxx", "t1")
@@ -98,7 +98,7 @@
         b"c" * 5000,
     ],
 )
-def test_an_unreadable_answer_is_a_fault_and_those_before_it_count(text):
+def test_a_malformed_answer_is_an_error_and_those_before_it_are_returned(text):
     reader = codec.AnswerReader()
     assert [a.id for a in reader.feed(served(b"aa", {}) + text)] == [b"aa"] and reader.fault
 
@@ -116,12 +116,12 @@
         (b"still_good", {}),
     ],
 )
-def test_an_answer_without_a_meaning_is_unreadable(word, fields):
+def test_an_answer_with_invalid_fields_is_malformed(word, fields):
     with pytest.raises(codec.MalformedAnswerError):
         codec.meaning(codec.Answer(b"aa", word, fields, b""), "")
 
 
-def test_a_copy_is_current_only_by_its_own_tag():
+def test_a_not_modified_answer_must_have_the_etag_that_was_sent():
     said = codec.Answer(b"aa", b"still_good", {"etag": "t1"}, b"")
     assert codec.meaning(said, "t1")[0] is AttemptOutcome.RETURNED
     with pytest.raises(codec.MalformedAnswerError):
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("oldest, said", [(0, None), (999_999, "1"), (1_999_999, "1"), (2_000_000, "2")])
-def test_an_age_is_never_rounded_up_nor_to_no_limit_at_all(oldest, said):
+def test_a_maximum_age_is_rounded_down_but_never_to_zero_which_means_no_limit(oldest, said):
     forward = SendAttempt(0, 1, 1, 2, oldest, 1_500_999_999, False, True, False, True)
     line = codec.serve(b"aa", "media", "7f", 3, forward, None, "", b"")
     fields = dict(pair.split("=") for pair in line.split()[2].decode().split(","))
@@ -140,14 +140,14 @@
 
 
 @pytest.mark.parametrize("cut", range(1, len(EVENTS)))
-def test_events_are_read_however_they_are_cut(cut):
+def test_events_are_parsed_for_any_split_into_chunks(cut):
     reader = bus.EventReader()
     got = reader.feed(EVENTS[:cut]) + reader.feed(EVENTS[cut:])
     assert got == [("4", b'{"offset":4,\n"ban":{"tag":17,"ts":5}}'), ("5", b"6")]
     assert bus.read(got[0][1], {}, {}) == (4, bus.InvalidationEvent(-1, 17, 5_000_000))
 
 
-def test_a_list_is_read_with_names_and_addresses():
+def test_an_endpoint_list_is_decoded_with_names_and_addresses():
     entry = {
         "host": "s-0c",
         "dial": "10.0.0.1:9",
@@ -176,7 +176,7 @@
         b'{"offset":1,"topology":{"hosts":[{"host":"s-1","health":"odd"}]}}',
     ],
 )
-def test_an_unreadable_event_is_malformed(data):
+def test_an_event_that_cant_be_decoded_is_malformed(data):
     with pytest.raises(bus.MalformedEventError):
         bus.read(data, {}, {})
 
@@ -197,7 +197,7 @@
         (["limits"], 5, "limits"),
     ],
 )
-def test_a_fault_in_the_configuration_names_its_key(path, value, named):
+def test_an_invalid_configuration_names_the_key(path, value, named):
     known = {"offset": 1, "batch": []}
     data = copy.deepcopy({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
     at = data
@@ -208,7 +208,7 @@
         configuration.wanted(data)
 
 
-def test_the_pool_uses_buffers_again_and_keeps_its_bound():
+def test_the_pool_reuses_buffers_and_keeps_its_capacity():
     pool = BufferPool(2)
     first, second = pool.take(), pool.take()
     assert pool.take() is None
