--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -1,4 +1,4 @@
-"""One build, the old shape of a deployment and the new: accepted, refused, and served."""
+"""One build with the settings of old and new kinds of deployments: accepted, rejected and served."""
 
 import copy
 import subprocess
@@ -11,7 +11,7 @@
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
 from sprucegate.units import MILLISECOND as MS
 
-# Settings as the platform sends them for each shape, times in microseconds; names are those of the wire.
+# Settings as the platform sends them for each kind of deployment; times are in microseconds, names as on the wire.
 OLD = {
     "loadInfo": {"how": "piggyback", "fields": ["outstanding", "utilization", "x0", "x1"]},
     "weightKind": "nominal",
@@ -57,7 +57,7 @@
     return settings
 
 
-def wanted(settings):
+def configured(settings):
     known = {"offset": 1, "batch": []}
     return configuration.wanted(
         {**REAL, "settings": settings, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known}
@@ -68,8 +68,8 @@
     "shape, tells, load_by",
     [({}, None, None), (OLD, "all", "answers"), (SILENT, "none", "none"), (HITS_ONLY, "hit", "answers")],
 )
-def test_each_shape_is_taken_as_the_platform_sends_it(shape, tells, load_by):
-    settings = wanted(merged(shape)).settings
+def test_the_settings_of_each_deployment_are_accepted(shape, tells, load_by):
+    settings = configured(merged(shape)).settings
     assert (settings.get("tells"), settings.get("load_by")) == (tells, load_by)
 
 
@@ -91,7 +91,7 @@
         ("myZone", 7),
     ],
 )
-def test_what_contradicts_itself_is_refused_by_its_key(key, value):
+def test_contradicting_settings_are_rejected_with_their_key(key, value):
     settings = merged(SILENT)
     *path, last = key.split(".")
     at = settings
@@ -99,18 +99,18 @@
         at = at.setdefault(name, {})
     at[last] = value
     with pytest.raises(configuration.FrontConfigurationError, match=rf"^settings\.{key}: "):
-        wanted(settings)
+        configured(settings)
 
 
 @pytest.mark.parametrize("name", ["connectTimeout", "keepalive"])
-def test_a_time_that_only_the_deployment_knows_is_not_made_up(name):
+def test_times_of_the_deployment_have_no_default(name):
     settings = merged({})
     del settings["allowed"][name]
     with pytest.raises(configuration.FrontConfigurationError, match=f"settings.allowed.{name}: is missing"):
-        wanted(settings)
+        configured(settings)
 
 
-def test_bounds_of_clients_and_of_the_end_follow_from_the_viewer_timeouts():
+def test_connection_and_shutdown_times_follow_from_the_viewer_timeouts():
     def times(*timeouts):
         return configuration.times_from({"viewer_timeout": list(timeouts)})
 
@@ -120,12 +120,12 @@
         1500 * MS,
         1800 * MS,
     )
-    # The kill comes no later for viewer timeouts over three seconds; answers may still be read so long.
+    # Viewer timeouts above three seconds don't delay SIGKILL; clients may still read responses for that long.
     assert (long.request_timeout, long.write_timeout, long.drain_timeout) == (2100 * MS, 6000 * MS, 3300 * MS)
     assert times() == configuration.times_from({}) == times(3000 * MS)
 
 
-def test_a_mixed_configuration_is_one_line_and_exit_2(tmp_path):
+def test_a_contradicting_configuration_is_reported_in_one_line_with_status_2(tmp_path):
     settings = merged({**SILENT, "loadInfo": {"how": "silent", "fields": ["outstanding"]}})
     front = Front.__new__(Front)
     front.file, front.config = (
@@ -150,7 +150,7 @@
 
 
 def decisions(**settings):
-    """What a front forwards while some answers are slow and none says what it was; told links are small."""
+    """Return the decisions of a router: some answers are slow, none has a cache status, and link rates are low."""
     made = router(
         client_kb_per_s=1000.0, link_in_kb_per_s=[0.0, 2000.0], fronts_by_location=[0, 4], **settings
     )
@@ -166,16 +166,16 @@
     return said
 
 
-def test_the_old_configuration_decides_as_with_the_new_settings_at_their_defaults():
-    """Links told beside answers that tell all are judged by samples, as before; only silence changes that."""
+def test_old_settings_give_the_decisions_of_the_new_ones_at_their_defaults():
+    """Where answers have a cache status, link rates come from samples, as before; else from the settings."""
     old = decisions(tells=None)
     assert old == decisions(tells="all", weights="nominal", load_by="answers", load_fields=["inflight"])
     assert old != decisions(tells="none")
 
 
 @pytest.mark.parametrize("shape, advice", [(OLD, True), (SILENT, False)])
-def test_a_front_serves_in_either_shape(tmp_path, shape, advice):
-    """No load reports, no word on hits; a shed reply says when to come back only where that is allowed."""
+def test_a_front_serves_in_each_kind_of_deployment(tmp_path, shape, advice):
+    """Without load reports and cache status too; a 503 has a retry time only where the settings allow it."""
 
     def reply(call_id, fields, body):
         if fields["thing"] == "7f3a9c21e0b4d656":
@@ -184,11 +184,11 @@
             served(call_id, fields) if shape is OLD else b"%b served etag=t1,made=5 5\r\nxxxxx\r\n" % call_id
         )
 
-    box, root = cache(reply), cache(reply)
+    cache_server, origin_server = cache(reply), cache(reply)
     with Front(
         tmp_path,
-        host("s-0b", box.address, "std"),
-        host("s-1f", root.address, "origin"),
+        host("s-0b", cache_server.address, "std"),
+        host("s-1f", origin_server.address, "origin"),
         settings=merged(shape),
     ) as front:
         for at in range(3):
--- a/tests/front/test_system_calls.py
+++ b/tests/front/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls fail for a moment on this side: no request is lost by it, no connection ended and no cache blamed."""
+"""Transient failures of system calls lose no request, close no connection and don't count against a cache."""
 
 import errno
 import signal
@@ -11,8 +11,8 @@
 from standins.faults import SHORT
 from standins.http2 import Running
 
-# Errors of this machine's own, for a moment, by the calls that may give them (man pages of Linux, section 2).
-FOR_A_MOMENT = [
+# Transient local errors by the system calls that may return them (Linux man pages, section 2).
+TRANSIENT_ERRORS = [
     ("accept", errno.ECONNABORTED),
     ("accept", errno.EINTR),
     ("accept", errno.EMFILE),
@@ -46,7 +46,7 @@
 
 
 def answered(front, call, error, after, times=1):
-    """Whether a GET on a new connection, and one more on it, are answered while a call fails."""
+    """Return whether two requests on a new connection are answered while a call fails."""
     front.faults.fail(call, error, times, after)
     sock = front.connect()
     sock.settimeout(3)
@@ -62,8 +62,8 @@
         sock.close()
 
 
-def lost(fronts, calls=FOR_A_MOMENT):
-    """What was not answered: the n-th call fails, for each n that a GET comes by, in a front of its own each time."""
+def unanswered(fronts, calls=TRANSIENT_ERRORS):
+    """Return the cases not answered: the n-th call fails, for each n within a request; a new front for each error."""
     found = []
     for call, error in calls:
         with fronts() as front:
@@ -73,59 +73,62 @@
     return found
 
 
-def test_no_get_is_lost_where_a_call_fails_for_a_moment(tmp_path):
-    assert lost(lambda: two(tmp_path, served)[0]) == []
+def test_no_request_is_lost_by_a_transient_error(tmp_path):
+    assert unanswered(lambda: two(tmp_path, served)[0]) == []
 
 
-def lost_over_http2(path, calls):
-    boxes = [Running(name="s-0b"), Running(name="s-1f")]
+def unanswered_over_http2(path, calls):
+    cache_servers = [Running(name="s-0b"), Running(name="s-1f")]
     try:
-        return lost(
+        return unanswered(
             lambda: Front(
                 path,
-                host("s-0b", boxes[0].address, "std"),
-                host("s-1f", boxes[1].address, "origin"),
+                host("s-0b", cache_servers[0].address, "std"),
+                host("s-1f", cache_servers[1].address, "origin"),
                 kdl="servers {\n speak http2 kind=std\n speak http2 kind=origin\n}\n",
             ),
             calls,
         )
     finally:
-        for box in boxes:
-            box.stop()
+        for cache_server in cache_servers:
+            cache_server.stop()
 
 
-def test_none_is_over_http2_either(tmp_path):
-    assert lost_over_http2(tmp_path, [one for one in FOR_A_MOMENT if one != ("connect", errno.EAGAIN)]) == []
+def test_no_request_is_lost_by_a_transient_error_over_http2(tmp_path):
+    assert (
+        unanswered_over_http2(tmp_path, [one for one in TRANSIENT_ERRORS if one != ("connect", errno.EAGAIN)])
+        == []
+    )
 
 
-def test_nor_by_a_connect_that_should_be_tried_again(tmp_path):
-    """uvloop's sock_connect takes EAGAIN for a connection that is on its way, and the socket is none."""
-    assert lost_over_http2(tmp_path, [("connect", errno.EAGAIN)]) == []
+def test_no_request_is_lost_by_eagain_of_connect_over_http2(tmp_path):
+    """uvloop's sock_connect treats EAGAIN as a connection in progress, but the socket isn't connecting."""
+    assert unanswered_over_http2(tmp_path, [("connect", errno.EAGAIN)]) == []
 
 
-def test_a_connection_that_can_not_be_begun_for_want_of_something_here_blames_no_cache(tmp_path):
-    """The GET after it goes there at once: a cache taken for unreachable is left alone for a second."""
+def test_a_local_error_of_connect_does_not_count_against_the_cache(tmp_path):
+    """The next request is sent there at once: an unreachable cache would be avoided for a second."""
     for call, error in (
         ("connect", errno.EADDRNOTAVAIL),
         ("connect", errno.ENETUNREACH),
         ("socket", errno.EMFILE),
     ):
-        front, box, _ = two(tmp_path, served)
+        front, cache_server, _ = two(tmp_path, served)
         with front:
             text = get_text(key(1), extra="Connection: close\r\n")
-            assert front.ask(text)[0] == 200 and box.heard.get(timeout=5)[0] == b"serve"
-            for connection in box.open():
+            assert front.ask(text)[0] == 200 and cache_server.heard.get(timeout=5)[0] == b"serve"
+            for connection in cache_server.open():
                 connection.shutdown(socket.SHUT_RDWR)
             time.sleep(0.1)
             front.faults.fail(call, error, 1)
             front.ask(get_text(key(2), extra="Connection: close\r\n"))
-            while not box.heard.empty():
-                box.heard.get()
-            other = get_text(key(3)).replace(b"7f3a9c21", b"00000001")  # of which there is no own copy
-            assert front.ask(other)[0] == 200 and box.heard.get(timeout=1)[0] == b"serve"
+            while not cache_server.heard.empty():
+                cache_server.heard.get()
+            other = get_text(key(3)).replace(b"7f3a9c21", b"00000001")  # not in the front's own cache
+            assert front.ask(other)[0] == 200 and cache_server.heard.get(timeout=1)[0] == b"serve"
 
 
-def test_who_stands_in_the_queue_at_a_stop_is_served_though_descriptors_are_short(tmp_path):
+def test_a_connection_in_the_accept_queue_at_sigterm_is_served_despite_a_lack_of_descriptors(tmp_path):
     front, _, _ = two(tmp_path, served)
     with front:
         front.process.send_signal(signal.SIGTERM)
