--- a/benchmarks/http2_closes.py
+++ b/benchmarks/http2_closes.py
@@ -64,9 +64,9 @@
         verdicts = self.said
 
         class Watched(driver_class):
-            def _ended(self, out, outcome, *rest):
+            def _on_attempt_ended(self, out, outcome, *rest):
                 verdicts[out.get.id.decode(), out.number] = outcome
-                return super()._ended(out, outcome, *rest)
+                return super()._on_attempt_ended(out, outcome, *rest)
 
         return Watched
 
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -80,7 +80,7 @@
         # No connection was accepted yet, so there is nothing to complete.
         if config.membership is not None:
             driver.membership.stop()
-        log("stopped", **driver.book.read_and_reset())
+        log("stopped", **driver.counters.read_and_reset())
         return 0
     repeatable = () if config.shares is None else (config.shares.header_bytes,)
     reader = ConnectionReader(driver, pool, config.descriptors // 2, config.times, frozenset(repeatable))
@@ -88,7 +88,7 @@
     if listener is None:
         if config.membership is not None:
             driver.membership.stop()  # or its worker process would outlive the front
-        log("stopped", **driver.book.read_and_reset())
+        log("stopped", **driver.counters.read_and_reset())
         return 0 if stop.is_set() else 1
     now = driver.clock()
     driver.servers.warm_up(driver.router.endpoints_to_connect(driver.servers.most), now)
@@ -130,7 +130,7 @@
         await driver.fleet.stop()
     if config.membership is not None:
         driver.membership.stop()
-    log("stopped", **driver.book.read_and_reset())
+    log("stopped", **driver.counters.read_and_reset())
     return 0
 
 
@@ -222,5 +222,5 @@
             clients=len(reader.clients),
             caches=driver.servers.connections,
             buffers=pool.in_use,
-            **driver.book.read_and_reset(),
+            **driver.counters.read_and_reset(),
         )
--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -30,14 +30,14 @@
         """`members()`: {name: member} of the fronts; `views`: what hears of the fronts that the log counts."""
         self.driver, self.merged, self.members, self.views = driver, merged, members, views
         self.placed, self.wanted, self.counts, self.missed = {}, {}, {}, {}
-        self.name, self.aside = driver.wanted.name, False  # whether its own permit keeps clients away
+        self.name, self.aside = driver.config.name, False  # whether its own permit keeps clients away
         self.seen, self.reported = (
             (-1, {}),
             {},
         )  # rows by the view's generation; what was told of each box last
         self.cold, self.starts = {}, {}  # box -> (start, since, GETs until then); -> (started, how often)
-        self.places = {value: name for name, value in driver.wanted.locations.items()}
-        self.kinds = {value: name for name, value in driver.wanted.kinds.items()}
+        self.places = {value: name for name, value in driver.config.locations.items()}
+        self.kinds = {value: name for name, value in driver.config.kinds.items()}
 
     def floor(self):
         """Return the part of its full rate that a cold cache bears, by the settings."""
@@ -101,7 +101,7 @@
         if (self.name in self.wanted) != self.aside:
             # What sends clients here asks /status/live; those that come all the same are served.
             self.aside = self.name in self.wanted
-            self.driver.aside = self.aside
+            self.driver.drained = self.aside
         for box in [b for b in self.placed if b not in self.wanted]:
             at, started = self.placed.pop(box)
             self.merged.word(at, started, SOURCE, False, now)
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -1,6 +1,6 @@
 """The quotas in a front: its waiting requests, messages to and from lease holders, timers. `coordinator` decides.
 
-The component sets itself as `driver.places`, and the sources whose fills wait for slots as
+The component sets itself as `driver.fill_quota`, and the sources whose fills wait for slots as
 `router.slot_limited_sources`. Nothing here asks another front on a request's path.
 """
 
@@ -61,7 +61,7 @@
         self.node = node
         self.driver = fleet.driver
         self.loop = fleet.loop
-        timeouts = [one for one in self.driver.wanted.settings.get("viewer_timeout", ()) if one]
+        timeouts = [one for one in self.driver.config.settings.get("viewer_timeout", ()) if one]
         self.settings = QuotaSettings(
             tenants=tuple(Tenant(*one) for one in node.weights),
             fronts=tuple(node.fronts),
@@ -76,7 +76,7 @@
         self.timer = None
         self.source_names = {}
         self.up = False
-        self.driver.places = self
+        self.driver.fill_quota = self
         self.driver.router.slot_limited_sources = self.settings.slots
 
     async def start(self):
@@ -103,7 +103,7 @@
     def on_endpoints_changed(self):
         """Set the slots of the listed sources: what the operator's file gives by a source's name, else by its kind."""
         router = self.driver.router
-        kinds = {value: name for name, value in self.driver.wanted.kinds.items()}
+        kinds = {value: name for name, value in self.driver.config.kinds.items()}
         slots = {}
         for source in [*router.group("parent"), *router.group("origin")]:
             server = self.driver.servers.places.get(source.id)
@@ -152,14 +152,14 @@
         """Return the index of a client's tenant; clients that name no listed one belong to the common tenant."""
         index, listed = tenant_of(headers.get(self.node.header_bytes), self.node.listed)
         if not listed:
-            self.driver.book.count("tenants_unlisted")
+            self.driver.counters.count("tenants_unlisted")
         return index
 
     def waits(self, get, source, now):
         """A request needs a slot: it has sent nothing for this fill, and is routed again once it has one."""
         wait = SlotWait(get, source)
         self.waits_by_request[get] = wait
-        self.driver.book.count("gets_slow")
+        self.driver.counters.count("gets_slow")
         # The driver's clock and the fleet's differ: only durations are taken over.
         monotonic = time.monotonic_ns()
         deadline = monotonic + get.handle.deadline - now
@@ -223,7 +223,7 @@
 
     def _abandon(self, wait):
         self._forget(wait)
-        self.driver.book.count("gets_not_waited")
+        self.driver.counters.count("gets_not_waited")
         now = self.driver.clock()
         self.driver.guarded(wait.get, self._give_up, wait.get, now)
 
@@ -232,7 +232,7 @@
             del self.waits_by_request[wait.get]
 
     def _give_up(self, get, now):
-        self.driver.say(get, get.handle.give_up(now), now)
+        self.driver.perform(get, get.handle.give_up(now), now)
 
     def _start_fill(self, wait, source):
         get = wait.get
@@ -250,7 +250,7 @@
     def _route(self, get, now):
         actions = get.handle.route(now)
         get.handle.slot_source = None  # for this attempt alone
-        self.driver.say(get, actions, now)
+        self.driver.perform(get, actions, now)
         self.driver.arm(now)
 
     def _send(self, to, message):
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -59,7 +59,7 @@
                     return  # whether another one is waiting is known only in the next iteration
                 if not self._evict_one():
                     # In the queue it may still be served; closed at once it would get no response at all.
-                    self.driver.book.count("accepts_put_off")
+                    self.driver.counters.count("accepts_put_off")
                     return self._pause_accepting()
             if not self._accept():
                 return
@@ -167,7 +167,7 @@
         """Close a connection; `why` is counted: "peer" where the client ended it. Returns True, for `_evict_one`."""
         if client.state is ConnectionState.CLOSED:
             return True
-        self.driver.book.count(f"clients_closed {why}")
+        self.driver.counters.count(f"clients_closed {why}")
         self.driver.invariants.check_close(client, why)
         client.on_closed(self.driver.clock())
         for connections in (self.clients, self.without_request):
@@ -235,12 +235,12 @@
                     self.close(client, "lingered")
             elif client.state is ConnectionState.WRITING_RESPONSE:
                 if waited > self.timeouts.write_timeout:
-                    self.driver.book.count("clients_not_reading")
+                    self.driver.counters.count("clients_not_reading")
                     self.close(client, "not_reading")
             elif client.state is ConnectionState.IDLE:
                 awaits_request = client.reader.request_started or not client.has_sent_request
                 if waited > (self.timeouts.request_timeout if awaits_request else self.timeouts.idle_timeout):
-                    self.driver.book.count("clients_timed_out" if awaits_request else "clients_idle")
+                    self.driver.counters.count("clients_timed_out" if awaits_request else "clients_idle")
                     if client.reader.request_started:
                         self.without_request.pop(client, None)
                         client.shut_down(now)
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -31,33 +31,33 @@
     """Drives the router: passes on events, performs the actions that it returns, and keeps its timer.
 
     :ivar response_writer: writes the responses to clients
-    :ivar book: the counters
+    :ivar counters: the counters
     :ivar ready: the front has started and takes requests
-    :ivar aside: a permit of the rollout drains this front: the liveness check fails, requests are still served
+    :ivar drained: a permit of the rollout drains this front: the liveness check fails, requests are still served
     :ivar max_open_requests: requests above this number are shed
     :ivar open_requests: OpenRequest by the router's handle
     :ivar requests_by_id: OpenRequest by call id
     :ivar attempt_timeouts: heap of (deadline, tie-breaker, OpenAttempt)
     :ivar timeouts_compact_at: length of the heap at which ended attempts are removed from it
     :ivar timer_due: when the timer fires (monotonic ns), or None
-    :ivar places: the quota of concurrent fills, or None: each fill starts at once
+    :ivar fill_quota: the quota of concurrent fills, or None: each fill starts at once
     :ivar response_cache: the front's own response cache
     """
 
-    def __init__(self, wanted, pool, log, clock=system.now):
-        self.wanted, self.log, self.clock, self.loop = wanted, log, clock, asyncio.get_running_loop()
+    def __init__(self, config, pool, log, clock=system.now):
+        self.config, self.log, self.clock, self.loop = config, log, clock, asyncio.get_running_loop()
         self.platform = system.PlatformTime()
-        self.router = Router(RoutingSettings.from_mapping(wanted.settings), wanted.seed, clock())
-        self.response_writer, self.book, self.ready, self.aside = (
+        self.router = Router(RoutingSettings.from_mapping(config.settings), config.seed, clock())
+        self.response_writer, self.counters, self.ready, self.drained = (
             ResponseWriter(self),
             Counters(),
             False,
             False,
         )
-        self.invariants = Invariants(wanted.settings, self.book.count, log)
-        self.sending = Sending(self.book.count, self.invariants.check_attempt)
-        self.servers = UpstreamServers(self, pool, wanted.settings, wanted.descriptors // 3, wanted.servers)
-        self.max_open_requests = wanted.settings.get("max_open", 1 << 30)
+        self.invariants = Invariants(config.settings, self.counters.count, log)
+        self.sending = Sending(self.counters.count, self.invariants.check_attempt)
+        self.servers = UpstreamServers(self, pool, config.settings, config.descriptors // 3, config.servers)
+        self.max_open_requests = config.settings.get("max_open", 1 << 30)
         self.open_requests, self.requests_by_id, self.attempt_timeouts, self.tie_breakers = (
             {},
             {},
@@ -66,9 +66,9 @@
         )
         self.timeouts_compact_at = TIMEOUT_HEAP_COMPACT_MIN
         self.timer, self.timer_due, self.membership, self.fleet = None, None, None, None
-        self.places = None
+        self.fill_quota = None
         self.response_cache = ResponseCache(
-            min(OWN_COPIES_BYTES, int(wanted.memory_mb * 2**20) // 3), wanted.link
+            min(OWN_COPIES_BYTES, int(config.memory_mb * 2**20) // 3), config.link
         )
 
     # Events.
@@ -77,15 +77,15 @@
         """Handle a complete request; `at`: when its last byte arrived (monotonic ns)."""
         now = self.clock()
         if http_request.target == LIVENESS_PATH:
-            up = self.ready and not self.aside and not self.response_writer.stopping
+            up = self.ready and not self.drained and not self.response_writer.stopping
             self.response_writer.write(client, 200 if up else 503, b"\n")
             return
         try:
             request = admit(
                 client,
                 http_request,
-                self.wanted.ds_names,
-                self.wanted.settings,
+                self.config.ds_names,
+                self.config.settings,
                 self.requests_by_id,
                 now - at,
             )
@@ -93,7 +93,7 @@
             self.fault(fault)
             request = RejectedRequest(500, "this request could not be read")
         if isinstance(request, RejectedRequest):
-            self.book.count("bad_requests")
+            self.counters.count("bad_requests")
             self.response_writer.reject(client, request)
             return
         client.open_request, self.requests_by_id[request.id], request.client_deadline = (
@@ -102,12 +102,12 @@
             now + max(0, request.asked.ttl),
         )
         request.trace.append((now, "read"))
-        if self.places is not None:
-            request.tenant = self.places.tenant(http_request.headers)
+        if self.fill_quota is not None:
+            request.tenant = self.fill_quota.tenant(http_request.headers)
         if len(self.open_requests) >= self.max_open_requests:
-            self.book.count("shed_over_bound")
+            self.counters.count("shed_over_bound")
             request.handle = self.router.start_request(request.asked, now)
-            self.guarded(request, self.say, request, request.handle.give_up(now), now)
+            self.guarded(request, self.perform, request, request.handle.give_up(now), now)
             return
         self.guarded(request, self._begin_routing, request, now)
 
@@ -117,7 +117,7 @@
         request.handle = self.router.start_request(request.asked, now)
         actions = request.handle.route(now)
         self.open_requests[request.handle] = request
-        self.say(request, actions, now)
+        self.perform(request, actions, now)
 
     def _respond_from_cache(self, request, now):
         """Respond from the front's own cache if it has the object and the router allows it; return whether it did."""
@@ -141,23 +141,23 @@
             b"" if not_modified else cached.body,
             etag_header(cached.etag),
         )
-        self.book.count("gets_own")
+        self.counters.count("gets_own")
         return True
 
-    def ended(self, out, outcome, found, waited, load, at=None):
+    def on_attempt_ended(self, out, outcome, found, waited, load, at=None):
         """Handle the end of an attempt, once.
 
         `at`: one time for all attempts that end together. With a time each, they would count as as many separate
         failures of the server.
         """
         if not out.ended:
-            self.guarded(out.get, self._ended, out, outcome, found, waited, load, at)
+            self.guarded(out.get, self._on_attempt_ended, out, outcome, found, waited, load, at)
 
-    def _ended(self, out, outcome, found, waited, load, at):
+    def _on_attempt_ended(self, out, outcome, found, waited, load, at):
         now, request = at or self.clock(), out.get
         out.ended, out.outcome, out.may_have_run = True, outcome, not outcome.never_executed
         request.trace.append((now, f"attempt {out.number} {outcome.name.lower()}"))
-        self.book.count(f"forwards_{outcome.name.lower()}")
+        self.counters.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
             self.fleet.forwarded(out.cache, outcome, found, now - out.at, request.asked)
         finished = request.answered or request.client.open_request is not request
@@ -165,20 +165,20 @@
             out.number, outcome, found, now - out.at, waited, load, finished, now
         )
         if out.place is not None:
-            self.places.ended(out, outcome, found, waited, now)
+            self.fill_quota.ended(out, outcome, found, waited, now)
         if actions:
-            self.say(request, actions, now)
+            self.perform(request, actions, now)
         elif request.handle.is_settled():
             self.forget(request)
 
     def forget(self, request):
         """Drop the state of a request that is over."""
         self.invariants.check_forgotten(request)
-        if self.wanted.log_gets and request.id in self.requests_by_id:
+        if self.config.log_gets and request.id in self.requests_by_id:
             self._log_request(request)
         self.requests_by_id.pop(request.id, None)
-        if self.places is not None:
-            self.places.left(request)
+        if self.fill_quota is not None:
+            self.fill_quota.left(request)
         # Request and attempts refer to each other: the cycle would leave each request to the garbage collector.
         if self.open_requests.pop(request.handle, None) is not None:
             request.attempts.clear()
@@ -208,7 +208,7 @@
             story=[f"{(at - began) // MS} {event}" for at, event in request.trace],
         )
 
-    def returned(self, out, response):
+    def on_response(self, out, response):
         """Pass the first response that a server returns on to the client unchanged."""
         if response.still_good:
             self.response_writer.respond(out.get, 304, headers=etag_header(response.tag))
@@ -223,7 +223,7 @@
                     (request.ds, request.thing, request.part),
                     CachedResponse(response.body, response.tag, generated_at, now),
                 )
-        self.book.count("gets_returned")
+        self.counters.count("gets_returned")
 
     def _generated_at(self, out, response, now):
         """Return the earliest time at which a response was generated, on this front's clock; None where unknown."""
@@ -236,14 +236,14 @@
 
     def client_left(self, request):
         """Handle a client that closed its connection or cancelled."""
-        self.book.count("gets_left")
+        self.counters.count("gets_left")
         now = self.clock()
         request.answered, request.client.open_request, request.client_left_at = True, None, now
         request.trace.append((now, "client left"))
-        if self.places is not None:
-            self.places.left(request)
+        if self.fill_quota is not None:
+            self.fill_quota.left(request)
         self.withdraw_unsent(request)
-        self.say(request, request.handle.client_disconnected(now), now)
+        self.perform(request, request.handle.client_disconnected(now), now)
 
     def withdraw_unsent(self, request, is_affected=lambda out: True):
         """Withdraw the affected attempts of which no byte was sent, and end them as not sent.
@@ -253,7 +253,9 @@
         """
         for out in list(request.attempts.values()):
             if not out.ended and is_affected(out) and self.servers.withdraw(out):
-                self.loop.call_soon(self.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+                self.loop.call_soon(
+                    self.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                )
 
     def withdraw_all_unsent(self, is_affected):
         """Withdraw the affected unsent attempts of all requests, so that they are routed again.
@@ -314,7 +316,7 @@
         now = self.clock()
         for request in list(self.open_requests.values()):
             if not request.answered:
-                self.guarded(request, self.say, request, request.handle.give_up(now), now)
+                self.guarded(request, self.perform, request, request.handle.give_up(now), now)
 
     def on_discovery_lost(self):
         """Tell the router that the endpoint list could not be read."""
@@ -322,7 +324,7 @@
 
     # Actions.
 
-    def say(self, request, actions, now):
+    def perform(self, request, actions, now):
         """Perform the router's actions for one request, in order."""
         for action in actions:
             match action:
@@ -330,7 +332,7 @@
                     out = request.attempts[action.number] = OpenAttempt(
                         request, action.number, action.cache, action.fill_source, now, now + action.timeout
                     )
-                    if self.wanted.log_gets:
+                    if self.config.log_gets:
                         request.trace.append(
                             (now, f"attempt {action.number} {self._describe_target(action)}")
                         )
@@ -338,37 +340,41 @@
                         # The event loop reports the close only after what it still handles in this iteration, but
                         # the client no longer waits.
                         self.loop.call_soon(
-                            self.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                            self.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
                         )
                         self.client_left(request)
                         continue
                     if (
                         previous := request.attempts.get(action.number - 1)
                     ) is not None and previous.outcome is not None:
-                        self.book.count(f"retries_after_{previous.outcome.name.lower()}")
-                    if self.places is not None:
-                        self.places.sent(request, out, action, now)
+                        self.counters.count(f"retries_after_{previous.outcome.name.lower()}")
+                    if self.fill_quota is not None:
+                        self.fill_quota.sent(request, out, action, now)
                     self.servers.forward(out, action)
                     self._add_timeout(out)
-                    self.armed_by(out.limit)
+                    self.bring_timer_forward(out.limit)
                 case AwaitSlot():
-                    self.places.waits(request, action.fill_source, now)
+                    self.fill_quota.waits(request, action.fill_source, now)
                 case RejectRequest():
-                    self.book.count("gets_shed")
-                    self.book.count("gets_shed_after_attempts" if request.attempts else "gets_shed_unsent")
+                    self.counters.count("gets_shed")
+                    self.counters.count(
+                        "gets_shed_after_attempts" if request.attempts else "gets_shed_unsent"
+                    )
                     self.withdraw_unsent(request)
                     retry_after_header = (
                         b"X-Come-Back-Ms: %d\r\n" % (action.retry_after // MS) if action.retry_after else b""
                     )
                     self.response_writer.respond(request, 503, headers=retry_after_header)
                 case FailRequest():
-                    self.book.count("gets_errored")
+                    self.counters.count("gets_errored")
                     self.withdraw_unsent(request)
                     self.response_writer.respond(request, 502)
                 case CancelAttempt():
                     out = request.attempts[action.number]
                     self.servers.cancel(out)
-                    self.loop.call_soon(self.ended, out, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, {})
+                    self.loop.call_soon(
+                        self.on_attempt_ended, out, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, {}
+                    )
         if request.handle.is_settled():
             self.forget(request)
 
@@ -383,7 +389,7 @@
             self.timeouts_compact_at = max(TIMEOUT_HEAP_COMPACT_MIN, 2 * len(self.attempt_timeouts))
         heapq.heappush(self.attempt_timeouts, (out.limit, next(self.tie_breakers), out))
 
-    def armed_by(self, due):
+    def bring_timer_forward(self, due):
         """Bring the timer forward if `due` is earlier."""
         if self.timer_due is None or due < self.timer_due:
             self.arm(self.clock())
@@ -428,12 +434,14 @@
 
     def _time_out(self, out):
         never_executed = self.servers.cancel(out, timed_out=True)
-        self.ended(out, never_executed or AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, 0, {})
+        self.on_attempt_ended(out, never_executed or AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, 0, {})
 
     def _run_router_timers(self, now):
         for handle, actions in self.router.on_timer(now):
             if handle in self.open_requests:
-                self.guarded(self.open_requests[handle], self.say, self.open_requests[handle], actions, now)
+                self.guarded(
+                    self.open_requests[handle], self.perform, self.open_requests[handle], actions, now
+                )
 
     def guarded(self, request, action, *arguments):
         """Call `action`; if it raises, the request gets its one response (500) and other requests go on."""
@@ -453,7 +461,7 @@
         if fault is not None:
             return self.fault(fault)
         self.log("fault", error=str(context.get("message", ""))[:200], where="loop")
-        self.book.count("faults")
+        self.counters.count("faults")
 
     def fault(self, fault):
         """Log and count an unexpected exception."""
@@ -461,4 +469,4 @@
         self.log(
             "fault", error=f"{type(fault).__name__}: {fault}", where=f"{at.name}:{at.lineno}" if at else ""
         )
-        self.book.count("faults")
+        self.counters.count("faults")
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -85,7 +85,7 @@
 
     def __init__(self, servers, driver, pool, settings, limits):
         self.servers, self.driver, self.buffers, self.limits = servers, driver, pool, limits
-        self.loop, self.instance = asyncio.get_running_loop(), getattr(driver.wanted, "name", "")
+        self.loop, self.instance = asyncio.get_running_loop(), getattr(driver.config, "name", "")
         self.timer, self.armed = None, None
         self.active = {}  # id -> place with connections, or whose pool has something due
         self.log = driver.log
@@ -194,7 +194,7 @@
                     self._open(place, one.connection)
                 case RefuseRequest():
                     self.loop.call_soon(
-                        self.driver.ended, one.forward.out, one.outcome, CacheStatus.UNKNOWN, 0, {}
+                        self.driver.on_attempt_ended, one.forward.out, one.outcome, CacheStatus.UNKNOWN, 0, {}
                     )
                 case SendPing():
                     connection = place.held.connections[one.connection]
@@ -213,14 +213,18 @@
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
         left = self.driver.sending.left(out, self.driver.clock())
         if left is None:
-            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+            self.loop.call_soon(
+                self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+            )
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
         fields = mapping.request(place.held.authority, out.get, waiting.said, waiting.source, left)
         stream = connection.session.request(
             waiting, fields, out.get.body, mapping.only_if_cached(waiting.said)
         )
         if stream is None:
-            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+            self.loop.call_soon(
+                self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+            )
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
         waiting.connection, waiting.stream, out.progress = connection, stream, Progress.PARTLY
         self.driver.sending.began(out, self.driver.clock())
@@ -354,15 +358,15 @@
             return
         said = mapping.meaning(event.status, event.fields, event.body, event.stream.cached_only, out.get.have)
         if said.row is not None:
-            self.driver.book.count(f"evidence {said.row.name}")
+            self.driver.counters.count(f"evidence {said.row.name}")
         if said.returned is not None:
-            self.driver.returned(out, said.returned)
-        self.driver.ended(out, said.outcome, said.found, said.waited, said.load)
+            self.driver.on_response(out, said.returned)
+        self.driver.on_attempt_ended(out, said.outcome, said.found, said.waited, said.load)
 
     def _tell(self, out, row, now):
         if not out.ended:
-            self.driver.book.count(f"evidence {row.name}")
-            self.driver.ended(out, row.outcome, CacheStatus.UNKNOWN, 0, {}, now)
+            self.driver.counters.count(f"evidence {row.name}")
+            self.driver.on_attempt_ended(out, row.outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
     def _want_flush(self, connection):
         """Once a turn of the loop: requests that begin together go out together."""
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -59,7 +59,9 @@
         get = out.get
         connection = self._connection(place, get, out.at)
         if connection is None:  # no room here: nothing is known of the cache
-            self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+            self.loop.call_soon(
+                self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+            )
             return
         # Never again on this one: a late answer, or a second copy of one, would bear the same id.
         get.left_on.append(connection)
@@ -209,7 +211,9 @@
         if connection.open.get(out.get.id) is out:
             del connection.open[out.get.id]
         self._rests(connection)
-        self.loop.call_soon(self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+        self.loop.call_soon(
+            self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+        )
 
     def _send_later(self, connection, sent):
         if sent or not connection.writing:
@@ -313,7 +317,7 @@
                 AttemptOutcome.NOT_SENT if was_up or connection.in_reach else AttemptOutcome.UNREACHABLE
             )
             outcome = AttemptOutcome.RESET if out.progress is Progress.WHOLE else never_executed
-            self.driver.ended(out, outcome, CacheStatus.UNKNOWN, 0, {}, now)
+            self.driver.on_attempt_ended(out, outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
     def _answered(self, connection, answer):
         connection.used = connection.answered = connection.heard
@@ -328,8 +332,8 @@
         del connection.open[answer.id]
         self._rests(connection)
         if outcome is AttemptOutcome.RETURNED:
-            self.driver.returned(out, codec.returned(answer))
-        self.driver.ended(out, outcome, found, waited, load)
+            self.driver.on_response(out, codec.returned(answer))
+        self.driver.on_attempt_ended(out, outcome, found, waited, load)
         if connection.place.gone and not connection.open:
             self.close(connection)
 
@@ -354,7 +358,7 @@
         # Looked at once in so long, not at each read: large answers come in many.
         connection.watched, due = True, self.driver.clock() + STALLED
         self.stalls.append((due, connection))
-        self.driver.armed_by(due)
+        self.driver.bring_timer_forward(due)
 
     def sweep(self, now):
         """Close connections that were idle for too long."""
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -75,7 +75,7 @@
         place = self.places.get(said.cache)
         if place is None:  # nothing is known of the cache
             self.driver.loop.call_soon(
-                self.driver.ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return
         source = self.places.get(said.fill_source) if said.fill_source != said.cache else None
--- a/standins/driver.py
+++ b/standins/driver.py
@@ -19,8 +19,12 @@
 
 class Recorder:
     def __init__(self, addresses, speaks="http2", limits=None, most=341, **settings):
-        self.loop, self.wanted, self.book = asyncio.get_running_loop(), SimpleNamespace(name="n0"), Counters()
-        self.sending = Sending(self.book.count)
+        self.loop, self.config, self.counters = (
+            asyncio.get_running_loop(),
+            SimpleNamespace(name="n0"),
+            Counters(),
+        )
+        self.sending = Sending(self.counters.count)
         self.ends, self.answers, self.logged, self.waiting = {}, {}, [], {}
         wanted = SimpleNamespace(
             http2=limits, speaks=lambda name: name == speaks, transport=lambda *_: speaks
@@ -63,13 +67,13 @@
     def fault(self, fault):
         self.logged.append(("fault", {"error": f"{type(fault).__name__}: {fault}"}))
 
-    def armed_by(self, due):
+    def bring_timer_forward(self, due):
         self.loop.call_later(max(0, due - self.clock()) / 1e9, lambda: self.servers.due(self.clock()))
 
-    def returned(self, out, said):
+    def on_response(self, out, said):
         self.answers[out] = said
 
-    def ended(self, out, outcome, found, waited, load, at=None):
+    def on_attempt_ended(self, out, outcome, found, waited, load, at=None):
         if not out.ended:
             out.ended = True
             self.ends[out] = outcome, found, at
--- a/tests/front/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -35,7 +35,7 @@
         made = driver.Driver(
             configured(dial), BufferPool(8), lambda event, **fields: logged.append((event, fields))
         )
-        for _, news in made.wanted.known:
+        for _, news in made.config.known:
             made.on_discovery_event(news)
         return await act(made, logged)
 
@@ -87,7 +87,7 @@
 def test_housekeeping_goes_on_after_a_sweep_that_raises(monkeypatch):
     async def act(made, logged):
         reader, swept = (
-            ConnectionReader(made, made.servers.transports["lines"].pool, 8, made.wanted.times),
+            ConnectionReader(made, made.servers.transports["lines"].pool, 8, made.config.times),
             [],
         )
 
@@ -143,7 +143,7 @@
 def test_a_server_with_an_invalid_host_name_is_unreachable_and_leaves_no_connection(dial):
     async def act(made, logged):
         ended = []
-        made.ended = lambda out, outcome, found, waited, load, at=None: ended.append(outcome)
+        made.on_attempt_ended = lambda out, outcome, found, waited, load, at=None: ended.append(outcome)
         kept = send_request(made)
         end = time.monotonic() + 3
         while not ended and time.monotonic() < end:
@@ -160,7 +160,7 @@
 
     async def act(made, logged):
         ended = []
-        made.ended = lambda out, outcome, found, waited, load, at=None: ended.append(outcome)
+        made.on_attempt_ended = lambda out, outcome, found, waited, load, at=None: ended.append(outcome)
 
         def raises(self, data):
             raise KeyError("broken")
--- a/tests/front/test_deadline_sent.py
+++ b/tests/front/test_deadline_sent.py
@@ -85,7 +85,7 @@
         await asyncio.sleep(1.6)
         made.send(1, "c" * 16, timeout=8_000_000_000)
         await receive_line(sock, b"c" * 16)  # it would have arrived before this one
-        return await made.end(second), made.book.counts["sends_refused late"]
+        return await made.end(second), made.counters.counts["sends_refused late"]
 
     assert run_behind_blocked_connection(act) == (AttemptOutcome.NOT_SENT, 1)
 
