--- a/benchmarks/http2_closes.py
+++ b/benchmarks/http2_closes.py
@@ -65,7 +65,7 @@
 
         class Watched(driver_class):
             def _on_attempt_ended(self, out, outcome, *rest):
-                verdicts[out.get.id.decode(), out.number] = outcome
+                verdicts[out.request.id.decode(), out.number] = outcome
                 return super()._on_attempt_ended(out, outcome, *rest)
 
         return Watched
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -172,15 +172,15 @@
             return
         if forward.fill_source == wait.source and not forward.only_if_cached:
             wait.out = out
-            out.place = wait
-            out.limit = min(out.limit, now + self.settings.fill_time_max)
+            out.slot = wait
+            out.deadline = min(out.deadline, now + self.settings.fill_time_max)
 
     def ended(self, out, outcome, found, waited, now):
         """An attempt ended; `found`: the server's cache status, `waited`: ns of the fill by its answer, or 0."""
-        wait = out.place
+        wait = out.slot
         if wait is None:
             return
-        out.place = None
+        out.slot = None
         if self.waits_by_request.get(wait.get) is wait:
             del self.waits_by_request[wait.get]
         monotonic = time.monotonic_ns()
@@ -190,9 +190,9 @@
         elif outcome.never_executed or found in CACHE_HITS:
             self._perform(self.quotas.slot_unused(wait, monotonic))
         else:
-            duration = now - out.at
+            duration = now - out.decided_at
             on_time = outcome is AttemptOutcome.RETURNED and duration <= self.driver.router.latency_objective(
-                wait.get.asked
+                wait.get.routing_request
             )
             self._perform(self.quotas.fill_ended(wait, waited or duration, on_time, monotonic))
 
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -99,14 +99,14 @@
         client.open_request, self.requests_by_id[request.id], request.client_deadline = (
             request,
             request,
-            now + max(0, request.asked.ttl),
+            now + max(0, request.routing_request.ttl),
         )
         request.trace.append((now, "read"))
         if self.fill_quota is not None:
             request.tenant = self.fill_quota.tenant(http_request.headers)
         if len(self.open_requests) >= self.max_open_requests:
             self.counters.count("shed_over_bound")
-            request.handle = self.router.start_request(request.asked, now)
+            request.handle = self.router.start_request(request.routing_request, now)
             self.guarded(request, self.perform, request, request.handle.give_up(now), now)
             return
         self.guarded(request, self._begin_routing, request, now)
@@ -114,24 +114,28 @@
     def _begin_routing(self, request, now):
         if self._respond_from_cache(request, now):
             return self.forget(request)
-        request.handle = self.router.start_request(request.asked, now)
+        request.handle = self.router.start_request(request.routing_request, now)
         actions = request.handle.route(now)
         self.open_requests[request.handle] = request
         self.perform(request, actions, now)
 
     def _respond_from_cache(self, request, now):
         """Respond from the front's own cache if it has the object and the router allows it; return whether it did."""
-        key = request.ds, request.thing, request.part
+        key = request.ds, request.object_key, request.part
         cached = self.response_cache.find(key)
         if (
             cached is None
-            or request.asked.write
+            or request.routing_request.write
             or not self.router.may_answer_from_own_copy(
-                request.asked, cached.generated_at, cached.stored_at, self.response_cache.link_wait(now), now
+                request.routing_request,
+                cached.generated_at,
+                cached.stored_at,
+                self.response_cache.link_wait(now),
+                now,
             )
         ):
             return False
-        not_modified = cached.etag and request.have == cached.etag
+        not_modified = cached.etag and request.if_none_match == cached.etag
         self.response_cache.record_sent(
             key, len(cached.body) // 20 if not_modified else len(cached.body), now
         )
@@ -151,20 +155,20 @@
         failures of the server.
         """
         if not out.ended:
-            self.guarded(out.get, self._on_attempt_ended, out, outcome, found, waited, load, at)
+            self.guarded(out.request, self._on_attempt_ended, out, outcome, found, waited, load, at)
 
     def _on_attempt_ended(self, out, outcome, found, waited, load, at):
-        now, request = at or self.clock(), out.get
+        now, request = at or self.clock(), out.request
         out.ended, out.outcome, out.may_have_run = True, outcome, not outcome.never_executed
         request.trace.append((now, f"attempt {out.number} {outcome.name.lower()}"))
         self.counters.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
-            self.fleet.forwarded(out.cache, outcome, found, now - out.at, request.asked)
+            self.fleet.forwarded(out.cache, outcome, found, now - out.decided_at, request.routing_request)
         finished = request.answered or request.client.open_request is not request
         actions = request.handle.attempt_ended(
-            out.number, outcome, found, now - out.at, waited, load, finished, now
+            out.number, outcome, found, now - out.decided_at, waited, load, finished, now
         )
-        if out.place is not None:
+        if out.slot is not None:
             self.fill_quota.ended(out, outcome, found, waited, now)
         if actions:
             self.perform(request, actions, now)
@@ -203,7 +207,7 @@
             "get",
             id=request.id.decode("latin-1"),
             ds=request.ds,
-            object=request.thing,
+            object=request.object_key,
             part=request.part,
             story=[f"{(at - began) // MS} {event}" for at, event in request.trace],
         )
@@ -211,16 +215,16 @@
     def on_response(self, out, response):
         """Pass the first response that a server returns on to the client unchanged."""
         if response.still_good:
-            self.response_writer.respond(out.get, 304, headers=etag_header(response.tag))
+            self.response_writer.respond(out.request, 304, headers=etag_header(response.tag))
         else:
-            self.response_writer.respond(out.get, 200, response.body, etag_header(response.tag))
-            request, now = out.get, self.clock()
+            self.response_writer.respond(out.request, 200, response.body, etag_header(response.tag))
+            request, now = out.request, self.clock()
             generated_at = self._generated_at(out, response, now)
             if generated_at is not None and self.router.should_store_own_copy(
-                request.asked, generated_at, now
+                request.routing_request, generated_at, now
             ):
                 self.response_cache.put(
-                    (request.ds, request.thing, request.part),
+                    (request.ds, request.object_key, request.part),
                     CachedResponse(response.body, response.tag, generated_at, now),
                 )
         self.counters.count("gets_returned")
@@ -228,7 +232,7 @@
     def _generated_at(self, out, response, now):
         """Return the earliest time at which a response was generated, on this front's clock; None where unknown."""
         if response.age is not None:
-            return out.at - response.age
+            return out.decided_at - response.age
         self.platform.copy_stamped(response.made, out.cache, now)
         self.router.platform_clock_offset = self.platform.least_offset
         age = self.platform.copy_age(response.made, now) if response.made else None
@@ -282,9 +286,9 @@
             self.router.invalidate(event.object, event.group, self.platform.age(event.at, now), now)
             # The maximum age that an attempt accepts was computed before this invalidation.
             self.withdraw_all_unsent(
-                lambda out: event.group == out.get.asked.group
+                lambda out: event.group == out.request.routing_request.group
                 if event.object < 0
-                else event.object == out.get.asked.object
+                else event.object == out.request.routing_request.object
             )
         self.arm(now)
 
@@ -352,7 +356,7 @@
                         self.fill_quota.sent(request, out, action, now)
                     self.servers.forward(out, action)
                     self._add_timeout(out)
-                    self.bring_timer_forward(out.limit)
+                    self.bring_timer_forward(out.deadline)
                 case AwaitSlot():
                     self.fill_quota.waits(request, action.fill_source, now)
                 case RejectRequest():
@@ -387,7 +391,7 @@
             self.attempt_timeouts = [entry for entry in self.attempt_timeouts if not entry[2].ended]
             heapq.heapify(self.attempt_timeouts)
             self.timeouts_compact_at = max(TIMEOUT_HEAP_COMPACT_MIN, 2 * len(self.attempt_timeouts))
-        heapq.heappush(self.attempt_timeouts, (out.limit, next(self.tie_breakers), out))
+        heapq.heappush(self.attempt_timeouts, (out.deadline, next(self.tie_breakers), out))
 
     def bring_timer_forward(self, due):
         """Bring the timer forward if `due` is earlier."""
@@ -430,7 +434,7 @@
         while self.attempt_timeouts and self.attempt_timeouts[0][0] <= now:
             out = heapq.heappop(self.attempt_timeouts)[2]
             if not out.ended:
-                self.guarded(out.get, self._time_out, out)
+                self.guarded(out.request, self._time_out, out)
 
     def _time_out(self, out):
         never_executed = self.servers.cancel(out, timed_out=True)
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -67,7 +67,7 @@
 
     def check_attempt(self, out, now):
         """Check an attempt whose first byte was just sent."""
-        request = out.get
+        request = out.request
         request.trace.append((now, f"attempt {out.number} sent"))
         attempt = {"attempt": out.number, "server": out.cache}
         if request.answered:
@@ -88,7 +88,7 @@
             out.cache in self.unavailable_servers or out.source in self.unavailable_servers
         ):
             self.report_violation("attempt_to_draining", request, source=out.source, **attempt)
-        if out.limit > request.client_deadline + ATTEMPT_DEADLINE_TOLERANCE:
+        if out.deadline > request.client_deadline + ATTEMPT_DEADLINE_TOLERANCE:
             self.report_violation("wait_over_patience", request, **attempt)
         if out.number >= self.most_attempts:
             self.report_violation("attempts_over_cap", request, **attempt)
@@ -127,7 +127,7 @@
             self.log("invariant_broken", rule="left_over", ids=ids, buffers=buffers)
 
     def _effect(self, request):
-        ds = request.asked.delivery_service
+        ds = request.routing_request.delivery_service
         return self.effects[ds] if ds < len(self.effects) and self.effects[ds] is not None else "idempotent"
 
     @staticmethod
--- a/sprucegate/front/open_requests.py
+++ b/sprucegate/front/open_requests.py
@@ -6,54 +6,54 @@
 class OpenAttempt:
     """One attempt of an open request.
 
-    :ivar get: its request
+    :ivar request: its OpenRequest
     :ivar number: its number within the request, from 0
     :ivar cache: id of the server that it is sent to
     :ivar source: id of the server from which `cache` fills a miss
-    :ivar at: when it was decided (ns)
-    :ivar limit: when it times out (ns)
+    :ivar decided_at: when the router decided it (ns)
+    :ivar deadline: when it times out (ns)
     :ivar transport: the transport that sends it
     :ivar connection: the connection that carries it, None before it has one
     :ivar progress: how much of it was sent
     :ivar ended: whether its outcome is known
-    :ivar place: its slot of the quota of concurrent fills, or None
-    :ivar said: the arguments from which the transport encodes it when it is sent
+    :ivar slot: its slot of the quota of concurrent fills, or None
+    :ivar send_arguments: the arguments from which the transport encodes it when it is sent
     :ivar may_have_run: True until its outcome proves that it was never executed
     :ivar outcome: its AttemptOutcome, None until it has ended
     """
 
     __slots__ = (
-        "get",
+        "request",
         "number",
         "cache",
         "source",
-        "at",
-        "limit",
+        "decided_at",
+        "deadline",
         "transport",
         "connection",
         "progress",
         "ended",
-        "place",
-        "said",
+        "slot",
+        "send_arguments",
         "may_have_run",
         "outcome",
     )
 
-    def __init__(self, get, number, cache, source, at, limit):
-        self.get = get
+    def __init__(self, request, number, cache, source, decided_at, deadline):
+        self.request = request
         self.number = number
         self.cache = cache
         self.source = source
-        self.at = at
-        self.limit = limit
+        self.decided_at = decided_at
+        self.deadline = deadline
         self.transport = None
         self.connection = None
         self.progress = Progress.NOT_SENT
         self.ended = False
         self.may_have_run = True
         self.outcome = None
-        self.said = None
-        self.place = None
+        self.send_arguments = None
+        self.slot = None
 
 
 class OpenRequest:
@@ -62,14 +62,15 @@
     :ivar client: its ClientConnection
     :ivar id: the client's call id
     :ivar ds: name of its delivery service
-    :ivar thing: key of its object, hexadecimal
+    :ivar object_key: key of its object, hexadecimal
     :ivar part: number of the slice of the object
-    :ivar have: entity tag of the client's stored response; "" where it has none
+    :ivar if_none_match: entity tag of the client's stored response; "" where it has none
     :ivar body: its content
-    :ivar asked: the request as the router's event
+    :ivar routing_request: the request as an event of the router
     :ivar handle: the router's handle, None before the router has it
     :ivar attempts: its OpenAttempts by number
-    :ivar left_on: connections on which an attempt was cancelled: a late response there would carry the same id
+    :ivar used_connections: connections to which an attempt was assigned; no other attempt uses them, since a late
+        response there would carry the same id
     :ivar answered: whether its response was written, or its client has disconnected
     :ivar tenant: index of the tenant whose share of the fills' quota it uses
     :ivar token: idempotency key by which servers recognise a repeat; "" where it has none
@@ -82,14 +83,14 @@
         "client",
         "id",
         "ds",
-        "thing",
+        "object_key",
         "part",
-        "have",
+        "if_none_match",
         "body",
-        "asked",
+        "routing_request",
         "handle",
         "attempts",
-        "left_on",
+        "used_connections",
         "answered",
         "tenant",
         "token",
@@ -98,15 +99,15 @@
         "trace",
     )
 
-    def __init__(self, client, call_id, ds, thing, part, have, body, asked, token=""):
+    def __init__(self, client, call_id, ds, object_key, part, if_none_match, body, routing_request, token=""):
         self.client = client
         self.id = call_id
         self.ds = ds
-        self.thing = thing
+        self.object_key = object_key
         self.part = part
-        self.have = have
+        self.if_none_match = if_none_match
         self.body = body
-        self.asked = asked
+        self.routing_request = routing_request
         self.handle = None
         self.attempts = {}
         self.answered = False
@@ -115,4 +116,4 @@
         self.client_deadline = 0
         self.client_left_at = None
         self.trace = []
-        self.left_on = []
+        self.used_connections = []
--- a/sprucegate/front/response_writer.py
+++ b/sprucegate/front/response_writer.py
@@ -23,7 +23,9 @@
         if request.answered:
             return
         named = (
-            status != http.NOT_MODIFIED or bool(request.have) and headers == http.etag_header(request.have)
+            status != http.NOT_MODIFIED
+            or bool(request.if_none_match)
+            and headers == http.etag_header(request.if_none_match)
         )
         self.driver.invariants.check_response(request, status, named, self.driver.clock())
         request.answered = True
--- a/sprucegate/upstream/http2/mapping.py
+++ b/sprucegate/upstream/http2/mapping.py
@@ -55,11 +55,11 @@
 
     `left` is what the client still waits (ns) when it is sent.
     """
-    path = b"/svc/%b/%b/slice-%d" % (get.ds.encode(), get.thing.encode(), get.part)
+    path = b"/svc/%b/%b/slice-%d" % (get.ds.encode(), get.object_key.encode(), get.part)
     # What differs from GET to GET is kept out of the peer's table (RFC 7541 section 6.2.3), or it would push out
     # what repeats; that also spares 8% of the cost of sending.
     fields = [
-        (b":method", b"PUT" if get.asked.write else b"GET"),
+        (b":method", b"PUT" if get.routing_request.write else b"GET"),
         (b":scheme", b"http"),
         (b":authority", authority),
         Once(b":path", path),
@@ -74,8 +74,8 @@
         control.append("only-if-cached")
     if control:
         fields.append((b"cache-control", ", ".join(control).encode()))
-    if get.have:
-        fields.append((b"if-none-match", b'"%b"' % get.have.encode()))
+    if get.if_none_match:
+        fields.append((b"if-none-match", b'"%b"' % get.if_none_match.encode()))
     if get.token:
         fields.append(Once(b"idempotency-key", ser_string(get.token).encode()))
     fill = []
@@ -97,7 +97,7 @@
     ]
     if fill:
         fields.append((b"spruce-fill", ", ".join(fill).encode()))
-    if get.body or get.asked.write:
+    if get.body or get.routing_request.write:
         fields.append((b"content-length", b"%d" % len(get.body)))
     return fields
 
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -122,7 +122,7 @@
         """Send an attempt; its end is told to the driver."""
         place.held.pool.back()
         out.connection = waiting = Waiting(out, said, source)
-        self._do(place, place.held.pool.ask(waiting, out.at))
+        self._do(place, place.held.pool.ask(waiting, out.decided_at))
 
     def withdraw(self, out):
         """Takes a forward back that still waits for a stream; whether it could."""
@@ -217,9 +217,9 @@
                 self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return self._do(place, place.held.pool.freed(one.connection, False, self.driver.clock()))
-        fields = mapping.request(place.held.authority, out.get, waiting.said, waiting.source, left)
+        fields = mapping.request(place.held.authority, out.request, waiting.said, waiting.source, left)
         stream = connection.session.request(
-            waiting, fields, out.get.body, mapping.only_if_cached(waiting.said)
+            waiting, fields, out.request.body, mapping.only_if_cached(waiting.said)
         )
         if stream is None:
             self.loop.call_soon(
@@ -356,7 +356,9 @@
         out = event.stream.out.out
         if out.ended:
             return
-        said = mapping.meaning(event.status, event.fields, event.body, event.stream.cached_only, out.get.have)
+        said = mapping.meaning(
+            event.status, event.fields, event.body, event.stream.cached_only, out.request.if_none_match
+        )
         if said.row is not None:
             self.driver.counters.count(f"evidence {said.row.name}")
         if said.returned is not None:
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -56,17 +56,17 @@
 
     def forward(self, place, out, said, source):
         """Send an attempt; its end is told to the driver."""
-        get = out.get
-        connection = self._connection(place, get, out.at)
+        get = out.request
+        connection = self._connection(place, get, out.decided_at)
         if connection is None:  # no room here: nothing is known of the cache
             self.loop.call_soon(
                 self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return
         # Never again on this one: a late answer, or a second copy of one, would bear the same id.
-        get.left_on.append(connection)
+        get.used_connections.append(connection)
         self.resting.pop(connection, None)
-        out.connection, connection.used, out.said = connection, out.at, (said, source)
+        out.connection, connection.used, out.send_arguments = connection, out.decided_at, (said, source)
         connection.open[get.id] = out
         self._queue(connection, None, out)
 
@@ -76,11 +76,11 @@
         if (
             out.progress is not Progress.NOT_SENT
             or connection is None
-            or connection.open.get(out.get.id) is not out
+            or connection.open.get(out.request.id) is not out
         ):
             return False
-        del connection.open[out.get.id]
-        out.get.left_on.remove(connection)  # no answer can come here for what never went
+        del connection.open[out.request.id]
+        out.request.used_connections.remove(connection)  # no answer can come here for what never went
         for at, (_, queued) in enumerate(connection.queue):
             if queued is out:
                 del connection.queue[at]
@@ -94,15 +94,15 @@
         if out.progress is Progress.NOT_SENT:  # also where news took it back, and its end is on the way
             return AttemptOutcome.NOT_SENT
         connection = out.connection
-        if connection is None or connection.open.get(out.get.id) is not out:
+        if connection is None or connection.open.get(out.request.id) is not out:
             return None
-        del connection.open[out.get.id]
+        del connection.open[out.request.id]
         self._rests(connection)
         # Left open after a spoilt answer it would serve nothing more, and look just like this. The others on
         # it have waited in vain too where the time is up; where a client left, they may still be answered.
-        silent = connection.answered < out.at
+        silent = connection.answered < out.decided_at
         if not connection.closed and not silent:
-            self._queue(connection, codec.cancel(out.get.id), None)
+            self._queue(connection, codec.cancel(out.request.id), None)
         if not connection.open and (silent or connection.place.gone) or silent and timed_out:
             self.loop.call_soon(self.close, connection)
         return None
@@ -112,7 +112,7 @@
         for connection in list(place.held):
             if not connection.open and connection.up and now - connection.used > self.idle_most:
                 self.close(connection)
-            elif connection in get.left_on or len(connection.open) >= self.streams:
+            elif connection in get.used_connections or len(connection.open) >= self.streams:
                 continue
             elif best is None or self._waits(connection) < self._waits(best):
                 best = connection
@@ -201,15 +201,24 @@
 
     @staticmethod
     def _line(out, left):
-        get, (said, source) = out.get, out.said
+        get, (said, source) = out.request, out.send_arguments
         return codec.serve(
-            get.id, get.ds, get.thing, get.part, said, source, get.have, get.body, get.token, left
+            get.id,
+            get.ds,
+            get.object_key,
+            get.part,
+            said,
+            source,
+            get.if_none_match,
+            get.body,
+            get.token,
+            left,
         )
 
     def _refused(self, connection, out):
         """A forward that must not be sent any more, of which nothing has left."""
-        if connection.open.get(out.get.id) is out:
-            del connection.open[out.get.id]
+        if connection.open.get(out.request.id) is out:
+            del connection.open[out.request.id]
         self._rests(connection)
         self.loop.call_soon(
             self.driver.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
@@ -325,7 +334,7 @@
         if out is None:
             return  # late: its forward has ended already
         try:
-            outcome, found, waited, load = codec.meaning(answer, out.get.have)
+            outcome, found, waited, load = codec.meaning(answer, out.request.if_none_match)
         except codec.MalformedAnswerError as fault:
             connection.reader.fault = connection.reader.fault or str(fault)
             return
--- a/sprucegate/upstream/sending.py
+++ b/sprucegate/upstream/sending.py
@@ -21,15 +21,19 @@
 
     def left(self, out, now):
         """Return the time left for this attempt (ns), or None where it must not be sent any more."""
-        get = out.get
+        get = out.request
         if out.ended or get.answered:
             self.count("sends_refused over")
             return None
-        if (left := out.limit - now) <= 0:
+        if (left := out.deadline - now) <= 0:
             self.count("sends_refused late")
             return None
         # The driver checked the client when it decided this attempt; for a short time that still holds.
-        if now - out.at > CLIENT_CHECK_VALID_NS and get.client is not None and get.client.peer_has_closed():
+        if (
+            now - out.decided_at > CLIENT_CHECK_VALID_NS
+            and get.client is not None
+            and get.client.peer_has_closed()
+        ):
             self.count("sends_refused client_left")
             return None
         return left
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -468,7 +468,7 @@
 
 async def answer_attempt(made, sock, out):
     """Receive an attempt on this connection as its server, answer it there, and return its outcome."""
-    call_id = out.get.id
+    call_id = out.request.id
     assert call_id in await made.loop.sock_recv(sock, 4096)
     await made.loop.sock_sendall(sock, served(call_id, {}))
     return await made.end(out)
@@ -545,7 +545,7 @@
         await loop.sock_sendall(
             sock, served(b"f" * 16, {})
         )  # bytes arrived, so a time-out of an attempt does not close it
-        while held.answered < first.at:
+        while held.answered < first.decided_at:
             await asyncio.sleep(0)
         made.list({1: slow_server.address})  # the cache has a new address, which does not answer the connect
         assert made.servers.withdraw(
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -60,7 +60,13 @@
 def test_time_waited_before_admission_is_subtracted_from_the_patience():
     (request,) = RequestReader().feed(get_text(extra='If-None-Match: "4be0"\r\n'))
     get = admit(None, request, {"media": 0}, {}, {}, 30_000_000)
-    assert (get.asked.ttl, get.asked.object, get.asked.part, get.asked.group, get.have) == (
+    assert (
+        get.routing_request.ttl,
+        get.routing_request.object,
+        get.routing_request.part,
+        get.routing_request.group,
+        get.if_none_match,
+    ) == (
         1_470_000_000,
         0x7F3A9C21E0B4D655,
         3,
--- a/tests/front/test_invariants.py
+++ b/tests/front/test_invariants.py
@@ -66,7 +66,7 @@
         ("attempt_to_draining", lambda c: c.invariants.record_endpoint_list({11}, {11, 21}, False)),
         (
             "wait_over_patience",
-            lambda c: setattr(c.out, "limit", c.get.client_deadline + ATTEMPT_DEADLINE_TOLERANCE + 1),
+            lambda c: setattr(c.out, "deadline", c.get.client_deadline + ATTEMPT_DEADLINE_TOLERANCE + 1),
         ),
         ("attempts_over_cap", lambda c: setattr(c.out, "number", 3)),
     ],
