--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -148,28 +148,30 @@
         self.counters.count("gets_own")
         return True
 
-    def on_attempt_ended(self, out, outcome, found, waited, load, at=None):
+    def on_attempt_ended(self, attempt, outcome, found, waited, load, at=None):
         """Handle the end of an attempt, once.
 
         `at`: one time for all attempts that end together. With a time each, they would count as as many separate
         failures of the server.
         """
-        if not out.ended:
-            self.guarded(out.request, self._on_attempt_ended, out, outcome, found, waited, load, at)
+        if not attempt.ended:
+            self.guarded(attempt.request, self._on_attempt_ended, attempt, outcome, found, waited, load, at)
 
-    def _on_attempt_ended(self, out, outcome, found, waited, load, at):
-        now, request = at or self.clock(), out.request
-        out.ended, out.outcome, out.may_have_run = True, outcome, not outcome.never_executed
-        request.trace.append((now, f"attempt {out.number} {outcome.name.lower()}"))
+    def _on_attempt_ended(self, attempt, outcome, found, waited, load, at):
+        now, request = at or self.clock(), attempt.request
+        attempt.ended, attempt.outcome, attempt.may_have_run = True, outcome, not outcome.never_executed
+        request.trace.append((now, f"attempt {attempt.number} {outcome.name.lower()}"))
         self.counters.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
-            self.fleet.forwarded(out.cache, outcome, found, now - out.decided_at, request.routing_request)
+            self.fleet.forwarded(
+                attempt.cache, outcome, found, now - attempt.decided_at, request.routing_request
+            )
         finished = request.answered or request.client.open_request is not request
         actions = request.handle.attempt_ended(
-            out.number, outcome, found, now - out.decided_at, waited, load, finished, now
+            attempt.number, outcome, found, now - attempt.decided_at, waited, load, finished, now
         )
-        if out.slot is not None:
-            self.fill_quota.ended(out, outcome, found, waited, now)
+        if attempt.slot is not None:
+            self.fill_quota.ended(attempt, outcome, found, waited, now)
         if actions:
             self.perform(request, actions, now)
         elif request.handle.is_settled():
@@ -212,14 +214,14 @@
             story=[f"{(at - began) // MS} {event}" for at, event in request.trace],
         )
 
-    def on_response(self, out, response):
+    def on_response(self, attempt, response):
         """Pass the first response that a server returns on to the client unchanged."""
         if response.still_good:
-            self.response_writer.respond(out.request, 304, headers=etag_header(response.tag))
+            self.response_writer.respond(attempt.request, 304, headers=etag_header(response.tag))
         else:
-            self.response_writer.respond(out.request, 200, response.body, etag_header(response.tag))
-            request, now = out.request, self.clock()
-            generated_at = self._generated_at(out, response, now)
+            self.response_writer.respond(attempt.request, 200, response.body, etag_header(response.tag))
+            request, now = attempt.request, self.clock()
+            generated_at = self._generated_at(attempt, response, now)
             if generated_at is not None and self.router.should_store_own_copy(
                 request.routing_request, generated_at, now
             ):
@@ -229,11 +231,11 @@
                 )
         self.counters.count("gets_returned")
 
-    def _generated_at(self, out, response, now):
+    def _generated_at(self, attempt, response, now):
         """Return the earliest time at which a response was generated, on this front's clock; None where unknown."""
         if response.age is not None:
-            return out.decided_at - response.age
-        self.platform.copy_stamped(response.made, out.cache, now)
+            return attempt.decided_at - response.age
+        self.platform.copy_stamped(response.made, attempt.cache, now)
         self.router.platform_clock_offset = self.platform.least_offset
         age = self.platform.copy_age(response.made, now) if response.made else None
         return None if age is None else now - age
@@ -249,16 +251,16 @@
         self.withdraw_unsent(request)
         self.perform(request, request.handle.client_disconnected(now), now)
 
-    def withdraw_unsent(self, request, is_affected=lambda out: True):
+    def withdraw_unsent(self, request, is_affected=lambda attempt: True):
         """Withdraw the affected attempts of which no byte was sent, and end them as not sent.
 
         Such an attempt waits for a connection to be established, or behind one whose peer reads nothing, for up to
         its request's remaining time.
         """
-        for out in list(request.attempts.values()):
-            if not out.ended and is_affected(out) and self.servers.withdraw(out):
+        for attempt in list(request.attempts.values()):
+            if not attempt.ended and is_affected(attempt) and self.servers.withdraw(attempt):
                 self.loop.call_soon(
-                    self.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                    self.on_attempt_ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
                 )
 
     def withdraw_all_unsent(self, is_affected):
@@ -286,9 +288,9 @@
             self.router.invalidate(event.object, event.group, self.platform.age(event.at, now), now)
             # The maximum age that an attempt accepts was computed before this invalidation.
             self.withdraw_all_unsent(
-                lambda out: event.group == out.request.routing_request.group
+                lambda attempt: event.group == attempt.request.routing_request.group
                 if event.object < 0
-                else event.object == out.request.routing_request.object
+                else event.object == attempt.request.routing_request.object
             )
         self.arm(now)
 
@@ -309,8 +311,8 @@
         named = hosts.names.keys()
         self.invariants.record_endpoint_list(serving, named, hosts.whole)
         self.withdraw_all_unsent(
-            lambda out: any(
-                at not in serving and (hosts.whole or at in named) for at in (out.cache, out.source)
+            lambda attempt: any(
+                at not in serving and (hosts.whole or at in named) for at in (attempt.cache, attempt.source)
             )
         )
         self.arm(self.clock())
@@ -333,7 +335,7 @@
         for action in actions:
             match action:
                 case SendAttempt():
-                    out = request.attempts[action.number] = OpenAttempt(
+                    attempt = request.attempts[action.number] = OpenAttempt(
                         request, action.number, action.cache, action.fill_source, now, now + action.timeout
                     )
                     if self.config.log_gets:
@@ -344,7 +346,12 @@
                         # The event loop reports the close only after what it still handles in this iteration, but
                         # the client no longer waits.
                         self.loop.call_soon(
-                            self.on_attempt_ended, out, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                            self.on_attempt_ended,
+                            attempt,
+                            AttemptOutcome.NOT_SENT,
+                            CacheStatus.UNKNOWN,
+                            0,
+                            {},
                         )
                         self.client_left(request)
                         continue
@@ -353,10 +360,10 @@
                     ) is not None and previous.outcome is not None:
                         self.counters.count(f"retries_after_{previous.outcome.name.lower()}")
                     if self.fill_quota is not None:
-                        self.fill_quota.sent(request, out, action, now)
-                    self.servers.forward(out, action)
-                    self._add_timeout(out)
-                    self.bring_timer_forward(out.deadline)
+                        self.fill_quota.sent(request, attempt, action, now)
+                    self.servers.forward(attempt, action)
+                    self._add_timeout(attempt)
+                    self.bring_timer_forward(attempt.deadline)
                 case AwaitSlot():
                     self.fill_quota.waits(request, action.fill_source, now)
                 case RejectRequest():
@@ -374,15 +381,15 @@
                     self.withdraw_unsent(request)
                     self.response_writer.respond(request, 502)
                 case CancelAttempt():
-                    out = request.attempts[action.number]
-                    self.servers.cancel(out)
+                    attempt = request.attempts[action.number]
+                    self.servers.cancel(attempt)
                     self.loop.call_soon(
-                        self.on_attempt_ended, out, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, {}
+                        self.on_attempt_ended, attempt, AttemptOutcome.CANCELLED, CacheStatus.UNKNOWN, 0, {}
                     )
         if request.handle.is_settled():
             self.forget(request)
 
-    def _add_timeout(self, out):
+    def _add_timeout(self, attempt):
         """Schedule an attempt's time-out.
 
         Entries of ended attempts are removed once the heap has grown, not only when their time comes.
@@ -391,7 +398,7 @@
             self.attempt_timeouts = [entry for entry in self.attempt_timeouts if not entry[2].ended]
             heapq.heapify(self.attempt_timeouts)
             self.timeouts_compact_at = max(TIMEOUT_HEAP_COMPACT_MIN, 2 * len(self.attempt_timeouts))
-        heapq.heappush(self.attempt_timeouts, (out.deadline, next(self.tie_breakers), out))
+        heapq.heappush(self.attempt_timeouts, (attempt.deadline, next(self.tie_breakers), attempt))
 
     def bring_timer_forward(self, due):
         """Bring the timer forward if `due` is earlier."""
@@ -432,13 +439,13 @@
     def _expire_attempts(self, now):
         # Before the router's own timers, so that it learns that an attempt timed out, not that it was cancelled.
         while self.attempt_timeouts and self.attempt_timeouts[0][0] <= now:
-            out = heapq.heappop(self.attempt_timeouts)[2]
-            if not out.ended:
-                self.guarded(out.request, self._time_out, out)
+            attempt = heapq.heappop(self.attempt_timeouts)[2]
+            if not attempt.ended:
+                self.guarded(attempt.request, self._time_out, attempt)
 
-    def _time_out(self, out):
-        never_executed = self.servers.cancel(out, timed_out=True)
-        self.on_attempt_ended(out, never_executed or AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, 0, {})
+    def _time_out(self, attempt):
+        never_executed = self.servers.cancel(attempt, timed_out=True)
+        self.on_attempt_ended(attempt, never_executed or AttemptOutcome.TIMED_OUT, CacheStatus.UNKNOWN, 0, {})
 
     def _run_router_timers(self, now):
         for handle, actions in self.router.on_timer(now):
--- a/sprucegate/front/invariants.py
+++ b/sprucegate/front/invariants.py
@@ -65,35 +65,35 @@
 
     # Checks.
 
-    def check_attempt(self, out, now):
+    def check_attempt(self, attempt, now):
         """Check an attempt whose first byte was just sent."""
-        request = out.request
-        request.trace.append((now, f"attempt {out.number} sent"))
-        attempt = {"attempt": out.number, "server": out.cache}
+        request = attempt.request
+        request.trace.append((now, f"attempt {attempt.number} sent"))
+        fields = {"attempt": attempt.number, "server": attempt.cache}
         if request.answered:
-            self.report_violation("attempt_after_answer", request, **attempt)
+            self.report_violation("attempt_after_answer", request, **fields)
         if (
             request.client_left_at is not None
             and now - request.client_left_at > SEND_AFTER_DISCONNECT_TOLERANCE
         ):
-            self.report_violation("attempt_after_client_left", request, **attempt)
+            self.report_violation("attempt_after_client_left", request, **fields)
         if request.client is not None and request.client.state not in (
             ConnectionState.REQUEST_IN_PROGRESS,
             ConnectionState.CLOSED,
         ):
             self.report_violation(
-                "attempt_without_request", request, phase=request.client.state.name, **attempt
+                "attempt_without_request", request, phase=request.client.state.name, **fields
             )
         if self.unavailable_servers and (
-            out.cache in self.unavailable_servers or out.source in self.unavailable_servers
+            attempt.cache in self.unavailable_servers or attempt.source in self.unavailable_servers
         ):
-            self.report_violation("attempt_to_draining", request, source=out.source, **attempt)
-        if out.deadline > request.client_deadline + ATTEMPT_DEADLINE_TOLERANCE:
-            self.report_violation("wait_over_patience", request, **attempt)
-        if out.number >= self.most_attempts:
-            self.report_violation("attempts_over_cap", request, **attempt)
-        if out.number and self._may_have_run(request, out) and self._effect(request) != "idempotent":
-            self.report_violation("repeated_while_it_may_have_run", request, **attempt)
+            self.report_violation("attempt_to_draining", request, source=attempt.source, **fields)
+        if attempt.deadline > request.client_deadline + ATTEMPT_DEADLINE_TOLERANCE:
+            self.report_violation("wait_over_patience", request, **fields)
+        if attempt.number >= self.most_attempts:
+            self.report_violation("attempts_over_cap", request, **fields)
+        if attempt.number and self._may_have_run(request, attempt) and self._effect(request) != "idempotent":
+            self.report_violation("repeated_while_it_may_have_run", request, **fields)
 
     def check_response(self, request, status, named, now):
         """Check a response that is about to be written; `named`: not a 304, or one with the client's entity tag."""
@@ -131,8 +131,8 @@
         return self.effects[ds] if ds < len(self.effects) and self.effects[ds] is not None else "idempotent"
 
     @staticmethod
-    def _may_have_run(request, out):
+    def _may_have_run(request, attempt):
         return any(
-            number < out.number and (not earlier.ended or earlier.may_have_run)
+            number < attempt.number and (not earlier.ended or earlier.may_have_run)
             for number, earlier in request.attempts.items()
         )
