--- a/benchmarks/http2_closes.py
+++ b/benchmarks/http2_closes.py
@@ -156,7 +156,7 @@
         }
         for name, kind, process in servers
     ]
-    wanted = configuration.wanted(
+    wanted = configuration.parse(
         {
             "name": "n0",
             "seed": f"{seed:x}",
--- a/benchmarks/serverfiles.py
+++ b/benchmarks/serverfiles.py
@@ -283,7 +283,7 @@
     path = Path(folder, "list.kdl")
     small = [server("s-01", "127.0.0.1:1")]
     path.write_text(render(small, LOCATIONS, KINDS))
-    wanted = configuration.wanted(_config(folder, _free_port(), f"127.0.0.1:{listener.getsockname()[1]}"))
+    wanted = configuration.parse(_config(folder, _free_port(), f"127.0.0.1:{listener.getsockname()[1]}"))
     wanted = wanted._replace(membership=parse(_kdl(folder), "f").membership)
     seen = {}
 
--- a/sprucegate/front/configuration.py
+++ b/sprucegate/front/configuration.py
@@ -181,10 +181,10 @@
         raise FrontConfigurationError(f"BALANCER_CONFIG: {path} is not a JSON object")
     for key, variable in (("name", "BALANCER_NAME"), ("listen", "BALANCER_LISTEN")):
         data.setdefault(key, environ.get(variable))
-    return wanted(data)
+    return parse(data)
 
 
-def wanted(data):
+def parse(data):
     """Return the FrontConfiguration of the parsed JSON; raises FrontConfigurationError with the key at fault."""
     number = (int, float)
     locations, kinds = _index_names(data, "settings.failureDomains"), _index_names(data, "settings.shapes")
--- a/tests/front/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -24,7 +24,7 @@
 def configured(dial=None):
     hosts = [] if dial is None else [host("s-0b", dial, "std"), host("s-1f", dial, "origin")]
     known = {"offset": 1, "batch": [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": hosts}}]}
-    return configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
+    return configuration.parse({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
 
 
 def run_in_loop(act, dial=None):
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -460,7 +460,7 @@
 @pytest.mark.parametrize("owner, stage", [(driver.Router, "start_request"), (driver, "admit")])
 def test_a_request_gets_one_response_when_a_processing_stage_raises(owner, stage, monkeypatch):
     known = {"offset": 1, "batch": []}
-    wanted = configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
+    wanted = configuration.parse({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
     logged = []
 
     def raises(*_):
@@ -520,7 +520,7 @@
     """With deadlines of an hour neither the driver nor the router keeps state of a thousand answered requests."""
     hosts = [host("s-0b", "127.0.0.1:9", "std"), host("s-1f", "127.0.0.1:9", "origin")]
     known = {"offset": 1, "batch": [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": hosts}}]}
-    wanted = configuration.wanted({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
+    wanted = configuration.parse({**REAL, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known})
 
     async def run():
         made = driver.Driver(wanted, BufferPool(4), lambda event, **_: None)
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -211,7 +211,7 @@
         at = at[key]
     at[path[-1]] = value
     with pytest.raises(configuration.FrontConfigurationError, match=named.replace("[", r"\[")):
-        configuration.wanted(data)
+        configuration.parse(data)
 
 
 def test_the_pool_reuses_buffers_and_keeps_its_capacity():
--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -59,7 +59,7 @@
 
 def configured(settings):
     known = {"offset": 1, "batch": []}
-    return configuration.wanted(
+    return configuration.parse(
         {**REAL, "settings": settings, "listen": "127.0.0.1:1", "bus": "127.0.0.1:2", "known": known}
     )
 
