--- a/sprucegate/assembly/keep.py
+++ b/sprucegate/assembly/keep.py
@@ -12,7 +12,7 @@
 from sprucegate.fleet.maintenance_agent import ConsensusSettings
 
 
-async def keep(name, fleet, agreement, rollout, log, **trusted):
+async def run_voter(name, fleet, agreement, rollout, log, **trusted):
     """Run a voter until SIGTERM; return the exit status."""
     own_address = agreement.addresses[name]
     incarnation = int.from_bytes(os.urandom(4), "big")
--- a/sprucegate/cli/rollout.py
+++ b/sprucegate/cli/rollout.py
@@ -117,7 +117,7 @@
     """Keep the agreed log as NAME of the file's keepers, and do nothing else."""
     import uvloop
 
-    from sprucegate.assembly.keep import keep
+    from sprucegate.assembly.keep import run_voter
     from sprucegate.cli.structured_logging import structured
 
     try:
@@ -130,7 +130,7 @@
         _fail(f"{path}: agreement.keepers: names no {name}", False, 2)
     sys.exit(
         uvloop.run(
-            keep(
+            run_voter(
                 name,
                 said.fleet,
                 said.agreement,
