--- a/sprucegate/cli/structured_logging.py
+++ b/sprucegate/cli/structured_logging.py
@@ -7,7 +7,7 @@
 import structlog
 
 from sprucegate import clock
-from sprucegate.front.log import Writer
+from sprucegate.front.log import LineWriter
 
 
 class _Lines:
@@ -22,7 +22,7 @@
 
 def structured(name, fd=1):
     """A log as the front calls it, `log(event, **fields)`; `log.bind(key=value)` gives one with more fields."""
-    writer = Writer(fd)
+    writer = LineWriter(fd)
 
     def stamped(_logger, _method, event):
         said = {"at": clock.unix() // 1_000_000, "front": name, "event": event.pop("event"), **event}
--- a/sprucegate/front/log.py
+++ b/sprucegate/front/log.py
@@ -8,7 +8,7 @@
 from sprucegate.units import MILLISECOND
 
 
-class Writer:
+class LineWriter:
     """Writes whole lines to a descriptor without blocking; buffers at most the unwritten rest of one line.
 
     :ivar dropped: lines dropped since the last one that was written
@@ -40,7 +40,7 @@
 
     def __init__(self, name, fd=1):
         self.name = name
-        self.writer = Writer(fd)
+        self.writer = LineWriter(fd)
 
     def __call__(self, event, **fields):
         """Write one event; it contains the number of lines dropped before it, if any."""
