--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -32,7 +32,9 @@
 
 async def serve(config, log=None):
     """Serve until SIGTERM, then complete all requests accepted; return the exit status."""
-    loop, log, pool = asyncio.get_running_loop(), log or Log(config.name), BufferPool(config.descriptors)
+    loop = asyncio.get_running_loop()
+    log = log or Log(config.name)
+    pool = BufferPool(config.descriptors)
     stop = asyncio.Event()
     # Before the rest of the start: a SIGTERM during the start takes effect at its end.
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -170,7 +172,8 @@
     At a restart the address is mostly held by the previous process, or by an outgoing connection that was assigned
     the port.
     """
-    deadline, logged = time.monotonic() + LISTEN_RETRY_LIMIT_S, False
+    deadline = time.monotonic() + LISTEN_RETRY_LIMIT_S
+    logged = False
     while True:
         listener = None
         try:
--- a/sprucegate/front/admission.py
+++ b/sprucegate/front/admission.py
@@ -38,7 +38,8 @@
 
     `waited`: how long the request waited before it was read (ns), which counts against its patience.
     """
-    headers, match = request.headers, TARGET.fullmatch(request.target)
+    headers = request.headers
+    match = TARGET.fullmatch(request.target)
     if not match:
         return RejectedRequest(404, "no such path")
     ds_name, object_key, part = match.groups()
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -28,21 +28,18 @@
     """
 
     def __init__(self, driver, pool, max_connections, timeouts, repeatable=frozenset()):
-        self.driver, self.pool, self.max_connections, self.timeouts, self.repeatable = (
-            driver,
-            pool,
-            max_connections,
-            timeouts,
-            repeatable,
-        )
-        self.clients, self.loop = {}, asyncio.get_running_loop()
+        self.driver = driver
+        self.pool = pool
+        self.max_connections = max_connections
+        self.timeouts = timeouts
+        self.repeatable = repeatable
+        self.loop = asyncio.get_running_loop()
+        self.clients = {}
         self.without_request = {}
-        self.pending_requests, self.dispatch_scheduled, self.listener, self.resume_timer = (
-            deque(),
-            False,
-            None,
-            None,
-        )
+        self.pending_requests = deque()
+        self.dispatch_scheduled = False
+        self.listener = None
+        self.resume_timer = None
         self.accept_queue_empty = False
 
     # Connections.
@@ -184,7 +181,8 @@
     # Requests.
 
     def _on_data(self, client, data):
-        now, was_started = self.driver.clock(), client.reader.request_started
+        now = self.driver.clock()
+        was_started = client.reader.request_started
         requests = client.reader.feed(data)
         arrived = now - waited(client.sock) if requests else now
         if (
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -45,27 +45,29 @@
     """
 
     def __init__(self, config, pool, log, clock=system.now):
-        self.config, self.log, self.clock, self.loop = config, log, clock, asyncio.get_running_loop()
+        self.config = config
+        self.log = log
+        self.clock = clock
+        self.loop = asyncio.get_running_loop()
         self.platform = system.PlatformTime()
         self.router = Router(RoutingSettings.from_mapping(config.settings), config.seed, clock())
-        self.response_writer, self.counters, self.ready, self.drained = (
-            ResponseWriter(self),
-            Counters(),
-            False,
-            False,
-        )
+        self.response_writer = ResponseWriter(self)
+        self.counters = Counters()
+        self.ready = False
+        self.drained = False
         self.invariants = Invariants(config.settings, self.counters.count, log)
         self.sending = Sending(self.counters.count, self.invariants.check_attempt)
         self.servers = UpstreamServers(self, pool, config.settings, config.descriptors // 3, config.servers)
         self.max_open_requests = config.settings.get("max_open", 1 << 30)
-        self.open_requests, self.requests_by_id, self.attempt_timeouts, self.tie_breakers = (
-            {},
-            {},
-            [],
-            count(),
-        )
+        self.open_requests = {}
+        self.requests_by_id = {}
+        self.attempt_timeouts = []
+        self.tie_breakers = count()
         self.timeouts_compact_at = TIMEOUT_HEAP_COMPACT_MIN
-        self.timer, self.timer_due, self.membership, self.fleet = None, None, None, None
+        self.timer = None
+        self.timer_due = None
+        self.membership = None
+        self.fleet = None
         self.fill_quota = None
         self.response_cache = ResponseCache(
             min(OWN_COPIES_BYTES, int(config.memory_mb * 2**20) // 3), config.link
@@ -96,11 +98,9 @@
             self.counters.count("bad_requests")
             self.response_writer.reject(client, request)
             return
-        client.open_request, self.requests_by_id[request.id], request.client_deadline = (
-            request,
-            request,
-            now + max(0, request.routing_request.ttl),
-        )
+        client.open_request = request
+        self.requests_by_id[request.id] = request
+        request.client_deadline = now + max(0, request.routing_request.ttl)
         request.trace.append((now, "read"))
         if self.fill_quota is not None:
             request.tenant = self.fill_quota.tenant(http_request.headers)
@@ -148,30 +148,35 @@
         self.counters.count("gets_own")
         return True
 
-    def on_attempt_ended(self, attempt, outcome, found, waited, load, at=None):
+    def on_attempt_ended(self, attempt, outcome, cache_status, fill_wait, load, at=None):
         """Handle the end of an attempt, once.
 
-        `at`: one time for all attempts that end together. With a time each, they would count as as many separate
-        failures of the server.
+        `at`: one time for all attempts that end together. With different times they would count as separate failures
+        of the server.
         """
         if not attempt.ended:
-            self.guarded(attempt.request, self._on_attempt_ended, attempt, outcome, found, waited, load, at)
+            self.guarded(
+                attempt.request, self._on_attempt_ended, attempt, outcome, cache_status, fill_wait, load, at
+            )
 
-    def _on_attempt_ended(self, attempt, outcome, found, waited, load, at):
-        now, request = at or self.clock(), attempt.request
-        attempt.ended, attempt.outcome, attempt.may_have_run = True, outcome, not outcome.never_executed
+    def _on_attempt_ended(self, attempt, outcome, cache_status, fill_wait, load, at):
+        now = at or self.clock()
+        request = attempt.request
+        attempt.ended = True
+        attempt.outcome = outcome
+        attempt.may_have_run = not outcome.never_executed
         request.trace.append((now, f"attempt {attempt.number} {outcome.name.lower()}"))
         self.counters.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
             self.fleet.forwarded(
-                attempt.cache, outcome, found, now - attempt.decided_at, request.routing_request
+                attempt.cache, outcome, cache_status, now - attempt.decided_at, request.routing_request
             )
         finished = request.answered or request.client.open_request is not request
         actions = request.handle.attempt_ended(
-            attempt.number, outcome, found, now - attempt.decided_at, waited, load, finished, now
+            attempt.number, outcome, cache_status, now - attempt.decided_at, fill_wait, load, finished, now
         )
         if attempt.slot is not None:
-            self.fill_quota.ended(attempt, outcome, found, waited, now)
+            self.fill_quota.ended(attempt, outcome, cache_status, fill_wait, now)
         if actions:
             self.perform(request, actions, now)
         elif request.handle.is_settled():
@@ -244,7 +249,9 @@
         """Handle a client that closed its connection or cancelled."""
         self.counters.count("gets_left")
         now = self.clock()
-        request.answered, request.client.open_request, request.client_left_at = True, None, now
+        request.answered = True
+        request.client.open_request = None
+        request.client_left_at = now
         request.trace.append((now, "client left"))
         if self.fill_quota is not None:
             self.fill_quota.left(request)
@@ -423,7 +430,9 @@
         self.timer = self.loop.call_later(max(0, due - now) / 1e9, self._on_timer)
 
     def _on_timer(self):
-        now, self.timer_due, self.timer = self.clock(), None, None
+        now = self.clock()
+        self.timer_due = None
+        self.timer = None
         # Each step is guarded by itself: this timer serves all deadlines and must be armed again whatever fails.
         for step in (self.servers.due, self._expire_attempts, self._run_router_timers, self.arm):
             try:
@@ -431,10 +440,8 @@
             except Exception as fault:
                 self.fault(fault)
         if self.timer is None and self.open_requests:
-            self.timer_due, self.timer = (
-                now + TIMER_RETRY_NS,
-                self.loop.call_later(TIMER_RETRY_NS / 1e9, self._on_timer),
-            )
+            self.timer_due = now + TIMER_RETRY_NS
+            self.timer = self.loop.call_later(TIMER_RETRY_NS / 1e9, self._on_timer)
 
     def _expire_attempts(self, now):
         # Before the router's own timers, so that it learns that an attempt timed out, not that it was cancelled.
--- a/sprucegate/front/protocol/bus.py
+++ b/sprucegate/front/protocol/bus.py
@@ -37,7 +37,9 @@
     """
 
     def __init__(self):
-        self.unparsed, self.id, self.data = b"", "", []
+        self.unparsed = b""
+        self.id = ""
+        self.data = []
 
     def feed(self, chunk):
         """Return the events that these bytes complete; raises MalformedEventError."""
@@ -65,7 +67,9 @@
     """Parses the HTTP response that carries the event stream, chunked or not, into its events."""
 
     def __init__(self):
-        self.parser, self.events, self.complete = httptools.HttpResponseParser(self), EventReader(), []
+        self.parser = httptools.HttpResponseParser(self)
+        self.events = EventReader()
+        self.complete = []
 
     def on_body(self, body):
         """Handle a part of the response's body; a callback of httptools."""
--- a/sprucegate/front/subscription.py
+++ b/sprucegate/front/subscription.py
@@ -20,8 +20,11 @@
     """
 
     def __init__(self, driver, config):
-        self.driver, self.config, self.last = driver, config, config.offset
-        self.loop, self.task = asyncio.get_running_loop(), None
+        self.driver = driver
+        self.config = config
+        self.last = config.offset
+        self.loop = asyncio.get_running_loop()
+        self.task = None
         # A buffer of its own: connections could have taken all of the pool's, and the list would not be read.
         self.buffer = memoryview(bytearray(BUFFER_BYTES))
         self.retried_after = -1
