--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -207,7 +207,7 @@
     try:
         sweep(driver.clock())
     except Exception as fault:
-        driver.fault(fault)
+        driver.log_exception(fault)
 
 
 async def housekeeping(driver, reader, pool, log):
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -283,7 +283,7 @@
         except (
             Exception
         ) as fault:  # without a next call all waiting requests would wait until their deadlines
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self.timer = self.loop.call_later(RETRY_AFTER_FAULT_S, self._on_timer)
 
     def _update_slow_start(self):
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -302,7 +302,7 @@
             self.peer.replica.slow = self.links.slow()
             self.do(self.peer.due(time.monotonic_ns()))
         except Exception as fault:  # without a next time this front would fall silent for good
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self.timer = self.loop.call_later(AGAIN, self._due)
 
     async def _tells(self):
@@ -376,7 +376,7 @@
         except codec.FrameError:
             raise  # a part can't read it: the peer loses its connection
         except Exception as fault:  # one message is lost by it, and repaired as a lost one is
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
 
     def _in_force(self, fact, loaded=False, quiet=False):
         """A guard fact that holds from here on, whoever said it."""
@@ -386,7 +386,7 @@
         if fact.key[0] == INVALIDATION:
             _, kind, at = fact.key
             obj, group = (at, -1) if kind == "object" else (-1, at)
-            self.driver.router.invalidate(obj, group, self.driver.platform.age(fact.value[0], now), now)
+            self.driver.router.invalidate(obj, group, self.driver.platform_time.age(fact.value[0], now), now)
         elif fact.key[0] == SERVER_STATE:
             _, server, started, source, owner = fact.key
             own = owner == self.peer.replica.name
@@ -465,7 +465,7 @@
         try:
             await action
         except Exception as fault:  # the front goes on whatever breaks here
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
 
     async def _sweeps(self):
         while True:
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -155,7 +155,7 @@
         except OSError:
             self.close(client, "peer")
         except Exception as fault:  # any other failure ends this connection alone
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self.close(client, "fault")
         finally:
             self.pool.give_back(buffer)
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -49,7 +49,7 @@
         self.log = log
         self.clock = clock
         self.loop = asyncio.get_running_loop()
-        self.platform = system.PlatformTime()
+        self.platform_time = system.PlatformTime()
         self.router = Router(RoutingSettings.from_mapping(config.settings), config.seed, clock())
         self.response_writer = ResponseWriter(self)
         self.counters = Counters()
@@ -92,7 +92,7 @@
                 now - at,
             )
         except Exception as fault:
-            self.fault(fault)
+            self.log_exception(fault)
             request = RejectedRequest(500, "this request could not be read")
         if isinstance(request, RejectedRequest):
             self.counters.count("bad_requests")
@@ -240,9 +240,9 @@
         """Return the earliest time at which a response was generated, on this front's clock; None where unknown."""
         if response.age is not None:
             return attempt.decided_at - response.age
-        self.platform.copy_stamped(response.made, attempt.cache, now)
-        self.router.platform_clock_offset = self.platform.least_offset
-        age = self.platform.copy_age(response.made, now) if response.made else None
+        self.platform_time.copy_stamped(response.made, attempt.cache, now)
+        self.router.platform_clock_offset = self.platform_time.least_offset
+        age = self.platform_time.copy_age(response.made, now) if response.made else None
         return None if age is None else now - age
 
     def client_left(self, request):
@@ -292,7 +292,7 @@
         elif event is not None:
             if self.fleet is not None:
                 self.fleet.purged(event.object, event.group, event.at)
-            self.router.invalidate(event.object, event.group, self.platform.age(event.at, now), now)
+            self.router.invalidate(event.object, event.group, self.platform_time.age(event.at, now), now)
             # The maximum age that an attempt accepts was computed before this invalidation.
             self.withdraw_all_unsent(
                 lambda attempt: event.group == attempt.request.routing_request.group
@@ -305,10 +305,10 @@
         """Record the platform's time stamps in a discovery event: ages are computed relative to the newest one."""
         if isinstance(event, EndpointList):
             for entry in event.entries:
-                self.platform.stamped(entry.started, now)
+                self.platform_time.stamped(entry.started, now)
         elif event is not None:
-            self.platform.stamped(event.at, now)
-        self.router.platform_clock_offset = self.platform.least_offset
+            self.platform_time.stamped(event.at, now)
+        self.router.platform_clock_offset = self.platform_time.least_offset
 
     def apply(self, hosts):
         """Apply an effective endpoint list: that of the bus alone, or the one merged from all sources."""
@@ -438,7 +438,7 @@
             try:
                 step(now)
             except Exception as fault:
-                self.fault(fault)
+                self.log_exception(fault)
         if self.timer is None and self.open_requests:
             self.timer_due = now + TIMER_RETRY_NS
             self.timer = self.loop.call_later(TIMER_RETRY_NS / 1e9, self._on_timer)
@@ -466,7 +466,7 @@
         try:
             action(*arguments)
         except Exception as fault:
-            self.fault(fault)
+            self.log_exception(fault)
             self.response_writer.respond(request, 500)
             self.forget(request)
 
@@ -477,11 +477,11 @@
         """
         fault = context.get("exception")
         if fault is not None:
-            return self.fault(fault)
+            return self.log_exception(fault)
         self.log("fault", error=str(context.get("message", ""))[:200], where="loop")
         self.counters.count("faults")
 
-    def fault(self, fault):
+    def log_exception(self, fault):
         """Log and count an unexpected exception."""
         at = (traceback.extract_tb(fault.__traceback__) or [None])[-1]
         self.log(
--- a/sprucegate/front/subscription.py
+++ b/sprucegate/front/subscription.py
@@ -43,7 +43,7 @@
             try:
                 error = await self._read()
             except Exception as fault:  # the subscription must go on, or no event would be applied any more
-                self.driver.fault(fault)
+                self.driver.log_exception(fault)
                 error = "unexpected exception"
             self.driver.log("bus_lost", error=error, last=self.last)
             self.driver.on_discovery_lost()
@@ -119,7 +119,7 @@
         try:
             self.driver.on_discovery_event(event)
         except Exception as fault:  # perhaps applied in part: it is requested and applied once more
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self._retry_or_skip(bus.MalformedEventError(f"event {offset} could not be applied"))
         self.last = offset
         self.driver.log("told", offset=offset, what=type(event).__name__)
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -288,7 +288,7 @@
         except OSError as fault:
             self._ended(connection, f"{type(fault).__name__}")
         except Exception as fault:  # this connection's own, whatever it is
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self._ended(connection, "a fault of the program")
         finally:
             self.buffers.give_back(buffer)
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -284,7 +284,7 @@
         except OSError:
             self.close(connection)
         except Exception as fault:  # this connection's own, whatever it is
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self.close(connection)
         finally:
             self.pool.give_back(buffer)
--- a/standins/driver.py
+++ b/standins/driver.py
@@ -64,7 +64,7 @@
     def log(self, event, **fields):
         self.logged.append((event, fields))
 
-    def fault(self, fault):
+    def log_exception(self, fault):
         self.logged.append(("fault", {"error": f"{type(fault).__name__}: {fault}"}))
 
     def bring_timer_forward(self, due):
