--- a/tests/front/test_breaks.py
+++ b/tests/front/test_breaks.py
@@ -178,5 +178,5 @@
         )
 
     with cache(served).sock as listener:
-        said = run_in_loop(act, f"127.0.0.1:{listener.getsockname()[1]}")
-    assert said == ([AttemptOutcome.RESET], 0, ["fault"], False)
+        result = run_in_loop(act, f"127.0.0.1:{listener.getsockname()[1]}")
+    assert result == ([AttemptOutcome.RESET], 0, ["fault"], False)
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -128,8 +128,8 @@
         while time.monotonic() < begun + 0.8:
             pass
         goes_on(front)
-        said = answer_of(sock)
-        assert said.startswith(b"HTTP/1.1 200") and b"Connection: close" in said
+        response = answer_of(sock)
+        assert response.startswith(b"HTTP/1.1 200") and b"Connection: close" in response
 
 
 def test_idle_connections_are_shut_down_while_other_clients_wait_for_a_hanging_cache(tmp_path):
@@ -325,8 +325,12 @@
         sock.sendall(get_text() + get_text(key(1)) + b"x" * 50_000)
         cache_server.heard.get(timeout=5)
         go.set()
-        said = answer_of(sock)
-        assert said.startswith(b"HTTP/1.1 200") and said.endswith(b"xxxxx") and said.count(b"HTTP/1.1") == 1
+        response = answer_of(sock)
+        assert (
+            response.startswith(b"HTTP/1.1 200")
+            and response.endswith(b"xxxxx")
+            and response.count(b"HTTP/1.1") == 1
+        )
         assert cache_server.heard.empty()
 
 
@@ -359,7 +363,7 @@
         until_open(front, 32)
         new = front.connect()
         new.sendall(get_text(key(99)))
-        second(front, lambda said: said.get("accepts_put_off"))
+        second(front, lambda line: line.get("accepts_put_off"))
         go.set()
         assert [front.ask(b"", sock)[0] for sock in [new, *busy]] == [200] * 33
 
@@ -427,7 +431,7 @@
         if leaves == "resets":
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         sock.close()
-        second(front, lambda said: said.get("gets_left"))
+        second(front, lambda line: line.get("gets_left"))
         sent = slow_server.lets()
         for _ in range(2):  # time in which something would be sent on the established connection
             front.until("second")
@@ -706,8 +710,8 @@
 
 
 def event(offset, *hosts):
-    said = {"offset": offset, "topology": {"seq": offset, "whole": False, "hosts": hosts}}
-    return f"id: {offset}\ndata: {json.dumps(said)}\n\n".encode()
+    content = {"offset": offset, "topology": {"seq": offset, "whole": False, "hosts": hosts}}
+    return f"id: {offset}\ndata: {json.dumps(content)}\n\n".encode()
 
 
 def subscribed_front(path, script):
@@ -812,7 +816,7 @@
         not_reading.settimeout(10)
         for at in range(60):  # 14 MB, of which the kernel buffers a part
             not_reading.sendall(get_text(key(at)).replace(b"7f3a", b"%04x" % at))
-        second(front, lambda said: said.get("clients_not_reading") or not said["clients"])
+        second(front, lambda line: line.get("clients_not_reading") or not line["clients"])
         assert len([words for words in cache_server.heard.queue if words[0] == b"serve"]) < 30
         assert front.ask(get_text(key(9999)))[0] == 200
 
--- a/tests/front/test_crossings_sockets.py
+++ b/tests/front/test_crossings_sockets.py
@@ -134,14 +134,14 @@
     with front:
         sock = not_reading(front)
         sock.sendall(get_text())
-        second(front, lambda said: said.get("gets_returned"))
+        second(front, lambda line: line.get("gets_returned"))
         front.process.send_signal(signal.SIGTERM)
         front.until("stopping")
         for _ in range(2):  # beyond the 0.7 s for accepting: only the response delays the exit
             front.until("second")
         assert front.process.poll() is None
-        said = answer_of(sock)
-        assert said.startswith(b"HTTP/1.1 200") and said.endswith(b"x" * LARGE)
+        response = answer_of(sock)
+        assert response.startswith(b"HTTP/1.1 200") and response.endswith(b"x" * LARGE)
         assert front.process.wait(10) == 0
 
 
@@ -156,7 +156,7 @@
         for at in range(5):
             sock = not_reading(front)
             sock.sendall(get_text(key(2 * at)).replace(b"7f3a", b"%04x" % at))
-            second(front, lambda said: said.get("gets_returned"))
+            second(front, lambda line: line.get("gets_returned"))
             descriptor = descriptor_of(front, sock)
             stopped(front)
             reset(sock)
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -128,18 +128,18 @@
 
 
 def test_a_not_modified_answer_must_have_the_etag_that_was_sent():
-    said = codec.Answer(b"aa", b"still_good", {"etag": "t1"}, b"")
-    assert codec.meaning(said, "t1")[0] is AttemptOutcome.RETURNED
+    answer = codec.Answer(b"aa", b"still_good", {"etag": "t1"}, b"")
+    assert codec.meaning(answer, "t1")[0] is AttemptOutcome.RETURNED
     with pytest.raises(codec.MalformedAnswerError):
-        codec.meaning(said, "t2")
+        codec.meaning(answer, "t2")
 
 
-@pytest.mark.parametrize("oldest, said", [(0, None), (999_999, "1"), (1_999_999, "1"), (2_000_000, "2")])
-def test_a_maximum_age_is_rounded_down_but_never_to_zero_which_means_no_limit(oldest, said):
+@pytest.mark.parametrize("oldest, expected", [(0, None), (999_999, "1"), (1_999_999, "1"), (2_000_000, "2")])
+def test_a_maximum_age_is_rounded_down_but_never_to_zero_which_means_no_limit(oldest, expected):
     forward = SendAttempt(0, 1, 1, 2, oldest, 1_500_999_999, False, True, False, True)
     line = codec.serve(b"aa", "media", "7f", 3, forward, None, "", b"")
     fields = dict(pair.split("=") for pair in line.split()[2].decode().split(","))
-    assert fields.get("maxage") == said and fields["max"] == "1500" and fields["flags"] == "h+r"
+    assert fields.get("maxage") == expected and fields["max"] == "1500" and fields["flags"] == "h+r"
 
 
 EVENTS = b'id: 4\r\ndata: {"offset":4,\r\ndata: "ban":{"tag":17,"ts":5}}\r\n\r\n: x\n\nid: 5\ndata: 6\n\n'
--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -154,16 +154,16 @@
     made = router(
         client_kb_per_s=1000.0, link_in_kb_per_s=[0.0, 2000.0], fronts_by_location=[0, 4], **settings
     )
-    said = []
+    actions = []
     for at in range(80):
         now = NOW + at * 50 * MS
         get = made.start_request(asked(f"r-{at}", obj=at % 9, size=300), now)
-        said += get.route(now)
+        actions += get.route(now)
         if get.open_attempts() and at % 3:
             get.attempt_ended(
                 0, AttemptOutcome.RETURNED, CacheStatus.UNKNOWN, (300 + 200 * (at % 5)) * MS, 0, {}, True, now
             )
-    return said
+    return actions
 
 
 def test_old_settings_give_the_decisions_of_the_new_ones_at_their_defaults():
