--- a/sprucegate/assembly/keep.py
+++ b/sprucegate/assembly/keep.py
@@ -23,12 +23,12 @@
 
     def on_message(_, message):
         if isinstance(message, codec.ConsensusFrame):
-            consensus.heard(message)
+            consensus.receive(message)
 
     async def on_question(question):
         if question.what != "agreed":
             return orjson.dumps({"ok": False, "error": f"{question.what} is not known to a keeper"})
-        return orjson.dumps({"ok": True, "front": name, **consensus.shown()})
+        return orjson.dumps({"ok": True, "front": name, **consensus.status()})
 
     links = PeerLinks(fleet.address, log, greeting, on_message, on_question, VOTER_CONNECTIONS_MAX)
     consensus = ConsensusDriver(
--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -103,7 +103,7 @@
         # Requests that arrive meanwhile are served, but the front isn't reported ready before it has caught up with
         # the fleet's facts.
         driver.fleet.start()
-        await _wait_for_either(driver.fleet.up, stop)
+        await _wait_for_either(driver.fleet.has_joined, stop)
         if not membership_ready:
             await driver.membership.start()
     driver.ready = True
--- a/sprucegate/front/configuration_checks.py
+++ b/sprucegate/front/configuration_checks.py
@@ -7,7 +7,7 @@
 
 from math import isfinite
 
-from sprucegate.simulator.settings import NAMES
+from sprucegate.simulator.settings import SETTINGS_BY_PATH
 
 ALLOWED_VALUES = {
     "tells": ("all", "hit", "none"),
@@ -33,7 +33,7 @@
 )
 FRACTIONS = ("cold_share", "parent_cold_share")
 BY_LOCATION = ("link_in_kb_per_s", "fronts_by_location", "hub_of_location")
-PATHS = {name: path for path, (name, _) in NAMES.items()}
+PATHS = {name: path for path, (name, _) in SETTINGS_BY_PATH.items()}
 
 
 def find_contradiction(settings, locations):
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -15,7 +15,7 @@
 from sprucegate.front.response_writer import ResponseWriter
 from sprucegate.routing.actions import AwaitSlot, CancelAttempt, FailRequest, RejectRequest, SendAttempt
 from sprucegate.routing.events import AttemptOutcome, CacheStatus, EndpointState
-from sprucegate.routing.response_cache import OWN_COPIES_BYTES
+from sprucegate.routing.response_cache import RESPONSE_CACHE_BYTES
 from sprucegate.routing.router import Router
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.upstream.hosts import EndpointList
@@ -70,7 +70,7 @@
         self.fleet = None
         self.fill_quota = None
         self.response_cache = ResponseCache(
-            min(OWN_COPIES_BYTES, int(config.memory_mb * 2**20) // 3), config.link
+            min(RESPONSE_CACHE_BYTES, int(config.memory_mb * 2**20) // 3), config.link
         )
 
     # Events.
@@ -103,7 +103,7 @@
         request.client_deadline = now + max(0, request.routing_request.ttl)
         request.trace.append((now, "read"))
         if self.fill_quota is not None:
-            request.tenant = self.fill_quota.tenant(http_request.headers)
+            request.tenant = self.fill_quota.tenant_index(http_request.headers)
         if len(self.open_requests) >= self.max_open_requests:
             self.counters.count("shed_over_bound")
             request.handle = self.router.start_request(request.routing_request, now)
@@ -126,7 +126,7 @@
         if (
             cached is None
             or request.routing_request.write
-            or not self.router.may_answer_from_own_copy(
+            or not self.router.may_serve_stored_response(
                 request.routing_request,
                 cached.generated_at,
                 cached.stored_at,
@@ -168,7 +168,7 @@
         request.trace.append((now, f"attempt {attempt.number} {outcome.name.lower()}"))
         self.counters.count(f"forwards_{outcome.name.lower()}")
         if self.fleet is not None:
-            self.fleet.forwarded(
+            self.fleet.on_attempt_ended(
                 attempt.cache, outcome, cache_status, now - attempt.decided_at, request.routing_request
             )
         finished = request.answered or request.client.open_request is not request
@@ -176,7 +176,7 @@
             attempt.number, outcome, cache_status, now - attempt.decided_at, fill_wait, load, finished, now
         )
         if attempt.slot is not None:
-            self.fill_quota.ended(attempt, outcome, cache_status, fill_wait, now)
+            self.fill_quota.attempt_ended(attempt, outcome, cache_status, fill_wait, now)
         if actions:
             self.perform(request, actions, now)
         elif request.handle.is_settled():
@@ -189,7 +189,7 @@
             self._log_request(request)
         self.requests_by_id.pop(request.id, None)
         if self.fill_quota is not None:
-            self.fill_quota.left(request)
+            self.fill_quota.request_ended(request)
         # Request and attempts refer to each other: the cycle would leave each request to the garbage collector.
         if self.open_requests.pop(request.handle, None) is not None:
             request.attempts.clear()
@@ -227,7 +227,7 @@
             self.response_writer.respond(attempt.request, 200, response.body, etag_header(response.tag))
             request, now = attempt.request, self.clock()
             generated_at = self._generated_at(attempt, response, now)
-            if generated_at is not None and self.router.should_store_own_copy(
+            if generated_at is not None and self.router.should_store_response(
                 request.routing_request, generated_at, now
             ):
                 self.response_cache.put(
@@ -254,7 +254,7 @@
         request.client_left_at = now
         request.trace.append((now, "client left"))
         if self.fill_quota is not None:
-            self.fill_quota.left(request)
+            self.fill_quota.request_ended(request)
         self.withdraw_unsent(request)
         self.perform(request, request.handle.client_disconnected(now), now)
 
@@ -288,10 +288,10 @@
             if event is not None:
                 self.apply(event)
             if self.fleet is not None:
-                self.fleet.listed()
+                self.fleet.on_endpoints_changed()
         elif event is not None:
             if self.fleet is not None:
-                self.fleet.purged(event.object, event.group, event.at)
+                self.fleet.on_invalidation(event.object, event.group, event.at)
             self.router.invalidate(event.object, event.group, self.platform_time.age(event.at, now), now)
             # The maximum age that an attempt accepts was computed before this invalidation.
             self.withdraw_all_unsent(
@@ -367,12 +367,12 @@
                     ) is not None and previous.outcome is not None:
                         self.counters.count(f"retries_after_{previous.outcome.name.lower()}")
                     if self.fill_quota is not None:
-                        self.fill_quota.sent(request, attempt, action, now)
+                        self.fill_quota.attempt_sent(request, attempt, action, now)
                     self.servers.forward(attempt, action)
                     self._add_timeout(attempt)
                     self.bring_timer_forward(attempt.deadline)
                 case AwaitSlot():
-                    self.fill_quota.waits(request, action.fill_source, now)
+                    self.fill_quota.request_slot(request, action.fill_source, now)
                 case RejectRequest():
                     self.counters.count("gets_shed")
                     self.counters.count(
--- a/tests/front/test_front.py
+++ b/tests/front/test_front.py
@@ -538,7 +538,7 @@
         await asyncio.sleep(0.3)
         far.close()
         near.close()
-        return len(made.attempt_timeouts), len(made.router.deadlines.waiting), len(made.open_requests)
+        return len(made.attempt_timeouts), len(made.router.deadlines.timers), len(made.open_requests)
 
-    timeouts, waiting, still_open = asyncio.run(run())
-    assert timeouts <= 200 and waiting <= 200 and still_open == 0
+    timeouts, timers, still_open = asyncio.run(run())
+    assert timeouts <= 200 and timers <= 200 and still_open == 0
--- a/tests/front/test_shape.py
+++ b/tests/front/test_shape.py
@@ -5,7 +5,7 @@
 import sys
 
 import pytest
-from helpers import NOW, REAL, Front, asked, cache, get_text, host, router, served
+from helpers import NOW, REAL, Front, cache, get_text, host, make_request, make_router, served
 
 from sprucegate.front import configuration
 from sprucegate.routing.events import AttemptOutcome, CacheStatus
@@ -151,13 +151,13 @@
 
 def decisions(**settings):
     """Return the decisions of a router: some answers are slow, none has a cache status, and link rates are low."""
-    made = router(
+    made = make_router(
         client_kb_per_s=1000.0, link_in_kb_per_s=[0.0, 2000.0], fronts_by_location=[0, 4], **settings
     )
     actions = []
     for at in range(80):
         now = NOW + at * 50 * MS
-        get = made.start_request(asked(f"r-{at}", obj=at % 9, size=300), now)
+        get = made.start_request(make_request(f"r-{at}", obj=at % 9, size=300), now)
         actions += get.route(now)
         if get.open_attempts() and at % 3:
             get.attempt_ended(
