--- a/sprucegate/fleet/maintenance_agent.py
+++ b/sprucegate/fleet/maintenance_agent.py
@@ -54,14 +54,14 @@
         self.log_drains = {}
         self.counts = {}
         self.unreached = {}
-        self.name = driver.wanted.name
+        self.name = driver.config.name
         self.own_drain = False
         self.rows_cache = (-1, {})
         self.reported = {}
         self.cold = {}
         self.starts = {}
-        self.location_names = {value: name for name, value in driver.wanted.locations.items()}
-        self.kind_names = {value: name for name, value in driver.wanted.kinds.items()}
+        self.location_names = {value: name for name, value in driver.config.locations.items()}
+        self.kind_names = {value: name for name, value in driver.config.kinds.items()}
 
     def cold_share(self):
         """Return the share of its full rate that a cold cache can take, by the settings."""
@@ -124,7 +124,7 @@
         if (self.name in self.log_drains) != self.own_drain:
             # A load balancer stops sending clients here by /status/live; those that come anyway are served.
             self.own_drain = self.name in self.log_drains
-            self.driver.aside = self.own_drain
+            self.driver.drained = self.own_drain
         for box in [b for b in self.applied_drains if b not in self.log_drains]:
             at, started = self.applied_drains.pop(box)
             self.merged.word(at, started, DRAIN_SOURCE, False, now)
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -1,6 +1,6 @@
 """The quotas in a front: connects the coordinator to waiting requests, to other fronts and to timers.
 
-The component sets itself as `driver.places`, and the sources whose fills wait for slots as
+The component sets itself as `driver.fill_quota`, and the sources whose fills wait for slots as
 `router.slot_limited_sources`. No other front is called synchronously while a request is served.
 """
 
@@ -63,7 +63,7 @@
         self.node = node
         self.driver = fleet.driver
         self.loop = fleet.loop
-        timeouts = [one for one in self.driver.wanted.settings.get("viewer_timeout", ()) if one]
+        timeouts = [one for one in self.driver.config.settings.get("viewer_timeout", ()) if one]
         self.settings = QuotaSettings(
             tenants=tuple(Tenant(*one) for one in node.weights),
             fronts=tuple(node.fronts),
@@ -78,7 +78,7 @@
         self.timer = None
         self.source_names = {}
         self.running = False
-        self.driver.places = self
+        self.driver.fill_quota = self
         self.driver.router.slot_limited_sources = self.settings.slots
 
     async def start(self):
@@ -105,7 +105,7 @@
     def on_endpoints_changed(self):
         """Set the slots of the listed sources, which the operator's file gives by a source's name or by its kind."""
         router = self.driver.router
-        kinds = {value: name for name, value in self.driver.wanted.kinds.items()}
+        kinds = {value: name for name, value in self.driver.config.kinds.items()}
         slots = {}
         for source in [*router.group("parent"), *router.group("origin")]:
             server = self.driver.servers.places.get(source.id)
@@ -154,14 +154,14 @@
         """Return the index of a client's tenant; clients that name no listed one belong to the common tenant."""
         index, listed = tenant_of(headers.get(self.node.header_bytes), self.node.listed)
         if not listed:
-            self.driver.book.count("tenants_unlisted")
+            self.driver.counters.count("tenants_unlisted")
         return index
 
     def request_slot(self, request, source, now):
         """A request needs a slot. No attempt was sent for this fill; it is routed again once it has the slot."""
         wait = SlotWait(request, source)
         self.waits_by_request[request] = wait
-        self.driver.book.count("gets_slow")
+        self.driver.counters.count("gets_slow")
         # The driver's clock is another one than the fleet's: only durations can be taken over.
         monotonic = time.monotonic_ns()
         deadline = monotonic + request.handle.deadline - now
@@ -174,15 +174,15 @@
             return
         if action.fill_source == wait.source and not action.only_if_cached:
             wait.attempt = attempt
-            attempt.place = wait
-            attempt.limit = min(attempt.limit, now + self.settings.fill_time_max)
+            attempt.slot = wait
+            attempt.deadline = min(attempt.deadline, now + self.settings.fill_time_max)
 
     def attempt_ended(self, attempt, outcome, cache_status, fill_duration, now):
         """An attempt ended; `cache_status` and `fill_duration` (ns, or 0) are those of its answer."""
-        wait = attempt.place
+        wait = attempt.slot
         if wait is None:
             return
-        attempt.place = None
+        attempt.slot = None
         if self.waits_by_request.get(wait.request) is wait:
             del self.waits_by_request[wait.request]
         monotonic = time.monotonic_ns()
@@ -192,9 +192,9 @@
         elif outcome.never_executed or cache_status in CACHE_HITS:
             self._perform(self.quotas.slot_unused(wait, monotonic))
         else:
-            duration = now - attempt.at
+            duration = now - attempt.decided_at
             on_time = outcome is AttemptOutcome.RETURNED and duration <= self.driver.router.latency_objective(
-                wait.request.asked
+                wait.request.routing_request
             )
             self._perform(self.quotas.fill_ended(wait, fill_duration or duration, on_time, monotonic))
 
@@ -225,7 +225,7 @@
 
     def _abandon(self, wait):
         self._forget(wait)
-        self.driver.book.count("gets_not_waited")
+        self.driver.counters.count("gets_not_waited")
         now = self.driver.clock()
         self.driver.guarded(wait.request, self._give_up, wait.request, now)
 
@@ -234,7 +234,7 @@
             del self.waits_by_request[wait.request]
 
     def _give_up(self, request, now):
-        self.driver.say(request, request.handle.give_up(now), now)
+        self.driver.perform(request, request.handle.give_up(now), now)
 
     def _start_fill(self, wait, source):
         request = wait.request
@@ -252,7 +252,7 @@
     def _route(self, request, now):
         actions = request.handle.route(now)
         request.handle.slot_source = None  # the slot was for this attempt only
-        self.driver.say(request, actions, now)
+        self.driver.perform(request, actions, now)
         self.driver.arm(now)
 
     def _send(self, to, message):
@@ -284,7 +284,7 @@
             self._perform(self.quotas.on_timer(time.monotonic_ns()))
         except Exception as error:
             # Without another call all waiting requests would wait until their deadlines.
-            self.driver.fault(error)
+            self.driver.log_exception(error)
             self.timer = self.loop.call_later(RETRY_AFTER_FAULT_S, self._on_timer)
 
     def _update_slow_start(self):
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -328,7 +328,7 @@
             self.fleet_node.replica.slow_peers = self.links.slow_peers()
             self.do(self.fleet_node.on_timer(time.monotonic_ns()))
         except Exception as fault:  # without a next timer this front would stay silent for good
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self.timer = self.loop.call_later(RETRY_S, self._on_timer)
 
     async def _send_evidence(self):
@@ -411,7 +411,7 @@
         except codec.FrameError:
             raise  # a component can't decode it: the peer loses its connection
         except Exception as fault:  # the message is lost, and repaired as one lost on the network is
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
 
     def _apply(self, record, loaded=False, quiet=False):
         """Put a record in force at the front, whichever process it is from."""
@@ -421,7 +421,9 @@
         if record.key[0] == INVALIDATION:
             _, kind, number = record.key
             obj, group = (number, -1) if kind == "object" else (-1, number)
-            self.driver.router.invalidate(obj, group, self.driver.platform.age(record.value[0], now), now)
+            self.driver.router.invalidate(
+                obj, group, self.driver.platform_time.age(record.value[0], now), now
+            )
         elif record.key[0] == SERVER_STATE:
             _, server, started, source, owner = record.key
             is_own = owner == self.fleet_node.replica.name
@@ -507,7 +509,7 @@
         try:
             await action
         except Exception as fault:  # the front goes on whatever fails here
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
 
     async def _check_idle_connections(self):
         while True:
