--- a/benchmarks/http2_closes.py
+++ b/benchmarks/http2_closes.py
@@ -64,9 +64,9 @@
         verdicts = self.said
 
         class Watched(driver_class):
-            def _ended(self, out, outcome, *rest):
-                verdicts[out.get.id.decode(), out.number] = outcome
-                return super()._ended(out, outcome, *rest)
+            def _on_attempt_ended(self, out, outcome, *rest):
+                verdicts[out.request.id.decode(), out.number] = outcome
+                return super()._on_attempt_ended(out, outcome, *rest)
 
         return Watched
 
@@ -156,7 +156,7 @@
         }
         for name, kind, process in servers
     ]
-    wanted = configuration.wanted(
+    wanted = configuration.parse(
         {
             "name": "n0",
             "seed": f"{seed:x}",
--- a/sprucegate/upstream/http2/mapping.py
+++ b/sprucegate/upstream/http2/mapping.py
@@ -63,11 +63,11 @@
 
     `time_left` is how long the client still waits (ns) when the request is sent.
     """
-    path = b"/svc/%b/%b/slice-%d" % (get.ds.encode(), get.thing.encode(), get.part)
+    path = b"/svc/%b/%b/slice-%d" % (get.ds.encode(), get.object_key.encode(), get.part)
     # Fields that differ from request to request are never indexed (RFC 7541 section 6.2.3): in the peer's dynamic table
     # they would evict the entries that repeat. It also saves 8% of the CPU time of sending.
     fields = [
-        (b":method", b"PUT" if get.asked.write else b"GET"),
+        (b":method", b"PUT" if get.routing_request.write else b"GET"),
         (b":scheme", b"http"),
         (b":authority", authority),
         NeverIndexed(b":path", path),
@@ -83,8 +83,8 @@
         cache_control.append("only-if-cached")
     if cache_control:
         fields.append((b"cache-control", ", ".join(cache_control).encode()))
-    if get.have:
-        fields.append((b"if-none-match", b'"%b"' % get.have.encode()))
+    if get.if_none_match:
+        fields.append((b"if-none-match", b'"%b"' % get.if_none_match.encode()))
     if get.token:
         fields.append(NeverIndexed(b"idempotency-key", ser_string(get.token).encode()))
     fill = []
@@ -106,7 +106,7 @@
     ]
     if fill:
         fields.append((b"spruce-fill", ", ".join(fill).encode()))
-    if get.body or get.asked.write:
+    if get.body or get.routing_request.write:
         fields.append((b"content-length", b"%d" % len(get.body)))
     return fields
 
--- a/sprucegate/upstream/http2/transport.py
+++ b/sprucegate/upstream/http2/transport.py
@@ -129,7 +129,7 @@
         self.buffers = pool
         self.limits = limits
         self.loop = asyncio.get_running_loop()
-        self.instance = getattr(driver.wanted, "name", "")
+        self.instance = getattr(driver.config, "name", "")
         self.timer = None
         self.timer_due = None
         self.active = {}
@@ -167,7 +167,7 @@
         """Send an attempt; its end is reported to the driver."""
         server.transport_state.pool.restore()
         attempt.connection = pending = PendingAttempt(attempt, action, source)
-        self._perform(server, server.transport_state.pool.request_stream(pending, attempt.at))
+        self._perform(server, server.transport_state.pool.request_stream(pending, attempt.decided_at))
 
     def withdraw(self, attempt):
         """Withdraw an attempt that still waits for a stream; return whether that was possible."""
@@ -248,7 +248,7 @@
                     self._open(server, action.connection)
                 case RefuseRequest():
                     self.loop.call_soon(
-                        self.driver.ended,
+                        self.driver.on_attempt_ended,
                         action.attempt.attempt,
                         action.outcome,
                         CacheStatus.UNKNOWN,
@@ -276,21 +276,21 @@
         time_left = self.driver.sending.time_left(attempt, self.driver.clock())
         if time_left is None:
             self.loop.call_soon(
-                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                self.driver.on_attempt_ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return self._perform(
                 server,
                 server.transport_state.pool.stream_ended(action.connection, False, self.driver.clock()),
             )
         fields = mapping.request_fields(
-            server.transport_state.authority, attempt.get, pending.action, pending.source, time_left
+            server.transport_state.authority, attempt.request, pending.action, pending.source, time_left
         )
         stream = connection.session.send_request(
-            pending, fields, attempt.get.body, mapping.only_if_cached(pending.action)
+            pending, fields, attempt.request.body, mapping.only_if_cached(pending.action)
         )
         if stream is None:
             self.loop.call_soon(
-                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                self.driver.on_attempt_ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return self._perform(
                 server,
@@ -367,7 +367,7 @@
         except OSError as fault:
             self._ended(connection, f"{type(fault).__name__}")
         except Exception as fault:  # an unexpected error costs this connection alone
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self._ended(connection, "internal error")
         finally:
             self.buffers.give_back(buffer)
@@ -440,19 +440,21 @@
         if attempt.ended:
             return
         meaning = mapping.interpret(
-            event.status, event.fields, event.body, event.stream.cached_only, attempt.get.have
+            event.status, event.fields, event.body, event.stream.cached_only, attempt.request.if_none_match
         )
         if meaning.row is not None:
-            self.driver.book.count(f"evidence {meaning.row.name}")
+            self.driver.counters.count(f"evidence {meaning.row.name}")
         if meaning.response is not None:
-            self.driver.returned(attempt, meaning.response)
-        self.driver.ended(attempt, meaning.outcome, meaning.cache_status, meaning.fill_wait, meaning.load)
+            self.driver.on_response(attempt, meaning.response)
+        self.driver.on_attempt_ended(
+            attempt, meaning.outcome, meaning.cache_status, meaning.fill_wait, meaning.load
+        )
 
     def _report(self, attempt, row, now):
         """Report the end of an attempt as a row of the evidence table says."""
         if not attempt.ended:
-            self.driver.book.count(f"evidence {row.name}")
-            self.driver.ended(attempt, row.outcome, CacheStatus.UNKNOWN, 0, {}, now)
+            self.driver.counters.count(f"evidence {row.name}")
+            self.driver.on_attempt_ended(attempt, row.outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
     def _schedule_flush(self, connection):
         """Flush once in this turn of the event loop, so that requests that begin together are sent together."""
--- a/sprucegate/upstream/lines/transport.py
+++ b/sprucegate/upstream/lines/transport.py
@@ -69,20 +69,20 @@
 
     def forward(self, server, attempt, action, source):
         """Send an attempt; its end is reported to the driver."""
-        get = attempt.get
-        connection = self._choose_connection(server, get, attempt.at)
+        get = attempt.request
+        connection = self._choose_connection(server, get, attempt.decided_at)
         if connection is None:  # no capacity on this side: it says nothing about the cache
             self.loop.call_soon(
-                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                self.driver.on_attempt_ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return
         # A later attempt of this request must not use the same connection: a late answer, or a duplicate of one,
         # would have the same id.
-        get.left_on.append(connection)
+        get.used_connections.append(connection)
         self.idle_connections.pop(connection, None)
         attempt.connection = connection
-        connection.last_used = attempt.at
-        attempt.said = action, source
+        connection.last_used = attempt.decided_at
+        attempt.send_arguments = action, source
         connection.attempts[get.id] = attempt
         self._enqueue(connection, None, attempt)
 
@@ -92,11 +92,13 @@
         if (
             attempt.progress is not Progress.NOT_SENT
             or connection is None
-            or connection.attempts.get(attempt.get.id) is not attempt
+            or connection.attempts.get(attempt.request.id) is not attempt
         ):
             return False
-        del connection.attempts[attempt.get.id]
-        attempt.get.left_on.remove(connection)  # nothing was sent, so no late answer can arrive here
+        del connection.attempts[attempt.request.id]
+        attempt.request.used_connections.remove(
+            connection
+        )  # nothing was sent, so no late answer can arrive here
         for index, (_, queued) in enumerate(connection.queue):
             if queued is attempt:
                 del connection.queue[index]
@@ -112,16 +114,16 @@
         ):  # also if it was withdrawn before and its end is being reported
             return AttemptOutcome.NOT_SENT
         connection = attempt.connection
-        if connection is None or connection.attempts.get(attempt.get.id) is not attempt:
+        if connection is None or connection.attempts.get(attempt.request.id) is not attempt:
             return None
-        del connection.attempts[attempt.get.id]
+        del connection.attempts[attempt.request.id]
         self._update_idle(connection)
         # A connection without an answer since this attempt was decided may be out of step after a corrupt answer,
         # and would then serve nothing more if it were kept. After a time-out it is closed at once, since the other
         # attempts on it have waited in vain too; after a client's disconnect they may still be answered.
-        silent = connection.last_answer < attempt.at
+        silent = connection.last_answer < attempt.decided_at
         if not connection.closed and not silent:
-            self._enqueue(connection, codec.encode_cancel(attempt.get.id), None)
+            self._enqueue(connection, codec.encode_cancel(attempt.request.id), None)
         if not connection.attempts and (silent or connection.server.gone) or silent and timed_out:
             self.loop.call_soon(self.close, connection)
         return None
@@ -131,7 +133,7 @@
         for connection in list(server.transport_state):
             if not connection.attempts and connection.up and now - connection.last_used > self.idle_timeout:
                 self.close(connection)
-            elif connection in get.left_on or len(connection.attempts) >= self.attempts_max:
+            elif connection in get.used_connections or len(connection.attempts) >= self.attempts_max:
                 continue
             elif best is None or self._load_rank(connection) < self._load_rank(best):
                 best = connection
@@ -243,18 +245,29 @@
 
     @staticmethod
     def _encode(attempt, time_left):
-        get = attempt.get
-        action, source = attempt.said
+        get = attempt.request
+        action, source = attempt.send_arguments
         return codec.encode_request(
-            get.id, get.ds, get.thing, get.part, action, source, get.have, get.body, get.token, time_left
+            get.id,
+            get.ds,
+            get.object_key,
+            get.part,
+            action,
+            source,
+            get.if_none_match,
+            get.body,
+            get.token,
+            time_left,
         )
 
     def _drop_unsent(self, connection, attempt):
         """End an attempt that must not be sent any more and of which no byte was sent."""
-        if connection.attempts.get(attempt.get.id) is attempt:
-            del connection.attempts[attempt.get.id]
+        if connection.attempts.get(attempt.request.id) is attempt:
+            del connection.attempts[attempt.request.id]
         self._update_idle(connection)
-        self.loop.call_soon(self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {})
+        self.loop.call_soon(
+            self.driver.on_attempt_ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+        )
 
     def _flush_later(self, connection, sent):
         if sent or not connection.writer_registered:
@@ -320,7 +333,7 @@
         except OSError:
             self.close(connection)
         except Exception as fault:  # an unexpected error costs this connection alone
-            self.driver.fault(fault)
+            self.driver.log_exception(fault)
             self.close(connection)
         finally:
             self.pool.give_back(buffer)
@@ -365,7 +378,7 @@
                 AttemptOutcome.NOT_SENT if was_up or connection.reachable else AttemptOutcome.UNREACHABLE
             )
             outcome = AttemptOutcome.RESET if attempt.progress is Progress.COMPLETE else never_executed
-            self.driver.ended(attempt, outcome, CacheStatus.UNKNOWN, 0, {}, now)
+            self.driver.on_attempt_ended(attempt, outcome, CacheStatus.UNKNOWN, 0, {}, now)
 
     def _on_answer(self, connection, answer):
         connection.last_used = connection.last_answer = connection.last_read
@@ -373,15 +386,15 @@
         if attempt is None:
             return  # a late answer: the attempt has already ended
         try:
-            outcome, cache_status, fill_wait, load = codec.interpret(answer, attempt.get.have)
+            outcome, cache_status, fill_wait, load = codec.interpret(answer, attempt.request.if_none_match)
         except codec.MalformedAnswerError as fault:
             connection.reader.fault = connection.reader.fault or str(fault)
             return
         del connection.attempts[answer.id]
         self._update_idle(connection)
         if outcome is AttemptOutcome.RETURNED:
-            self.driver.returned(attempt, codec.to_response(answer))
-        self.driver.ended(attempt, outcome, cache_status, fill_wait, load)
+            self.driver.on_response(attempt, codec.to_response(answer))
+        self.driver.on_attempt_ended(attempt, outcome, cache_status, fill_wait, load)
         if connection.server.gone and not connection.attempts:
             self.close(connection)
 
@@ -407,7 +420,7 @@
         connection.stall_check_armed = True
         due = self.driver.clock() + STALL_TIMEOUT_NS
         self.stall_checks.append((due, connection))
-        self.driver.armed_by(due)
+        self.driver.bring_timer_forward(due)
 
     def sweep(self, now):
         """Close connections that were idle for too long."""
--- a/sprucegate/upstream/sending.py
+++ b/sprucegate/upstream/sending.py
@@ -21,16 +21,16 @@
 
     def time_left(self, attempt, now):
         """Return the time left for this attempt (ns), or None if it must not be sent any more."""
-        get = attempt.get
+        get = attempt.request
         if attempt.ended or get.answered:
             self.count("sends_refused over")
             return None
-        if (time_left := attempt.limit - now) <= 0:
+        if (time_left := attempt.deadline - now) <= 0:
             self.count("sends_refused late")
             return None
         # The driver checked the client when it decided this attempt; that result is valid for a short time.
         if (
-            now - attempt.at > CLIENT_CHECK_VALID_NS
+            now - attempt.decided_at > CLIENT_CHECK_VALID_NS
             and get.client is not None
             and get.client.peer_has_closed()
         ):
--- a/sprucegate/upstream/servers.py
+++ b/sprucegate/upstream/servers.py
@@ -95,7 +95,7 @@
         server = self.by_id.get(action.cache)
         if server is None:  # the attempt says nothing about the cache
             self.driver.loop.call_soon(
-                self.driver.ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
+                self.driver.on_attempt_ended, attempt, AttemptOutcome.NOT_SENT, CacheStatus.UNKNOWN, 0, {}
             )
             return
         source = self.by_id.get(action.fill_source) if action.fill_source != action.cache else None
