--- a/sprucegate/cli/rollout.py
+++ b/sprucegate/cli/rollout.py
@@ -367,14 +367,14 @@
         elif node.name == "bake":
             unit = node.args[0].type_annotation if isinstance(node.args[0], ckdl.Value) else None
             if (
-                unit not in operator_file.TIMES
+                unit not in operator_file.TIME_UNITS
                 or isinstance(values[0], bool)
                 or not isinstance(values[0], int | float)
             ):
                 raise operator_file.OperatorFileError(
                     path, at.line, key, "wants a time with its unit, as (min)10"
                 )
-            found["bake"] = int(values[0] * operator_file.TIMES[unit])
+            found["bake"] = int(values[0] * operator_file.TIME_UNITS[unit])
         elif not isinstance(values[0], str):
             raise operator_file.OperatorFileError(path, at.line, key, "wants a text")
         else:
