--- a/sprucegate/cli/fleet.py
+++ b/sprucegate/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`sprucegate fleet`: what a running front knows of the others, and what they hold in common."""
+"""`sprucegate fleet`: a running front's view of the fleet, and the facts replicated among the fronts."""
 
 import socket
 import sys
@@ -11,8 +11,8 @@
 from sprucegate.cli import operator_file
 from sprucegate.storage import records
 
-JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
-OPERATOR = click.option(
+JSON_OUTPUT = click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
+OPERATOR_FILE = click.option(
     "--file",
     "path",
     type=click.Path(dir_okay=False),
@@ -20,8 +20,10 @@
     show_default=True,
     help="The operator's file of a front.",
 )
-AT = click.option("--at", "address", help="Ask the front that listens for others here, HOST:PORT.")
-PATIENCE = 3.0  # seconds
+FRONT_ADDRESS = click.option(
+    "--at", "address", help="Query the front that listens for other fronts at HOST:PORT."
+)
+TIMEOUT_S = 3.0
 
 
 def _fail(text, as_json, status):
@@ -32,43 +34,47 @@
     sys.exit(status)
 
 
-def _node(path, as_json):
+def _fleet_node(path, as_json):
     try:
         node = operator_file.read(path).fleet
-    except operator_file.OperatorFileError as fault:
-        _fail(str(fault), as_json, 2)
+    except operator_file.OperatorFileError as error:
+        _fail(str(error), as_json, 2)
     if node is None:
-        _fail(f"{path}: fleet: is not there, so this front is alone", as_json, 2)
+        _fail(f"{path}: fleet: is missing, so this front belongs to no fleet", as_json, 2)
     return node
 
 
-def _ask(node, address, what, given, as_json, whole=False, quiet=False):
-    """The front's answer; a front that can't be asked is exit 1, or None with `quiet`; `whole`: a refusal as well."""
+def _query(node, address, question, arguments, as_json, allow_refusal=False, quiet=False):
+    """Send a query to a front and return its answer.
+
+    Without an answer the process exits with 1, or None is returned if `quiet`. A refusal ends it too, unless
+    `allow_refusal`.
+    """
     from sprucegate.fleet.links import codec
 
     host, _, port = (address or node.listen).rpartition(":")
     if not host or not port.isdigit():
         _fail(f"--at: must be HOST:PORT, not {address!r}", as_json, 2)
-    said = codec.encode_greeting(codec.Greeting(codec.VERSION, node.name, "operator", "", "", 0))
-    asked = codec.encode_question(codec.Question(what, list(given)))
+    greeting = codec.encode_greeting(codec.Greeting(codec.VERSION, node.name, "operator", "", "", 0))
+    query = codec.encode_question(codec.Question(question, list(arguments)))
     data = b""
     try:
-        with socket.create_connection((host, int(port)), PATIENCE) as sock:
-            sock.sendall(said + asked)
+        with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
+            sock.sendall(greeting + query)
             while piece := sock.recv(1 << 16):
                 data += piece
         length, _ = records.HEAD.unpack_from(data)
         answer = orjson.loads(data[records.HEAD.size + length :])
-    except (OSError, ValueError, records.struct.error) as fault:
+    except (OSError, ValueError, records.struct.error) as exc:
         if quiet:
             return None
-        _fail(f"{host}:{port}: no answer ({type(fault).__name__}: {fault})", as_json, 1)
-    if not answer.get("ok") and not whole:
+        _fail(f"{host}:{port}: no answer ({type(exc).__name__}: {exc})", as_json, 1)
+    if not answer.get("ok") and not allow_refusal:
         _fail(answer.get("error", "refused"), as_json, 1)
     return answer
 
 
-def _shown(answer, as_json, table):
+def _print_answer(answer, as_json, table):
     if as_json:
         click.echo(orjson.dumps(answer).decode())
     else:
@@ -77,17 +83,17 @@
 
 @click.group()
 def fleet():
-    """What a running front knows of the other fronts."""
+    """Query a running front about the fleet."""
 
 
 @fleet.command()
-@OPERATOR
-@AT
-@JSON
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def status(path, address, as_json):
-    """Members, how each stands and by whose word, and what each is known to lack of this front's facts."""
-    said = _ask(_node(path, as_json), address, "status", (), as_json)
-    facts = ", ".join(f"{count} {kind}" for kind, count in sorted(said["facts"].items())) or "no facts"
+    """Show each member's standing, who reported it, and the number of this front's facts that it lacks."""
+    answer = _query(_fleet_node(path, as_json), address, "status", (), as_json)
+    facts = ", ".join(f"{count} {kind}" for kind, count in sorted(answer["facts"].items())) or "no facts"
     table = Table(
         "front",
         "address",
@@ -95,31 +101,33 @@
         "by",
         "life",
         "lacks",
-        title=f"{said['front']} of {said['fleet']}: {said['phase']}, {facts}"
-        + ("" if said["kept"] else "; ITS DISK FAILS"),
+        title=f"{answer['front']} of {answer['fleet']}: {answer['phase']}, {facts}"
+        + ("" if answer["kept"] else "; STATE NOT PERSISTED: DISK FAULT"),
     )
-    for one in said["members"]:
-        lag = "" if one["lag"] is None else str(one["lag"])
-        table.add_row(one["name"], one["address"], one["standing"], one["by"], one["life"], lag)
-    _shown(said, as_json, table)
+    for member in answer["members"]:
+        lag = "" if member["lag"] is None else str(member["lag"])
+        table.add_row(
+            member["name"], member["address"], member["standing"], member["by"], member["life"], lag
+        )
+    _print_answer(answer, as_json, table)
 
 
-def _rows(facts):
+def _facts_table(facts):
     table = Table("kind", "key", "holds", "by", "life", "counter")
-    for one in facts:
+    for fact in facts:
         table.add_row(
-            one["kind"],
-            " ".join(map(str, one["key"])),
-            str(one.get("state", one.get("value"))),
-            one["by"],
-            one["life"],
-            str(one["counter"]),
+            fact["kind"],
+            " ".join(map(str, fact["key"])),
+            str(fact.get("state", fact.get("value"))),
+            fact["by"],
+            fact["life"],
+            str(fact["counter"]),
         )
     return table
 
 
-def _listing(rows, title):
-    """Rows that all have the same keys, which are the columns."""
+def _table(rows, title):
+    """Return a table of rows that all have the same keys; the keys are the columns."""
     table = Table(*(rows[0] if rows else ()), title=title)
     for row in rows:
         table.add_row(*map(str, row.values()))
@@ -128,47 +136,54 @@
 
 @fleet.command()
 @click.argument("kind", required=False, type=click.Choice(["purge", "word", "held"]))
-@OPERATOR
-@AT
-@JSON
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def facts(kind, path, address, as_json):
-    """The guard facts that a front holds, a thousand at most, and by whose word."""
-    said = _ask(_node(path, as_json), address, "facts", [kind] if kind else [], as_json)
-    _shown(said, as_json, _rows(said["facts"]))
+    """Show at most 1000 guard facts that a front holds, and which front reported each."""
+    answer = _query(_fleet_node(path, as_json), address, "facts", [kind] if kind else [], as_json)
+    _print_answer(answer, as_json, _facts_table(answer["facts"]))
 
 
 @fleet.command()
 @click.argument("words", nargs=-1, required=True)
-@OPERATOR
-@AT
-@JSON
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def why(words, path, address, as_json):
-    """Facts whose key has all of WORDS: `why purge 1234`, `why word 11 bus`; `why view [FRONT]`: how fronts stand;
-    `why share [TENANT]`: places, and who waits for them."""
-    said = _ask(_node(path, as_json), address, "why", words, as_json)
+    """Show facts whose key contains all WORDS, such as `why purge 1234` or `why word 11 bus`.
+
+    `why view [FRONT]` shows the standing of fronts, `why share [TENANT]` the queues for slow-fill slots.
+    """
+    answer = _query(_fleet_node(path, as_json), address, "why", words, as_json)
     if words[0] == "view":
-        view = said["view"]
-        whose = f"by entry {view['agreed']} of the log" if view["agreed"] else "local"
-        title = f"{said['front']}: view {view['number']}, {view['state']}, {view['share']:.0%} of the fleet, {whose}"
-        return _shown(said, as_json, _listing(said["facts"], title))
-    if words[0] == "share" and said["facts"]:
-        return _shown(said, as_json, _listing(said["facts"], f"{said['front']}: places for slow fills"))
-    if not said["facts"]:
-        _fail(f"{said['front']} holds no fact of {' '.join(words)}", as_json, 1)
-    _shown(said, as_json, _rows(said["facts"]))
+        view = answer["view"]
+        source = f"by entry {view['agreed']} of the log" if view["agreed"] else "local"
+        title = (
+            f"{answer['front']}: view {view['number']}, {view['state']}, "
+            f"{view['share']:.0%} of the fleet, {source}"
+        )
+        return _print_answer(answer, as_json, _table(answer["facts"], title))
+    if words[0] == "share" and answer["facts"]:
+        return _print_answer(
+            answer, as_json, _table(answer["facts"], f"{answer['front']}: slots for slow fills")
+        )
+    if not answer["facts"]:
+        _fail(f"{answer['front']} holds no fact whose key contains {' '.join(words)}", as_json, 1)
+    _print_answer(answer, as_json, _facts_table(answer["facts"]))
 
 
 @fleet.command()
 @click.argument("one")
 @click.argument("other")
-@OPERATOR
-@JSON
+@OPERATOR_FILE
+@JSON_OUTPUT
 def diff(one, other, path, as_json):
-    """What the fronts at ONE and OTHER (HOST:PORT) hold otherwise; exit 1 where they differ."""
-    node = _node(path, as_json)
-    a, b = (_ask(node, at, "facts", (), as_json) for at in (one, other))
+    """Show the facts that differ between the fronts at ONE and OTHER (HOST:PORT); exit 1 if they differ."""
+    node = _fleet_node(path, as_json)
+    a, b = (_query(node, at, "facts", (), as_json) for at in (one, other))
     ours, theirs = (
-        {(f["kind"], *f["key"]): f.get("state", f.get("value")) for f in said["facts"]} for said in (a, b)
+        {(f["kind"], *f["key"]): f.get("state", f.get("value")) for f in answer["facts"]} for answer in (a, b)
     )
     rows = [
         (" ".join(map(str, key)), str(ours.get(key)), str(theirs.get(key)))
@@ -176,9 +191,12 @@
         if ours.get(key) != theirs.get(key)
     ]
     table = Table(
-        "key", a["front"], b["front"], title="the same" if a["root"] == b["root"] else "they differ"
+        "key",
+        a["front"],
+        b["front"],
+        title="no facts differ" if a["root"] == b["root"] else "some facts differ",
     )
     for row in rows:
         table.add_row(*row)
-    _shown({"ok": True, "same": a["root"] == b["root"], "rows": rows}, as_json, table)
+    _print_answer({"ok": True, "same": a["root"] == b["root"], "rows": rows}, as_json, table)
     sys.exit(a["root"] != b["root"])
--- a/sprucegate/cli/operator_file.py
+++ b/sprucegate/cli/operator_file.py
@@ -160,7 +160,7 @@
         if len(self.keepers) % 2 == 0:
             return (
                 "keepers",
-                "must list an odd number of voters: an even number can split into two halves without a majority",
+                "must list an odd number of voters: an even one can split into equal halves",
             )
         return None
 
--- a/sprucegate/cli/rollout.py
+++ b/sprucegate/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`sprucegate fleet keeper|keepers|drain|undrain|give-up|release|watch`: who goes out, asked for and shown."""
+"""`sprucegate fleet keeper|keepers|drain|undrain|give-up|release|watch`: drains and releases of software."""
 
 import os
 import sys
@@ -14,7 +14,15 @@
 
 from sprucegate import clock
 from sprucegate.cli import operator_file
-from sprucegate.cli.fleet import AT, JSON, OPERATOR, _ask, _fail, _node, _shown
+from sprucegate.cli.fleet import (
+    FRONT_ADDRESS,
+    JSON_OUTPUT,
+    OPERATOR_FILE,
+    _fail,
+    _fleet_node,
+    _print_answer,
+    _query,
+)
 
 REFUSALS = (
     "no such",
@@ -27,114 +35,120 @@
     "asked for already",
     "too many",
 )
-ID = click.option("--id", "request", help="Of a request that is given again: it has no second effect.")
+REQUEST_ID = click.option("--id", "request", help="ID of a request to repeat; it takes effect once only.")
+
 
+def _request_id(request, *words):
+    """Return the given ID, or a new one.
 
-def _given(request, *words):
-    """An id of its own for each call, told, so that the same request can be given again."""
-    made = zlib.crc32("\0".join([*words, str(clock.unix()), str(os.getpid())]).encode())
-    return request or f"{words[0]}-{made:08x}"
+    The ID is printed with the answer, so that a request whose outcome is unknown can be repeated.
+    """
+    checksum = zlib.crc32("\0".join([*words, str(clock.unix()), str(os.getpid())]).encode())
+    return request or f"{words[0]}-{checksum:08x}"
 
 
-def _say(path, address, as_json, request, command):
-    """Proposes an operator's command; exit 1 where it is refused or no majority of the keepers is there."""
-    said = _ask(
-        _node(path, as_json),
+def _propose(path, address, as_json, request, command):
+    """Propose a command for the replicated log; exit 1 if refused or without a majority of voters."""
+    answer = _query(
+        _fleet_node(path, as_json),
         address,
         "propose",
         [orjson.dumps(["once", request, command]).decode()],
         as_json,
-        whole=True,
+        allow_refusal=True,
     )
-    if not said.get("ok"):
-        text = f"{said.get('error', 'refused')} (request {request})"
-        _fail(text, as_json, 1 if "quorum" in said else 2)
-    refused = said["word"].startswith(REFUSALS) or said["word"].endswith("is not over")
+    if not answer.get("ok"):
+        error = f"{answer.get('error', 'refused')} (request {request})"
+        _fail(error, as_json, 1 if "quorum" in answer else 2)
+    refused = answer["word"].startswith(REFUSALS) or answer["word"].endswith("is not over")
     if as_json:
-        click.echo(orjson.dumps({**said, "ok": not refused, "request": request}).decode())
+        click.echo(orjson.dumps({**answer, "ok": not refused, "request": request}).decode())
     else:
-        click.echo(f"{said['front']}: {said['word']} (entry {said['index']}, request {request})")
+        click.echo(f"{answer['front']}: {answer['word']} (entry {answer['index']}, request {request})")
     sys.exit(1 if refused else 0)
 
 
-def _state(path, address, as_json):
-    return _ask(_node(path, as_json), address, "agreed", (), as_json)
+def _log_state(path, address, as_json):
+    return _query(_fleet_node(path, as_json), address, "agreed", (), as_json)
 
 
-def _age(said):
-    heard = said["heard_ms"]
+def _freshness(answer):
+    heard = answer["heard_ms"]
     return (
         ""
         if heard is None
-        else f", by {said['leader'] or 'no leader'}, heard {heard} ms ago"
-        + ("; THE KEEPERS ARE LOST, this is old" if said["fenced"] else "")
+        else f", by {answer['leader'] or 'no leader'}, heard from {heard} ms ago"
+        + ("; STALE: NO CONTACT TO THE KEEPERS" if answer["fenced"] else "")
     )
 
 
-def _tables(said):
-    title = f"{said['front']}: entry {said['index']}{_age(said)}"
-    if said["troubles"]:
-        title += "; releases wait: " + ", ".join(f"{k} {v}" for k, v in said["troubles"].items())
-    permits = Table("permit", "box", "step", "by", "release", "waits for, or holds it", title=title)
-    for one in said["permits"]:
+def _tables(answer):
+    title = f"{answer['front']}: entry {answer['index']}{_freshness(answer)}"
+    if answer["troubles"]:
+        title += "; releases are waiting: " + ", ".join(f"{k} {v}" for k, v in answer["troubles"].items())
+    permits = Table("permit", "box", "step", "by", "release", "waits for, or held by", title=title)
+    for permit in answer["permits"]:
         waits = (
-            one["waits"] and f"{one['waits'][0]} {one['waits'][1]} ({one['waits'][2]} of {one['waits'][3]})"
+            permit["waits"]
+            and f"{permit['waits'][0]} {permit['waits'][1]} ({permit['waits'][2]} of {permit['waits'][3]})"
         )
         permits.add_row(
-            one["id"],
-            one["box"],
-            one["step"] + (" OVERDUE" if one["overdue"] else ""),
-            one["by"],
-            one["release"],
-            waits or one["holder"],
+            permit["id"],
+            permit["box"],
+            permit["step"] + (" OVERDUE" if permit["overdue"] else ""),
+            permit["by"],
+            permit["release"],
+            waits or permit["holder"],
         )
     releases = Table("release", "phase", "wave", "released", "of", "why")
-    for one in said["releases"]:
+    for entry in answer["releases"]:
         releases.add_row(
-            one["name"],
-            one["phase"],
-            f"{one['wave'] + 1} of {len(one['waves'])}",
-            str(len(one["done"])),
-            str(sum(map(len, one["waves"]))),
-            one["why"],
+            entry["name"],
+            entry["phase"],
+            f"{entry['wave'] + 1} of {len(entry['waves'])}",
+            str(len(entry["done"])),
+            str(sum(map(len, entry["waves"]))),
+            entry["why"],
         )
     out = Table("out", "why")
-    for box, why in sorted(said["out"].items()):
+    for box, why in sorted(answer["out"].items()):
         out.add_row(box, why)
     return Group(permits, releases, out)
 
 
 @click.command()
 @click.argument("name")
-@OPERATOR
+@OPERATOR_FILE
 @click.option(
-    "--trust-folder", is_flag=True, help="This folder is whole, though too few keepers are there to say so."
+    "--trust-folder",
+    is_flag=True,
+    help="Trust that the state directory is intact, though too few other keepers answer to confirm it.",
 )
 @click.option(
-    "--only-one-left", is_flag=True, help="The other keepers are gone for good: go on without them."
+    "--only-one-left", is_flag=True, help="The other keepers are lost for good: continue as the only voter."
 )
 def keeper(name, path, trust_folder, only_one_left):
-    """Keep the agreed log as NAME of the file's keepers, and do nothing else."""
+    """Run only a voter of the replicated log, under NAME, one of the keepers in the operator's file."""
     import uvloop
 
     from sprucegate.assembly.keep import keep
     from sprucegate.cli.structured_logging import structured
 
     try:
-        said = operator_file.read(path)
-    except operator_file.OperatorFileError as fault:
-        _fail(str(fault), False, 2)
-    if said.fleet is None or said.agreement is None:
-        _fail(f"{path}: agreement: is not there, so there is nothing to keep", False, 2)
-    if name not in said.agreement.addresses:
-        _fail(f"{path}: agreement.keepers: names no {name}", False, 2)
+        config = operator_file.read(path)
+    except operator_file.OperatorFileError as error:
+        _fail(str(error), False, 2)
+    if config.fleet is None or config.agreement is None:
+        _fail(f"{path}: agreement: is missing; a keeper needs it", False, 2)
+    if name not in config.agreement.addresses:
+        _fail(f"{path}: agreement.keepers: does not list {name}", False, 2)
     sys.exit(
         uvloop.run(
             keep(
                 name,
-                said.fleet,
-                said.agreement,
-                said.rollout,
+                config.fleet,
+                config.agreement,
+                config.rollout,
                 structured(name),
                 trusted=trust_folder,
                 only_one_left=only_one_left,
@@ -144,17 +158,17 @@
 
 
 @click.command()
-@OPERATOR
-@JSON
+@OPERATOR_FILE
+@JSON_OUTPUT
 def keepers(path, as_json):
-    """How each keeper that answers stands: its role, its term, who votes."""
-    node = _node(path, as_json)
+    """Show each keeper's role, term and committed entry, and the voters and learners that it knows."""
+    node = _fleet_node(path, as_json)
     if (agreement := operator_file.read(path).agreement) is None:
-        _fail(f"{path}: agreement: is not there", as_json, 2)
+        _fail(f"{path}: agreement: is missing", as_json, 2)
     rows = []
     for name, at in agreement.addresses.items():
-        said = _ask(node, at, "agreed", (), as_json, quiet=True)
-        rows.append((name, at, (said or {}).get("voting") or {"role": "no answer"}))
+        answer = _query(node, at, "agreed", (), as_json, quiet=True)
+        rows.append((name, at, (answer or {}).get("voting") or {"role": "no answer"}))
     table = Table("keeper", "address", "name", "role", "term", "committed", "voters", "learners")
     for name, at, one in rows:
         table.add_row(
@@ -167,7 +181,7 @@
             " ".join(one.get("voters", ())),
             " ".join(one.get("learners", ())),
         )
-    _shown(
+    _print_answer(
         {"ok": True, "keepers": [{"keeper": n, "address": a, **one} for n, a, one in rows]}, as_json, table
     )
     sys.exit(0 if any(one["role"] == "leader" for *_, one in rows) else 1)
@@ -176,193 +190,217 @@
 @click.command()
 @click.argument("box")
 @click.option("--why", default="by hand", show_default=True)
-@ID
-@OPERATOR
-@AT
-@JSON
+@REQUEST_ID
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def drain(box, why, request, path, address, as_json):
-    """Ask that BOX, a cache or a front, may go out. `fleet watch` shows when it may."""
-    request = _given(request, "drain", box)
-    _say(path, address, as_json, request, ["ask", request, box, _user(), why])
+    """Request a permit to take BOX, a cache or a front, out of service; see `fleet watch`."""
+    request = _request_id(request, "drain", box)
+    _propose(path, address, as_json, request, ["ask", request, box, _user(), why])
 
 
 @click.command()
 @click.argument("permit")
-@ID
-@OPERATOR
-@AT
-@JSON
+@REQUEST_ID
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def undrain(permit, request, path, address, as_json):
-    """Withdraw the request PERMIT, as long as its box is not out."""
-    _say(path, address, as_json, _given(request, "undrain", permit), ["withdraw", permit])
+    """Withdraw the request PERMIT, unless its box is out already."""
+    _propose(path, address, as_json, _request_id(request, "undrain", permit), ["withdraw", permit])
 
 
 @click.command()
 @click.argument("permit")
-@ID
-@OPERATOR
-@AT
-@JSON
+@REQUEST_ID
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def out(permit, request, path, address, as_json):
-    """For box agents: the box of PERMIT is about to be stopped; exit 1 while it is not drained."""
-    request = _given(request, "out", permit)
-    _say(path, address, as_json, request, ["out", permit, _user()])
+    """For box agents: report that PERMIT's box is about to be stopped; exit 1 while it is not drained."""
+    request = _request_id(request, "out", permit)
+    _propose(path, address, as_json, request, ["out", permit, _user()])
 
 
 @click.command()
 @click.argument("permit")
 @click.argument("start")
-@ID
-@OPERATOR
-@AT
-@JSON
+@REQUEST_ID
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def started(permit, start, request, path, address, as_json):
-    """For box agents: the box of PERMIT runs again, as START, a name of this start alone."""
-    _say(path, address, as_json, _given(request, "started", permit), ["started", permit, start])
+    """For box agents: report that the box of PERMIT runs again; START is an ID unique to this start."""
+    _propose(path, address, as_json, _request_id(request, "started", permit), ["started", permit, start])
 
 
 @click.command()
 @click.argument("permit")
-@ID
-@OPERATOR
-@AT
-@JSON
+@REQUEST_ID
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def renew(permit, request, path, address, as_json):
-    """For box agents: whoever replaces the box of PERMIT is still at it; at least every 30 s."""
-    _say(path, address, as_json, _given(request, "renew", permit), ["renew", permit, _user()])
+    """For box agents: report at least every 30 s that the replacement of PERMIT's box goes on."""
+    _propose(path, address, as_json, _request_id(request, "renew", permit), ["renew", permit, _user()])
 
 
 @click.command("give-up")
 @click.argument("box")
-@ID
-@OPERATOR
-@AT
-@JSON
+@REQUEST_ID
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def give_up(box, request, path, address, as_json):
-    """BOX will not come back: it counts neither as out nor as there any more."""
-    _say(path, address, as_json, _given(request, "give-up", box), ["give-up", box])
+    """Declare that BOX will not come back; it no longer counts as out or in service."""
+    _propose(path, address, as_json, _request_id(request, "give-up", box), ["give-up", box])
 
 
 @click.command()
-@OPERATOR
-@AT
-@JSON
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def watch(path, address, as_json):
-    """Permits, releases and boxes that are out: once with --json or into a pipe, else a live view until Ctrl-C."""
+    """Show permits, releases and boxes that are out.
+
+    Prints once with --json or into a pipe, else a live view until Ctrl-C.
+    """
     if as_json or not sys.stdout.isatty():
-        said = _state(path, address, as_json)
-        return _shown(said, as_json, _tables(said))
-    with Live(_tables(_state(path, address, False)), refresh_per_second=4) as live:
+        answer = _log_state(path, address, as_json)
+        return _print_answer(answer, as_json, _tables(answer))
+    with Live(_tables(_log_state(path, address, False)), refresh_per_second=4) as live:
         while True:
             time.sleep(0.5)
-            live.update(_tables(_state(path, address, False)))
+            live.update(_tables(_log_state(path, address, False)))
 
 
 @click.group()
 def release():
-    """Releases: a plan of waves, halt, resume and the way back."""
+    """Releases: start one from a plan of waves, halt it, resume it, or roll it back."""
 
 
 @release.command()
 @click.argument("plan", type=click.Path(dir_okay=False))
-@ID
-@OPERATOR
-@AT
-@JSON
+@REQUEST_ID
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def start(plan, request, path, address, as_json):
-    """Begin the release that the file PLAN describes."""
+    """Start the release that the file PLAN describes."""
     try:
-        made = read_plan(plan)
-    except operator_file.OperatorFileError as fault:
-        _fail(str(fault), as_json, 2)
-    _say(path, address, as_json, _given(request, "start", made[0]), ["release", made, _user()])
+        release_arguments = read_plan(plan)
+    except operator_file.OperatorFileError as error:
+        _fail(str(error), as_json, 2)
+    _propose(
+        path,
+        address,
+        as_json,
+        _request_id(request, "start", release_arguments[0]),
+        ["release", release_arguments, _user()],
+    )
 
 
-def _order(name, text):
+def _add_release_command(name, text):
     @release.command(name, help=text)
     @click.argument("of")
     @click.option("--why", default="by hand", show_default=True)
-    @ID
-    @OPERATOR
-    @AT
-    @JSON
-    def order(of, why, request, path, address, as_json):
-        command = [name, of, _user()] + ([why] if name == "halt" else [])
-        _say(path, address, as_json, _given(request, name, of), command)
+    @REQUEST_ID
+    @OPERATOR_FILE
+    @FRONT_ADDRESS
+    @JSON_OUTPUT
+    def propose_command(of, why, request, path, address, as_json):
+        proposal = [name, of, _user()] + ([why] if name == "halt" else [])
+        _propose(path, address, as_json, _request_id(request, name, of), proposal)
 
-    return order
+    return propose_command
 
 
-_order("halt", "No new permit of the release OF; who is out comes back.")
-_order("resume", "Go on with the halted release OF.")
-_order("back", "Take all that OF released back to the former version, in waves.")
+_add_release_command("halt", "Grant no new permits of the release OF; boxes that are out come back.")
+_add_release_command("resume", "Resume the halted release OF.")
+_add_release_command("back", "Roll back all boxes that OF released to the former version, in waves.")
 
 
 @release.command("status")
 @click.argument("of", required=False)
-@OPERATOR
-@AT
-@JSON
-def of_release(of, path, address, as_json):
-    """Releases and how far each is; exit 1 where OF is not known."""
-    said = _state(path, address, as_json)
-    said["releases"] = [one for one in said["releases"] if of in (None, one["name"])]
-    if of and not said["releases"]:
-        _fail(f"{said['front']} knows no release {of}", as_json, 1)
-    _shown(said, as_json, _tables(said))
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
+def release_status(of, path, address, as_json):
+    """Show the progress of each release; exit 1 if OF is not known."""
+    answer = _log_state(path, address, as_json)
+    answer["releases"] = [one for one in answer["releases"] if of in (None, one["name"])]
+    if of and not answer["releases"]:
+        _fail(f"{answer['front']} knows no release {of}", as_json, 1)
+    _print_answer(answer, as_json, _tables(answer))
 
 
 @release.command()
 @click.argument("of", required=False)
-@OPERATOR
-@AT
-@JSON
+@OPERATOR_FILE
+@FRONT_ADDRESS
+@JSON_OUTPUT
 def history(of, path, address, as_json):
-    """What became of releases: entry of the log, release, what, by whom or why."""
-    said = _state(path, address, as_json)
-    rows = [row for row in said["history"] if of in (None, row[1])]
+    """Show the history of releases: log entry, release, event, and by whom or why."""
+    answer = _log_state(path, address, as_json)
+    rows = [row for row in answer["history"] if of in (None, row[1])]
     table = Table(
-        "entry", "release", "what", "by or why", title=f"{said['front']}: entry {said['index']}{_age(said)}"
+        "entry",
+        "release",
+        "what",
+        "by or why",
+        title=f"{answer['front']}: entry {answer['index']}{_freshness(answer)}",
     )
     for row in rows:
         table.add_row(*map(str, row))
-    _shown({"ok": True, "history": rows}, as_json, table)
+    _print_answer({"ok": True, "history": rows}, as_json, table)
 
 
 def _user():
     return os.environ.get("USER") or "operator"
 
 
-PLAN = """release "NAME" { kind "std"; version "2"; former "1"; bake (min)10; wave "s-10"; wave "s-11" "s-12" }"""
+PLAN_EXAMPLE = (
+    'release "NAME" { kind "std"; version "2"; former "1"; bake (min)10; wave "s-10"; wave "s-11" "s-12" }'
+)
 
 
 def read_plan(path):
-    """[name, kind, version, former, waves, bake ns] of a file with one `release` node; raises Faulty."""
+    """Return [name, kind, version, former, waves, bake in ns] of a plan; raises OperatorFileError.
+
+    A plan is a file with one `release` node.
+    """
     from sprucegate.config import source_locations
 
     try:
-        with open(path, "rb") as opened:
-            text = opened.read(1 << 20).decode()
-        nodes, begun = ckdl.parse(text).nodes, source_locations.starts(text)
-    except OSError as fault:
+        with open(path, "rb") as file:
+            text = file.read(1 << 20).decode()
+        nodes, positions = ckdl.parse(text).nodes, source_locations.starts(text)
+    except OSError as error:
         raise operator_file.OperatorFileError(
-            path, 1, "", f"can't be read: {os.strerror(fault.errno or 0)}"
+            path, 1, "", f"can't be read: {os.strerror(error.errno or 0)}"
         ) from None
-    except Exception:  # ckdl raises several kinds
-        raise operator_file.OperatorFileError(path, 1, "", "is not KDL") from None
+    except Exception:  # ckdl raises several types of exceptions
+        raise operator_file.OperatorFileError(path, 1, "", "is not valid KDL") from None
     if len(nodes) != 1 or nodes[0].name != "release" or len(nodes[0].args) != 1:
-        raise operator_file.OperatorFileError(path, 1, "release", f"wants one node as {PLAN}")
-    found, waves = {}, []
-    for node, at in zip(nodes[0].children, begun[0].children, strict=True):
+        raise operator_file.OperatorFileError(
+            path, 1, "release", f"must have one node such as {PLAN_EXAMPLE}"
+        )
+    settings, waves = {}, []
+    for node, position in zip(nodes[0].children, positions[0].children, strict=True):
         key = f"release.{node.name}"
         values = [value.value if isinstance(value, ckdl.Value) else value for value in node.args]
         if node.name == "wave":
             if not values or not all(isinstance(value, str) for value in values):
-                raise operator_file.OperatorFileError(path, at.line, key, "wants names of boxes")
+                raise operator_file.OperatorFileError(path, position.line, key, "must have names of boxes")
             waves.append(values)
-        elif node.name in found or node.name not in ("kind", "version", "former", "bake") or len(values) != 1:
+        elif (
+            node.name in settings
+            or node.name not in ("kind", "version", "former", "bake")
+            or len(values) != 1
+        ):
             raise operator_file.OperatorFileError(
-                path, at.line, key, "is not known, stands twice or wants one value"
+                path, position.line, key, "is not known, is given twice or has not exactly one value"
             )
         elif node.name == "bake":
             unit = node.args[0].type_annotation if isinstance(node.args[0], ckdl.Value) else None
@@ -372,18 +410,25 @@
                 or not isinstance(values[0], int | float)
             ):
                 raise operator_file.OperatorFileError(
-                    path, at.line, key, "wants a time with its unit, as (min)10"
+                    path, position.line, key, "must be a time with its unit, such as (min)10"
                 )
-            found["bake"] = int(values[0] * operator_file.TIME_UNITS[unit])
+            settings["bake"] = int(values[0] * operator_file.TIME_UNITS[unit])
         elif not isinstance(values[0], str):
-            raise operator_file.OperatorFileError(path, at.line, key, "wants a text")
+            raise operator_file.OperatorFileError(path, position.line, key, "must be a string")
         else:
-            found[node.name] = values[0]
-    if missing := [key for key in ("kind", "version", "former", "bake") if key not in found]:
-        raise operator_file.OperatorFileError(path, begun[0].line, f"release.{missing[0]}", "is missing")
+            settings[node.name] = values[0]
+    if missing := [key for key in ("kind", "version", "former", "bake") if key not in settings]:
+        raise operator_file.OperatorFileError(path, positions[0].line, f"release.{missing[0]}", "is missing")
     if not waves:
-        raise operator_file.OperatorFileError(path, begun[0].line, "release.wave", "is missing")
-    return [str(nodes[0].args[0]), found["kind"], found["version"], found["former"], waves, found["bake"]]
+        raise operator_file.OperatorFileError(path, positions[0].line, "release.wave", "is missing")
+    return [
+        str(nodes[0].args[0]),
+        settings["kind"],
+        settings["version"],
+        settings["former"],
+        waves,
+        settings["bake"],
+    ]
 
 
 COMMANDS = (keeper, keepers, drain, undrain, give_up, watch, release, out, started, renew)
