--- a/sprucegate/cli/commands.py
+++ b/sprucegate/cli/commands.py
@@ -1,4 +1,4 @@
-"""The command line. Exit status: 0 done, 1 it failed, 2 wrong use or configuration."""
+"""The command line. Exit status: 0 success, 1 failure, 2 wrong usage or invalid configuration."""
 
 import gc
 import os
@@ -15,18 +15,18 @@
 from sprucegate.cli.story import story
 
 
-def _fault(fault, as_json):
+def _fail(error, as_json):
     if as_json:
-        said = {"ok": False, "file": fault.file, "line": fault.line, "key": fault.key, "error": fault.text}
-        click.echo(orjson.dumps(said).decode())
+        answer = {"ok": False, "file": error.file, "line": error.line, "key": error.key, "error": error.text}
+        click.echo(orjson.dumps(answer).decode())
     else:
-        click.echo(f"sprucegate: {fault}", err=True)
+        click.echo(f"sprucegate: {error}", err=True)
     sys.exit(2)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main():
-    """A traffic router for a two-tier cache. Without a command it is the platform's front."""
+    """A request router for a two-tier cache. Without a command it runs a front under the platform."""
 
 
 @main.command()
@@ -39,8 +39,8 @@
     help="The operator's file.",
 )
 def front(path):
-    """Serve as a front, by BALANCER_CONFIG and the operator's file."""
-    # Here and not above: `check` and `version` start without the front's libraries.
+    """Run a front, configured by BALANCER_CONFIG and the operator's file."""
+    # Imported here so that `check` and `version` do not load the front's libraries.
     import uvloop
 
     from sprucegate.assembly.run import serve
@@ -48,41 +48,41 @@
     from sprucegate.front import configuration
 
     try:
-        said = operator_file.read(path)
-        wanted = configuration.read(os.environ)
-        servers = said.servers.resolved(wanted.kinds)
-    except operator_file.OperatorFileError as fault:
-        _fault(fault, False)
-    except configuration.FrontConfigurationError as fault:
-        click.echo(f"sprucegate: {fault}", err=True)
+        config = operator_file.read(path)
+        front_configuration = configuration.read(os.environ)
+        servers = config.servers.resolved(front_configuration.kinds)
+    except operator_file.OperatorFileError as error:
+        _fail(error, False)
+    except configuration.FrontConfigurationError as error:
+        click.echo(f"sprucegate: {error}", err=True)
         sys.exit(2)
-    except KeyError as fault:
-        click.echo(f"sprucegate: {path}: servers.speak: kind {fault} is not in settings.shapes", err=True)
+    except KeyError as error:
+        click.echo(f"sprucegate: {path}: servers.speak: kind {error} is not in settings.shapes", err=True)
         sys.exit(2)
-    # As the platform's front: what the start built stays.
+    # As in __main__: objects created at startup live as long as the process; exempt them from collection.
     gc.freeze()
     gc.set_threshold(20_000, 20, 100)
-    wanted = wanted._replace(
+    front_configuration = front_configuration._replace(
         servers=servers,
-        membership=said.membership,
-        fleet=said.fleet,
-        agreement=said.agreement and (said.agreement, said.rollout),
-        shares=said.shares,
-        log_gets=said.log.gets,
+        membership=config.membership,
+        fleet=config.fleet,
+        agreement=config.agreement and (config.agreement, config.rollout),
+        shares=config.shares,
+        log_gets=config.log.gets,
     )
-    sys.exit(uvloop.run(serve(wanted, structured(wanted.name))))
+    sys.exit(uvloop.run(serve(front_configuration, structured(front_configuration.name))))
 
 
 @main.command()
 @click.argument("path", metavar="FILE", type=click.Path(dir_okay=False))
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on standard output.")
 def check(path, as_json):
-    """Say whether the operator's file FILE can be taken, without starting anything."""
+    """Validate the operator's file FILE without starting anything."""
     try:
-        said = operator_file.read(path)
-    except operator_file.OperatorFileError as fault:
-        _fault(fault, as_json)
-    rules = said.servers.speak
+        config = operator_file.read(path)
+    except operator_file.OperatorFileError as error:
+        _fail(error, as_json)
+    rules = config.servers.speak
     if as_json:
         click.echo(
             orjson.dumps(
@@ -90,14 +90,14 @@
                     "ok": True,
                     "file": path,
                     "speak": [
-                        {k: getattr(one, k) for k in one.__struct_fields__ if getattr(one, k) is not None}
-                        for one in rules
+                        {k: getattr(rule, k) for k in rule.__struct_fields__ if getattr(rule, k) is not None}
+                        for rule in rules
                     ],
                 }
             )
         )
     else:
-        click.echo(f"{path}: good, {len(rules)} rule{'s' * (len(rules) != 1)} on what servers speak")
+        click.echo(f"{path}: valid, {len(rules)} rule{'s' * (len(rules) != 1)} for server protocols")
 
 
 main.add_command(servers)
@@ -112,12 +112,12 @@
 def version(as_json):
     """Print the version of sprucegate and of Python."""
     try:
-        own = metadata.version("sprucegate")
+        package_version = metadata.version("sprucegate")
     except metadata.PackageNotFoundError:
-        own = "0.1.0+source"  # started from a clone that is not installed
+        package_version = "0.1.0+source"  # run from a source tree, not installed
     python = sys.version.split()[0]
     click.echo(
-        orjson.dumps({"sprucegate": own, "python": python}).decode()
+        orjson.dumps({"sprucegate": package_version, "python": python}).decode()
         if as_json
-        else f"sprucegate {own}, Python {python}"
+        else f"sprucegate {package_version}, Python {python}"
     )
--- a/sprucegate/cli/story.py
+++ b/sprucegate/cli/story.py
@@ -1,4 +1,4 @@
-"""One GET's story out of fronts' logs, as `log { gets #true }` in the operator's file writes them."""
+"""Trace of one GET from the logs of fronts, written with `log { gets #true }` in the operator's file."""
 
 import sys
 
@@ -8,33 +8,34 @@
 EVENTS = ("get", "invariant_broken")
 
 
-def stories(lines, call_id):
-    """The lines of one id, by time; what is no line of a front's log is passed over."""
+def records_of_call(lines, call_id):
+    """Return the log records of one ID in order of time; lines that are no log records are skipped."""
     found = []
     for line in lines:
         try:
-            said = orjson.loads(line)
+            record = orjson.loads(line)
         except orjson.JSONDecodeError:
             continue
-        if isinstance(said, dict) and said.get("event") in EVENTS and said.get("id") == call_id:
-            found.append(said)
-    return sorted(found, key=lambda said: said.get("at", 0))
+        if isinstance(record, dict) and record.get("event") in EVENTS and record.get("id") == call_id:
+            found.append(record)
+    return sorted(found, key=lambda record: record.get("at", 0))
 
 
 @click.command()
 @click.argument("call_id", metavar="ID")
 @click.argument("logs", type=click.File("rb"), nargs=-1)
 def story(call_id, logs):
-    """Print what became of the GET with that X-Call-Id, by LOGS of fronts (standard input without any)."""
-    found = stories((line for log in logs or [sys.stdin.buffer] for line in log), call_id)
-    for said in found:
-        broken = f", broken: {said['rule']}" if "rule" in said else ""
+    """Print the steps of the GET with X-Call-Id ID from the LOGS of fronts (default: standard input)."""
+    found = records_of_call((line for log in logs or [sys.stdin.buffer] for line in log), call_id)
+    for record in found:
+        broken = f", broken: {record['rule']}" if "rule" in record else ""
         click.echo(
-            f"{said.get('front')}: {said['event']} {said.get('ds', '')} {said.get('object', '')}{broken}"
+            f"{record.get('front')}: {record['event']} {record.get('ds', '')} "
+            f"{record.get('object', '')}{broken}"
         )
-        for step in said.get("story", ()):
+        for step in record.get("story", ()):
             at, _, what = str(step).partition(" ")
             click.echo(f"  {at:>8} ms  {what}")
     if not found:
-        click.echo(f"{call_id}: no line of it", err=True)
+        click.echo(f"{call_id}: no log records found", err=True)
         sys.exit(1)
--- a/sprucegate/cli/structured_logging.py
+++ b/sprucegate/cli/structured_logging.py
@@ -1,6 +1,6 @@
-"""Structured logging by structlog over the front's own writer: the same lines as the platform's front writes.
+"""Structured logging with structlog, in the format and through the non-blocking writer of `front.log`.
 
-structlog costs 4.5 MB at rest, so the platform's front, held to its memory, does without it.
+structlog takes 4.5 MB of memory, so the platform's front, which has a memory limit, does not use it.
 """
 
 import orjson
@@ -10,8 +10,8 @@
 from sprucegate.front.log import Writer
 
 
-class _Lines:
-    """What structlog hands its lines to; it never blocks and holds at most one line."""
+class _LineSink:
+    """The logger that structlog wraps; it never blocks and buffers at most one line."""
 
     def __init__(self, writer):
         self.writer = writer
@@ -21,19 +21,22 @@
 
 
 def structured(name, fd=1):
-    """A log as the front calls it, `log(event, **fields)`; `log.bind(key=value)` gives one with more fields."""
+    """Return a logger that the front calls as `log(event, **fields)`.
+
+    `log.bind(key=value)` returns a logger with additional fields.
+    """
     writer = Writer(fd)
 
-    def stamped(_logger, _method, event):
-        said = {"at": clock.unix() // 1_000_000, "front": name, "event": event.pop("event"), **event}
+    def render(_logger, _method, event):
+        record = {"at": clock.unix() // 1_000_000, "front": name, "event": event.pop("event"), **event}
         if writer.dropped:
-            said["lines_dropped"] = writer.dropped
-        return orjson.dumps(said, default=str) + b"\n"
+            record["lines_dropped"] = writer.dropped
+        return orjson.dumps(record, default=str) + b"\n"
 
     return Structured(
         structlog.wrap_logger(
-            _Lines(writer),
-            processors=[structlog.contextvars.merge_contextvars, stamped],
+            _LineSink(writer),
+            processors=[structlog.contextvars.merge_contextvars, render],
             wrapper_class=structlog.BoundLogger,
             context_class=dict,
             cache_logger_on_first_use=True,
@@ -42,7 +45,7 @@
 
 
 class Structured:
-    """The front's log by structlog: called as the plain one is."""
+    """Adapts a structlog logger to the interface of `front.log.Log`."""
 
     def __init__(self, logger):
         self.logger = logger
@@ -52,5 +55,5 @@
         self.logger.msg(event, **fields)
 
     def bind(self, **fields):
-        """Return a log that adds these fields to each line."""
+        """Return a logger that adds these fields to each line."""
         return Structured(self.logger.bind(**fields))
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -141,7 +141,7 @@
     path = tmp_path / "f.kdl"
     path.write_text(GOOD)
     done = command("check", str(path))
-    assert done.returncode == 0 and "good" in done.stdout
+    assert done.returncode == 0 and ": valid, " in done.stdout
     assert json.loads(command("check", "--json", str(path)).stdout)["speak"][0] == {
         "transport": "http2",
         "kind": "std",
