--- a/sprucegate/__main__.py
+++ b/sprucegate/__main__.py
@@ -1,12 +1,15 @@
-"""Without a command one front as the platform runs it; else the command line. Faulty configuration is exit 2."""
+"""Runs a front under the platform if no command is given, else the command line.
+
+Exit status 2 means an invalid configuration.
+"""
 
 import gc
 import os
 import signal
 import sys
 
-# Before the slow imports: a SIGHUP that comes before the loop can take it would end the process, and a SIGTERM would
-# end it by the signal, which looks like a crash. Nobody is let in until the loop takes both.
+# Set before the slow imports: until the event loop handles signals, a SIGHUP would terminate the process, and death by
+# SIGTERM would look like a crash. No connection is accepted before the loop handles both.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 for number in (signal.SIGTERM, signal.SIGINT):
     signal.signal(number, lambda *_: os._exit(0))
@@ -18,21 +21,21 @@
 
 
 def main():
-    """Run the command line's sub-command, or the platform's front where there is none; return the exit status."""
+    """Run the given command, or the platform's front if there is none; return the exit status."""
     if len(sys.argv) > 1:
-        # Here and not above: the platform's front loads none of its libraries.
-        from sprucegate.cli.commands import main as command
+        # Imported here because the platform's front must not load the command line's libraries.
+        from sprucegate.cli.commands import main as run_command
 
-        return command(prog_name="sprucegate")
+        return run_command(prog_name="sprucegate")
     try:
-        wanted = configuration.read(os.environ)
-    except configuration.FrontConfigurationError as fault:
-        print(f"sprucegate: {fault}", file=sys.stderr)
+        front_configuration = configuration.read(os.environ)
+    except configuration.FrontConfigurationError as error:
+        print(f"sprucegate: {error}", file=sys.stderr)
         return 2
-    # What the start built stays: the collector need not walk it for the rest of the day.
+    # Objects created at startup live as long as the process; exempt them from garbage collection.
     gc.freeze()
     gc.set_threshold(20_000, 20, 100)
-    return uvloop.run(serve(wanted))
+    return uvloop.run(serve(front_configuration))
 
 
 if __name__ == "__main__":
--- a/sprucegate/clock.py
+++ b/sprucegate/clock.py
@@ -1,77 +1,78 @@
-"""The one module that asks the system for the time, and how Unix times of the platform are compared with it.
+"""Access to the system clocks, and conversion of the platform's Unix timestamps to ages.
 
-Everything that lasts (deadlines, waits, graces, leases, ages) is a span on the monotonic clock, nanoseconds from a
-beginning of its own. The wall clock may be stepped at any time, so it is read for people, for what lasts on disk and
-once at the start of `PlatformTime`, never for a span.
+This is the only module that reads a system clock. All durations (deadlines, waits, grace periods, leases, ages) are
+measured on the monotonic clock, in nanoseconds since an arbitrary epoch. The wall clock may be stepped at any time, so
+it is used only for output to people, for stored timestamps and once when a `PlatformTime` is created, never for a
+duration.
 """
 
 import time
 
-STAMP_LEAD_MAX = 24 * 3600 * 1_000_000_000  # nanoseconds by which a stamp may be ahead of the wall clock
-CONFIRMING_SERVERS = 2  # that have to be ahead of the wall clock before it counts as behind
+MAX_TIMESTAMP_LEAD = 24 * 3600 * 1_000_000_000  # ns by which a valid timestamp may be ahead of the wall clock
+CONFIRMING_SERVERS = 2  # servers ahead of the wall clock, from which it counts as behind
 
 now = time.monotonic_ns
 
 
 def unix() -> int:
-    """Return the wall clock: Unix time, nanoseconds. For logs, files and between processes, never for a span here."""
+    """Return the wall clock as Unix time in ns: for logs, files and other processes, never for durations."""
     return time.time_ns()
 
 
 def unix_of(at: int) -> int:
-    """Return a time of `now` as Unix time by the wall clock as it stands, for people and for files."""
+    """Convert a monotonic time to Unix time by the current wall clock, for output and files."""
     return unix() - (now() - at)
 
 
-def since_unix(stamp: int) -> int:
-    """Return a Unix time out of a file as a time of `now`; one in the future counts as just now."""
-    return now() - max(0, unix() - stamp)
+def since_unix(timestamp: int) -> int:
+    """Convert a Unix time from a file to monotonic time; a time in the future counts as now."""
+    return now() - max(0, unix() - timestamp)
 
 
 class PlatformTime:
-    """Unix times that the platform stamps (starts of caches, purges, copies), as ages on this process's clock.
+    """Computes ages of the platform's Unix timestamps (starts of caches, purges, copies) on the monotonic clock.
 
-    This machine's own wall clock may be wrong by an hour, at the start as well. So the stamps are held against each
-    other: none can come from the future, so the platform's clock shows at least the newest stamp, moved on by the time
-    since it came. `least_offset` and `most_offset` (nanoseconds to add to the own clock) enclose the platform's clock.
-    Where the two differ each age is taken towards the careful side: `age` is never more than the true age, for purges
-    and cold starts; `copy_age` never less, for copies, as far as stamps have shown.
+    The local wall clock may be wrong by an hour, even at startup, so the platform's clock is estimated from the
+    timestamps themselves: none can be from the future, so the platform's clock is at least at the newest timestamp plus
+    the time since its receipt. `least_offset` and `most_offset` (ns to add to the monotonic clock) are the lower and
+    upper bound of the platform's clock. Where they differ, each age errs on the safe side: `age`, for purges and cold
+    starts, never exceeds the true age; `copy_age`, for copies, is never below it as far as the timestamps show.
 
-    A stamp that is more than STAMP_LEAD_MAX ahead of the wall clock counts as none. Without any stamp both offsets are
-    those of the wall clock when this object was made.
+    Timestamps more than MAX_TIMESTAMP_LEAD ahead of the wall clock are ignored. Before the first timestamp both offsets
+    are that of the wall clock when the object was created.
     """
 
     def __init__(self, at: int | None = None, wall: int | None = None) -> None:
         self.wall_offset = (unix() if wall is None else wall) - (now() if at is None else at)
-        self._newest: int | None = None  # the largest offset that a stamp has shown
-        self._leads: dict[int, int] = {}  # server -> how far a stamp of it was ahead (ns), the largest ones
+        self._newest: int | None = None  # largest offset derived from a timestamp
+        self._leads: dict[int, int] = {}  # server -> largest lead of its timestamps over most_offset, ns
 
     @property
     def least_offset(self) -> int:
-        """The least that the platform's clock can be ahead of the own one, nanoseconds."""
+        """Lower bound of the platform's clock minus the monotonic clock, in ns."""
         return self.wall_offset if self._newest is None else self._newest
 
     @property
     def most_offset(self) -> int:
-        """The most that the platform's clock can be ahead of the own one, nanoseconds."""
+        """Upper bound of the platform's clock minus the monotonic clock, in ns."""
         return max(self.wall_offset, self.least_offset)
 
-    def stamped(self, stamp: int, at: int) -> None:
-        """Take a stamp of discovery, which is trusted: a purge's or a start's, Unix nanoseconds; 0 is none."""
-        if not stamp or stamp - at > self.wall_offset + STAMP_LEAD_MAX:
+    def stamped(self, timestamp: int, at: int) -> None:
+        """Process a trusted timestamp from discovery, of a purge or a start, in Unix ns; 0 means none."""
+        if not timestamp or timestamp - at > self.wall_offset + MAX_TIMESTAMP_LEAD:
             return
-        if self._newest is None or stamp - at > self._newest:
-            self._newest = stamp - at
+        if self._newest is None or timestamp - at > self._newest:
+            self._newest = timestamp - at
 
-    def copy_stamped(self, stamp: int, server: int, at: int) -> None:
-        """Take a copy's stamp, reported by one of many servers of which one may be wrong.
+    def copy_stamped(self, timestamp: int, server: int, at: int) -> None:
+        """Process the timestamp of a copy, reported by one of many servers, of which one may be wrong.
 
-        It shows that the own wall clock is not ahead; that it is behind takes the word of a second server.
+        It is enough to show that the wall clock is not ahead; that it is behind must be confirmed by a second server.
         """
-        if not stamp or stamp - at > self.wall_offset + STAMP_LEAD_MAX:
+        if not timestamp or timestamp - at > self.wall_offset + MAX_TIMESTAMP_LEAD:
             return
-        self.stamped(min(stamp, at + self.wall_offset), at)
-        lead = stamp - at - self.most_offset
+        self.stamped(min(timestamp, at + self.wall_offset), at)
+        lead = timestamp - at - self.most_offset
         if lead <= 0:
             return
         self._leads[server] = max(lead, self._leads.get(server, 0))
@@ -84,11 +85,11 @@
                 name: ahead - confirmed for name, ahead in self._leads.items() if ahead > confirmed
             }
 
-    def age(self, stamp: int, at: int) -> int:
-        """Return nanoseconds since a stamp, at most the true ones; one from the future counts as just now."""
-        return max(0, at + self.least_offset - stamp)
+    def age(self, timestamp: int, at: int) -> int:
+        """Return ns since a timestamp, at most the true age; 0 for a timestamp in the future."""
+        return max(0, at + self.least_offset - timestamp)
 
-    def copy_age(self, stamp: int, at: int) -> int | None:
-        """Return nanoseconds since a copy was made, at least the true ones; None where its stamp lies in the future."""
-        age = at + self.most_offset - stamp
+    def copy_age(self, timestamp: int, at: int) -> int | None:
+        """Return ns since a copy was made, at least the true age; None if its timestamp is in the future."""
+        age = at + self.most_offset - timestamp
         return age if age >= 0 else None
--- a/sprucegate/config/__init__.py
+++ b/sprucegate/config/__init__.py
@@ -1,1 +1,1 @@
-"""How a place in an operator's document is named; below all that read documents."""
+"""Source locations in KDL documents; a lower layer than the modules that parse documents."""
--- a/sprucegate/config/source_locations.py
+++ b/sprucegate/config/source_locations.py
@@ -1,6 +1,6 @@
-"""Where the nodes of a KDL document begin: ckdl reads the document but tells no lines, and a message needs one.
+"""Line numbers of the nodes in a KDL document, for error messages; ckdl does not report them.
 
-Only as much of KDL 2 is read here as finds a node's first line: strings, comments, slashdash and braces.
+Only as much of KDL 2 is scanned as is needed to find each node's first line: strings, comments, slashdash, braces.
 """
 
 from typing import NamedTuple
@@ -11,10 +11,11 @@
 
 
 class OperatorFileError(ConfigurationError):
-    """A file of the operator's is wrong; nothing of it is taken.
+    """An operator's file is invalid and is rejected as a whole.
 
-    :ivar line: where the fault is, from 1 on.
-    :ivar key: the path of the node or value, or "" for the file as a whole; `text`: what is wrong.
+    :ivar line: line of the error, from 1.
+    :ivar key: path of the node or value, or "" for the file as a whole.
+    :ivar text: description of the error.
     """
 
     def __init__(self, file: str, line: int, key: str, text: str) -> None:
@@ -25,131 +26,134 @@
         self.text = text
 
 
-DEPTH_MAX = 8  # braces that a prefix of a document may leave open
+MAX_OPEN_BRACES = 8  # nesting up to which fault_line closes the prefix of a document
 
 
 class Start(NamedTuple):
-    """The first line of a node, and the starts of its children."""
+    """The first line of a node, and the same for its children."""
 
     line: int
     children: list["Start"]
 
 
-class _Reader:
-    """Moves through a text; `at`: index of the next character."""
+class _Scanner:
+    """Scans a text; `at` is the index of the next character."""
 
     def __init__(self, text: str) -> None:
         self.text = text
         self.at = 0
 
     def starts(self) -> list[Start]:
-        """Return the starts of the nodes up to a closing brace or the end."""
-        found: list[Start] = []
+        """Return the starts of the nodes up to the closing brace or the end of the text."""
+        nodes: list[Start] = []
         while True:
-            self._space(newlines=True)
+            self._skip_space(newlines=True)
             if self.at >= len(self.text) or self.text[self.at] == "}":
-                return found
-            dropped = self._takes("/-")
-            if dropped:
-                self._space(newlines=True)
+                return nodes
+            commented_out = self._accept("/-")
+            if commented_out:
+                self._skip_space(newlines=True)
             line = self.text.count("\n", 0, self.at) + 1
-            start = Start(line, self._node())
-            if not dropped:
-                found.append(start)
+            start = Start(line, self._skip_node())
+            if not commented_out:
+                nodes.append(start)
 
-    def _takes(self, mark: str) -> bool:
-        if self.text.startswith(mark, self.at):
-            self.at += len(mark)
+    def _accept(self, token: str) -> bool:
+        if self.text.startswith(token, self.at):
+            self.at += len(token)
             return True
         return False
 
-    def _space(self, newlines: bool = False) -> None:
+    def _skip_space(self, newlines: bool = False) -> None:
         while self.at < len(self.text):
-            if self._takes("//"):
+            if self._accept("//"):
                 end = self.text.find("\n", self.at)
                 self.at = len(self.text) if end < 0 else end
-            elif self._takes("/*"):
-                self._comment()
-            elif self._takes("\\"):
-                self._space()
-                self._takes("\n")
+            elif self._accept("/*"):
+                self._skip_block_comment()
+            elif self._accept("\\"):
+                self._skip_space()
+                self._accept("\n")
             elif self.text[self.at] in " \t\r\ufeff" or newlines and self.text[self.at] in "\n;":
                 self.at += 1
             else:
                 return
 
-    def _comment(self) -> None:
+    def _skip_block_comment(self) -> None:
         depth = 1
         while depth and self.at < len(self.text):
-            if self._takes("/*"):
+            if self._accept("/*"):
                 depth += 1
-            elif self._takes("*/"):
+            elif self._accept("*/"):
                 depth -= 1
             else:
                 self.at += 1
 
-    def _node(self) -> list[Start]:
-        """Move past one node; return the starts of its children."""
+    def _skip_node(self) -> list[Start]:
+        """Skip one node and return the starts of its children."""
         children: list[Start] = []
         while True:
-            self._space()
+            self._skip_space()
             if self.at >= len(self.text) or self.text[self.at] in "\n;}":
                 return children
-            dropped = self._takes("/-")
-            if dropped:
-                self._space(newlines=True)
-            if self._takes("{"):
+            commented_out = self._accept("/-")
+            if commented_out:
+                self._skip_space(newlines=True)
+            if self._accept("{"):
                 inner = self.starts()
-                self._takes("}")
-                children = children if dropped else inner
+                self._accept("}")
+                children = children if commented_out else inner
             else:
-                self._word()
+                self._skip_word()
 
-    def _word(self) -> None:
-        """Move past one identifier, value or property, with any strings in it."""
+    def _skip_word(self) -> None:
+        """Skip one identifier, value or property, including strings in it."""
         start = self.at
         while self.at < len(self.text) and self.text[self.at] not in " \t\r\n;{}\\":
             hashes = len(self.text) - self.at - len(self.text[self.at :].lstrip("#"))
             quoted = self.text[self.at + hashes : self.at + hashes + 1] == '"'
             if quoted:
-                self._string(hashes)
+                self._skip_string(hashes)
             elif self.text.startswith(("//", "/*"), self.at):
                 return
             else:
                 self.at += 1
         if self.at == start:
-            self.at += 1  # whatever it is, the reading goes on
+            self.at += 1  # unexpected character: skip it so that the scan terminates
 
-    def _string(self, hashes: int) -> None:
+    def _skip_string(self, hashes: int) -> None:
         self.at += hashes
-        mark = '"""' if self.text.startswith('"""', self.at) else '"'
-        self.at += len(mark)
-        end = mark + "#" * hashes
-        while self.at < len(self.text) and not self._takes(end):
+        quote = '"""' if self.text.startswith('"""', self.at) else '"'
+        self.at += len(quote)
+        end = quote + "#" * hashes
+        while self.at < len(self.text) and not self._accept(end):
             self.at += 2 if not hashes and self.text[self.at] == "\\" else 1
 
 
 def starts(text: str) -> list[Start]:
-    """Return the lines at which nodes begin, in the document's order and nesting, without those a slashdash drops."""
-    return _Reader(text).starts()
+    """Return the first line of each node, in document order and nesting, except nodes disabled by a slashdash."""
+    return _Scanner(text).starts()
 
 
 def _parses(text: str) -> bool:
     try:
         ckdl.parse(text)
-    except Exception:  # ckdl raises several kinds
+    except Exception:  # ckdl raises several types of exceptions
         return False
     return True
 
 
 def fault_line(text: str) -> int:
-    """Return the line where `text` stops being a document: the first whose prefix, closed as it stands, is none."""
+    """Return the line of the syntax error in `text`.
+
+    It is the line after the longest prefix of whole lines that parses once its open braces are closed.
+    """
     lines = text.split("\n")
-    last = 0
+    last_valid = 0
     for count in range(1, len(lines) + 1):
         prefix = "\n".join(lines[:count])
-        for depth in range(DEPTH_MAX + 1):
+        for depth in range(MAX_OPEN_BRACES + 1):
             if _parses(prefix + "\n" + "}" * depth):
-                last = count
+                last_valid = count
                 break
-    return min(last + 1, len(lines))
+    return min(last_valid + 1, len(lines))
--- a/sprucegate/errors.py
+++ b/sprucegate/errors.py
@@ -1,20 +1,20 @@
-"""Base classes of the errors that this package raises on purpose. Each module defines its own below one of these.
+"""Base classes of this package's exceptions; each module defines its own subclasses.
 
-`OSError` of a system call is passed on as it is, so that callers can tell failures of this machine apart.
+An `OSError` of a system call is not wrapped, so that callers can recognise failures of the local machine.
 """
 
 
 class SprucegateError(Exception):
-    """Base of all; its text is one sentence for an operator."""
+    """Base of all exceptions of this package; the message is one sentence for an operator."""
 
 
 class ConfigurationError(SprucegateError):
-    """A configuration, a setting or a list of servers can't be taken; the text names the file, line or key."""
+    """A configuration, a setting or a server list is invalid; the message names the file, line or key."""
 
 
 class ProtocolError(SprucegateError):
-    """Bytes or a message that a peer should not have sent; nothing after them on that connection is trusted."""
+    """A peer violated the protocol; the rest of its connection must not be processed."""
 
 
 class StorageError(SprucegateError):
-    """Stored state can't be used as it is; the text names the file."""
+    """Stored state is unusable; the message names the file."""
--- a/sprucegate/wirehost.py
+++ b/sprucegate/wirehost.py
@@ -1,4 +1,4 @@
-"""Entry point of the simulator's adapter: `python -m sprucegate.wirehost`. The work is in `sprucegate.simulator`."""
+"""Entry point of the simulator adapter, `python -m sprucegate.wirehost`; implemented in `sprucegate.simulator`."""
 
 import sys
 
