--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The operator's file, the command line and the log: taken whole or not at all, and said where it is wrong."""
+"""Operator's file, command line and log. An invalid file is rejected as a whole, with the location of the error."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 import pytest
 from helpers import Front, cache, get_text, host, refuses_first, served
 from hypothesis import given
-from hypothesis import settings as profile
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from sprucegate.cli import operator_file
@@ -18,9 +18,9 @@
 from sprucegate.front.log import Log
 from sprucegate.upstream.http2.limits import MS, S
 
-GOOD = """// comment with { braces
+VALID = """// comment with { braces
 servers {
-    speak http2 kind="std" // and so on
+    speak http2 kind="std" // line comment
     /- speak bogus
     speak lines name="s-0b"; speak http2 address="127.0.0.1:4101"
     /* speak
@@ -34,18 +34,22 @@
 """
 
 
-def test_a_good_file_and_what_goes_before_what():
-    made = operator_file.parse(GOOD, "f")
-    limits = made.servers.http2
+def test_a_valid_file_is_parsed_and_rules_have_precedence():
+    config = operator_file.parse(VALID, "f")
+    limits = config.servers.http2
     assert (limits.connections, limits.wait, limits.held, limits.age_spread) == (2, 250 * MS, 2 << 20, 0.5)
-    assert limits.idle == 14 * S  # what is not set has its default
-    servers = made.servers.resolved({"std": 0, "parent": 1})
+    assert limits.idle == 14 * S  # the default of an omitted setting
+    servers = config.servers.resolved({"std": 0, "parent": 1})
     assert servers.transport("s-01", "127.0.0.1:1", 0) == "http2"
-    assert servers.transport("s-0b", "127.0.0.1:4101", 0) == "lines"  # a name before an address
-    assert servers.transport("s-01", "127.0.0.1:4101", 1) == "http2"  # an address before a kind
+    assert (
+        servers.transport("s-0b", "127.0.0.1:4101", 0) == "lines"
+    )  # a name takes precedence over an address
+    assert (
+        servers.transport("s-01", "127.0.0.1:4101", 1) == "http2"
+    )  # an address takes precedence over a kind
     assert servers.transport("s-01", "127.0.0.1:1", 1) == "lines"
     with pytest.raises(KeyError):
-        made.servers.resolved({"parent": 0})
+        config.servers.resolved({"parent": 0})
 
 
 @pytest.mark.parametrize(
@@ -74,19 +78,19 @@
         ("servers {", "server {", 2, "server"),
         ("http2 {\n", "http2 4 {\n", 7, "servers.http2"),
         ("    }\n}\n", "    }\n", 13, ""),
-        ("// and so on", '"', 3, ""),
+        ("// line comment", '"', 3, ""),
     ],
 )
-def test_a_fault_is_one_message_with_file_line_and_key(old, new, line, key):
-    assert old in GOOD
+def test_an_error_is_one_line_with_file_line_and_key(old, new, line, key):
+    assert old in VALID
     with pytest.raises(operator_file.OperatorFileError) as caught:
-        operator_file.parse(GOOD.replace(old, new, 1), "f.kdl")
-    said = caught.value
-    assert (said.file, said.line, said.key) == ("f.kdl", line, key), str(said)
-    assert str(said).startswith(f"f.kdl:{line}: ") and "\n" not in str(said)
+        operator_file.parse(VALID.replace(old, new, 1), "f.kdl")
+    error = caught.value
+    assert (error.file, error.line, error.key) == ("f.kdl", line, key), str(error)
+    assert str(error).startswith(f"f.kdl:{line}: ") and "\n" not in str(error)
 
 
-WORDS = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         "a",
         "speak x=1",
@@ -108,26 +112,26 @@
 )
 
 
-@profile(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(WORDS, max_size=12))
-def test_nodes_are_found_as_the_library_reads_them(words):
-    text = " ".join(words)
+@hypothesis_settings(max_examples=300, deadline=None, derandomize=True)
+@given(st.lists(FRAGMENTS, max_size=12))
+def test_node_positions_match_the_nodes_that_ckdl_parses(fragments):
+    text = " ".join(fragments)
     try:
         nodes = operator_file.ckdl.parse(text).nodes
     except Exception:
         return
     lines = text.split("\n")
 
-    def same(nodes, starts):
+    def check_positions(nodes, starts):
         assert len(nodes) == len(starts)
         for node, start in zip(nodes, starts, strict=True):
             assert node.name in lines[start.line - 1]
-            same(node.children, start.children)
+            check_positions(node.children, start.children)
 
-    same(nodes, source_locations.starts(text))
+    check_positions(nodes, source_locations.starts(text))
 
 
-def command(*given, **environ):
+def run_command(*given, **environ):
     return subprocess.run(
         [sys.executable, "-m", "sprucegate", *given],
         capture_output=True,
@@ -137,42 +141,45 @@
     )
 
 
-def test_check_says_good_or_what_is_wrong_without_starting(tmp_path):
+def test_check_reports_a_valid_file_or_the_error_without_starting_a_front(tmp_path):
     path = tmp_path / "f.kdl"
-    path.write_text(GOOD)
-    done = command("check", str(path))
-    assert done.returncode == 0 and ": valid, " in done.stdout
-    assert json.loads(command("check", "--json", str(path)).stdout)["speak"][0] == {
+    path.write_text(VALID)
+    completed = run_command("check", str(path))
+    assert completed.returncode == 0 and ": valid, " in completed.stdout
+    assert json.loads(run_command("check", "--json", str(path)).stdout)["speak"][0] == {
         "transport": "http2",
         "kind": "std",
     }
-    path.write_text(GOOD.replace("connections 2", "connections 0"))
-    done = command("check", str(path))
-    assert done.returncode == 2 and done.stderr.startswith(
+    path.write_text(VALID.replace("connections 2", "connections 0"))
+    completed = run_command("check", str(path))
+    assert completed.returncode == 2 and completed.stderr.startswith(
         f"sprucegate: {path}:8: servers.http2.connections: "
     )
-    said = json.loads(command("check", "--json", str(path)).stdout)
-    assert (said["ok"], said["line"], said["key"]) == (False, 8, "servers.http2.connections")
-    done = command("check", str(tmp_path / "none"))
-    assert done.returncode == 2 and "can't be read" in done.stderr
+    answer = json.loads(run_command("check", "--json", str(path)).stdout)
+    assert (answer["ok"], answer["line"], answer["key"]) == (False, 8, "servers.http2.connections")
+    completed = run_command("check", str(tmp_path / "none"))
+    assert completed.returncode == 2 and "can't be read" in completed.stderr
 
 
-def test_a_front_with_a_faulty_operators_file_does_not_start(tmp_path):
+def test_a_front_with_an_invalid_operators_file_does_not_start(tmp_path):
     path = tmp_path / "f.kdl"
     path.write_text("servers {\n  speak http2\n}\n")
-    done = command("front", "--file", str(path))
-    assert (done.returncode, done.stdout) == (2, "") and f"{path}:2: servers.speak" in done.stderr
+    completed = run_command("front", "--file", str(path))
+    assert (completed.returncode, completed.stdout) == (
+        2,
+        "",
+    ) and f"{path}:2: servers.speak" in completed.stderr
 
 
-def test_wrong_use_is_exit_2_and_the_version_needs_no_configuration():
-    assert command("bogus").returncode == command("check").returncode == 2
-    assert json.loads(command("version", "--json").stdout)["python"] == sys.version.split()[0]
+def test_wrong_usage_exits_with_2_and_version_needs_no_configuration():
+    assert run_command("bogus").returncode == run_command("check").returncode == 2
+    assert json.loads(run_command("version", "--json").stdout)["python"] == sys.version.split()[0]
 
 
-def test_the_platforms_front_loads_no_library_that_it_does_not_use(tmp_path, monkeypatch, capfd):
+def test_the_platforms_front_imports_no_library_that_it_does_not_use(tmp_path, monkeypatch, capfd):
     monkeypatch.setenv("PYTHONPROFILEIMPORTTIME", "1")
-    box = cache(served)
-    with Front(tmp_path, host("s-0b", box.address, "std")) as front:
+    server = cache(served)
+    with Front(tmp_path, host("s-0b", server.address, "std")) as front:
         assert front.ask(get_text())[0] == 200
     loaded = {
         line.rpartition("|")[2].strip().partition(".")[0] for line in capfd.readouterr().err.splitlines()
@@ -181,28 +188,28 @@
     assert not loaded & {"h2", "hpack", "hyperframe", "http_sfv", "ckdl", "msgspec", "click", "structlog"}
 
 
-def test_the_log_by_the_library_writes_the_same_lines_and_never_blocks():
-    near, far = os.pipe()
-    plain, rich = Log("n0", far), structured("n0", far)
-    for log in (plain, rich):
+def test_the_structlog_logger_writes_the_same_lines_as_the_plain_one_and_never_blocks():
+    read_end, write_end = os.pipe()
+    plain, structlogged = Log("n0", write_end), structured("n0", write_end)
+    for log in (plain, structlogged):
         log("told", offset=3, what="Hosts")
-    rich.bind(server="s-1")("told", offset=4)
-    one, two, three = [orjson.loads(line) for line in os.read(near, 4096).splitlines()]
-    for said in (one, two, three):
-        assert said.pop("at") > 0
+    structlogged.bind(server="s-1")("told", offset=4)
+    one, two, three = [orjson.loads(line) for line in os.read(read_end, 4096).splitlines()]
+    for record in (one, two, three):
+        assert record.pop("at") > 0
     assert list(one.items()) == list(two.items())
     assert three == {"front": "n0", "event": "told", "server": "s-1", "offset": 4}
     for _ in range(20_000):
-        rich("fill", text="x" * 50)
-    held = b""
-    while len(held) < 60_000:
-        held += os.read(near, 65_536)
-    rich("last")
-    while b"\n" in (rest := os.read(near, 65_536)) and b"last" not in rest:
+        structlogged("fill", text="x" * 50)
+    buffered = b""
+    while len(buffered) < 60_000:
+        buffered += os.read(read_end, 65_536)
+    structlogged("last")
+    while b"\n" in (rest := os.read(read_end, 65_536)) and b"last" not in rest:
         pass
     assert orjson.loads(rest.splitlines()[-1])["lines_dropped"] > 0
-    os.close(near)
-    os.close(far)
+    os.close(read_end)
+    os.close(write_end)
 
 
 FLEET = """fleet {
@@ -214,7 +221,7 @@
 """
 
 
-def test_a_fleet_has_its_defaults_and_several_addresses():
+def test_the_fleet_node_has_defaults_and_takes_several_addresses():
     node = operator_file.parse(FLEET, "f").fleet
     assert (node.address, node.join) == (("127.0.0.1", 7100), ["127.0.0.1:7101", "127.0.0.1:7102"])
     assert (node.catch_up, node.alone_after, node.evidence, node.advertise) == (1 << 20, 5 * S, 32 << 10, "")
@@ -234,13 +241,13 @@
         ("catch-up", "catchup", 5, "fleet.catchup"),
     ],
 )
-def test_a_fault_in_a_fleet_is_told_with_its_line_and_key(old, new, line, key):
-    with pytest.raises(operator_file.OperatorFileError) as fault:
+def test_an_error_in_the_fleet_node_is_reported_with_line_and_key(old, new, line, key):
+    with pytest.raises(operator_file.OperatorFileError) as caught:
         operator_file.parse(FLEET.replace(old, new), "f")
-    assert (fault.value.line, fault.value.key) == (line, key)
+    assert (caught.value.line, caught.value.key) == (line, key)
 
 
-AGREED = (
+AGREEMENT = (
     FLEET
     + """agreement {
     keepers "k0=127.0.0.1:7200" "k1=127.0.0.1:7201" "k2=127.0.0.1:7202"
@@ -253,10 +260,10 @@
 )
 
 
-def test_keepers_and_budgets_are_read():
-    made = operator_file.parse(AGREED, "f")
-    assert made.agreement.addresses["k1"] == "127.0.0.1:7201" and made.agreement.state == "keeper"
-    assert made.rollout.limits(0.1) == [
+def test_keepers_and_budgets_are_parsed():
+    config = operator_file.parse(AGREEMENT, "f")
+    assert config.agreement.addresses["k1"] == "127.0.0.1:7201" and config.agreement.state == "keeper"
+    assert config.rollout.limits(0.1) == [
         [["fleet", "", "cache", 3, 500], ["kind", "parent", "", 1, 250]],
         [100, 250],
     ]
@@ -276,23 +283,23 @@
         ("fleet cache 3 0.5", "fleet cache x 0.5", "rollout.budgets", "x"),
         ("spare 0.25", "spare 2", "rollout.spare", ""),
         ("rollout {", "rolling {", "rolling", "not known"),
-        (AGREED[len(FLEET) : AGREED.index("rollout")], "", "rollout", "agreement"),
-        (AGREED[AGREED.index("rollout") :], "", "agreement", "rollout"),
+        (AGREEMENT[len(FLEET) : AGREEMENT.index("rollout")], "", "rollout", "agreement"),
+        (AGREEMENT[AGREEMENT.index("rollout") :], "", "agreement", "rollout"),
         (FLEET, "", "agreement", "fleet"),
     ],
 )
-def test_a_fault_in_keepers_or_budgets_is_told_with_its_key(old, new, key, text):
-    assert old in AGREED
+def test_an_error_in_keepers_or_budgets_is_reported_with_its_key(old, new, key, text):
+    assert old in AGREEMENT
     with pytest.raises(operator_file.OperatorFileError) as caught:
-        operator_file.parse(AGREED.replace(old, new), "f")
+        operator_file.parse(AGREEMENT.replace(old, new), "f")
     assert caught.value.key == key and text in caught.value.text
 
 
-def test_the_story_of_one_get_is_read_out_of_the_log(tmp_path):
-    """One cache refuses, the next serves: each step with its server, only where the operator's file asks for it."""
+def test_the_steps_of_one_get_are_printed_from_the_log(tmp_path):
+    """One cache refuses and the next one serves: the log has each step if `log { gets }` is set."""
     reply = refuses_first()
-    boxes = [cache(reply) for _ in range(3)]
-    hosts = [host(f"s-{at + 11:x}", box.address, "std") for at, box in enumerate(boxes)]
+    caches = [cache(reply) for _ in range(3)]
+    hosts = [host(f"s-{at + 11:x}", server.address, "std") for at, server in enumerate(caches)]
     hosts.append(host("s-1f", cache(served).address, "origin"))
     with Front(tmp_path, *hosts, kdl="log {\n    gets #true\n}\n") as front:
         assert front.ask(get_text("a" * 16))[0] == 200
@@ -310,19 +317,19 @@
     ]
     log = tmp_path / "log"
     log.write_text(
-        "no line of a log\n" + json.dumps({**line, "id": "b" * 16}) + "\n" + json.dumps(line) + "\n"
+        "not a log record\n" + json.dumps({**line, "id": "b" * 16}) + "\n" + json.dumps(line) + "\n"
     )
     for call_id, status, count in (("a" * 16, 0, 1 + len(steps)), ("c" * 16, 1, 0)):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "sprucegate", "story", call_id, str(log)],
             capture_output=True,
             text=True,
             timeout=30,
         )
-        assert done.returncode == status and done.stdout.count("\n") == count
+        assert completed.returncode == status and completed.stdout.count("\n") == count
 
 
-def test_without_the_node_no_get_has_a_line():
+def test_gets_are_logged_only_if_the_log_node_sets_it():
     assert (
         operator_file.parse("", "f").log.gets is False
         and operator_file.parse("log {\n    gets #true\n}\n", "f").log.gets is True
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,43 +1,43 @@
-"""Ages of what the platform stamps, by a wall clock that may be wrong from the start."""
+"""Ages of the platform's timestamps under a local wall clock that may be wrong from the start."""
 
 import pytest
 
 from sprucegate.clock import PlatformTime
 
 S, HOUR = 1_000_000_000, 3600 * 1_000_000_000
-AT, UNIX = 500 * S, 1_700_000_000 * S  # the own clock, and the platform's at that time
+AT, UNIX = 500 * S, 1_700_000_000 * S  # monotonic clock, and the platform's clock at the same time
 
 
 @pytest.mark.parametrize("wrong", [-HOUR, -3 * S, 0, 3 * S, HOUR])
-def test_no_age_is_more_than_the_true_one_and_no_copy_younger_than_it_is(wrong):
-    """By a wall clock that is wrong by so much since before the start, once two servers have told of fresh copies."""
+def test_age_never_exceeds_and_copy_age_never_falls_below_the_true_age(wrong):
+    """The wall clock is wrong by a constant from the start, and two servers have reported fresh copies."""
     time = PlatformTime(AT, UNIX + wrong)
     for server in (1, 2):
         time.copy_stamped(UNIX, server, AT)
     purge = UNIX + 2 * S
-    time.stamped(purge, AT + 3 * S)  # told a second after it was made
+    time.stamped(purge, AT + 3 * S)  # received one second after the purge
     assert 0 <= time.age(purge, AT + 10 * S) <= 8 * S
     assert time.copy_age(UNIX + S, AT + 10 * S) >= 9 * S
 
 
-def test_where_the_wall_clock_is_right_ages_are_exact_once_a_fresh_copy_has_come():
+def test_with_a_correct_wall_clock_ages_are_exact_after_a_fresh_copy():
     time = PlatformTime(AT, UNIX)
     time.copy_stamped(UNIX, 1, AT)
     assert time.age(UNIX - 60 * S, AT) == 60 * S and time.copy_age(UNIX - 4 * S, AT) == 4 * S
     assert time.age(UNIX - 60 * S, AT + S) == 61 * S
 
 
-def test_one_server_that_stamps_the_future_moves_nothing():
+def test_future_timestamps_of_one_server_do_not_shift_the_clock():
     time = PlatformTime(AT, UNIX)
     for _ in range(3):
         time.copy_stamped(UNIX + HOUR, 1, AT)
     assert time.copy_age(UNIX + HOUR, AT) is None and time.copy_age(UNIX - S, AT) == S
-    time.copy_stamped(UNIX + S, 2, AT)  # a second one: it is as far behind as both say
+    time.copy_stamped(UNIX + S, 2, AT)  # confirmed by a second server: behind by the smaller lead
     assert time.copy_age(UNIX + S, AT) == 0 and time.age(UNIX, AT) <= S
 
 
-def test_a_stamp_from_days_ahead_is_no_stamp():
-    """Nanoseconds for milliseconds, or made up: believed, it would make all purges old for good."""
+def test_a_timestamp_days_ahead_is_ignored():
+    """A wrong unit or an invented value: if accepted, it would make all purges look old permanently."""
     for absurd in (UNIX * 1000, 10**4000, UNIX + 25 * HOUR):
         time = PlatformTime(AT, UNIX)
         for server in (1, 2):
@@ -48,10 +48,10 @@
         assert time.copy_age(absurd, AT) is None and time.age(absurd, AT) == 0
 
 
-def test_stamps_are_held_against_each_other_before_any_copy_has_come():
+def test_trusted_timestamps_are_compared_with_each_other_before_the_first_copy():
     time = PlatformTime(AT, UNIX + HOUR)
-    for stamp in (UNIX - 60 * S, UNIX):
-        time.stamped(stamp, AT)
+    for timestamp in (UNIX - 60 * S, UNIX):
+        time.stamped(timestamp, AT)
     assert time.age(UNIX - 60 * S, AT) == 60 * S and time.age(UNIX, AT + S) == S
-    time.stamped(0, AT)  # none
+    time.stamped(0, AT)  # 0 means no timestamp
     assert time.age(UNIX, AT + S) == S
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""Pages name modules, events and terms that are there."""
+"""The documentation pages name only paths that exist, and cover every log event."""
 
 import ast
 import pathlib
@@ -12,24 +12,24 @@
 
 
 def paths_named(page):
-    """Paths in backquotes below the packages, as `front/driver.py` or `sprucegate/front/`."""
+    """Return the paths in backquotes on a page, such as `front/driver.py` or `sprucegate/front/`."""
     text = (ROOT / page).read_text()
     return {path for path in re.findall(r"`((?:[a-z_0-9]+/)+(?:[a-z_0-9]+\.py)?)`", text)}
 
 
 def exists(path):
-    """Paths are named from the root, the package, or one of the two packages that have packages of their own."""
-    starts = ("", "sprucegate", "sprucegate/fleet", "sprucegate/upstream")
-    return any((ROOT / start / path).exists() for start in starts)
+    """Return whether a path exists, relative to the root, the package, or one of the two packages with subpackages."""
+    bases = ("", "sprucegate", "sprucegate/fleet", "sprucegate/upstream")
+    return any((ROOT / base / path).exists() for base in bases)
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_paths_that_a_page_names_exist(page):
+def test_paths_named_on_a_page_exist(page):
     assert sorted(path for path in paths_named(page) if not exists(path)) == []
 
 
 def events_logged():
-    """{event: file} of each log line whose name stands in the code as a literal."""
+    """Return {event: file} of each log call whose event is a literal."""
     found = {}
     for path in sorted((ROOT / "sprucegate").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -42,7 +42,7 @@
     return found
 
 
-def test_each_event_of_the_log_is_on_a_page():
+def test_each_log_event_is_documented():
     pages = "\n".join(
         path.read_text()
         for path in [ROOT / "docs" / "on-call.md", *(ROOT / "docs" / "operators").glob("*.md")]
--- a/tests/test_entry_points.py
+++ b/tests/test_entry_points.py
@@ -1,6 +1,6 @@
-"""Every command of the benchmarks and stand-ins runs, on the smallest input that takes it through its steps.
+"""Smoke tests: every command of the benchmarks and stand-ins runs all its steps on a minimal input.
 
-What a benchmark measures is not judged here: a smoke run is too short, and other tests run beside it.
+Benchmark results are not asserted: a smoke run is too short, and other tests run at the same time.
 """
 
 import asyncio
@@ -24,13 +24,13 @@
 from standins.faults import Faults
 
 ROOT = pathlib.Path(__file__).parent.parent
-SECONDS = 30  # that one command may take, unless a test says otherwise
+TIMEOUT_S = 30  # default time limit of one command
 GREETING = codec.encode_greeting(codec.Greeting(codec.VERSION, "rig", "front", "n1", "", 0))
 
 
 @contextlib.contextmanager
-def started(*arguments, seconds=SECONDS):
-    """`python -m ARGUMENT ...` as a process group of its own, which is killed at the end or after `seconds`."""
+def running(*arguments, timeout_s=TIMEOUT_S):
+    """Run `python -m ARGUMENT ...` in its own process group, killed on exit or after `timeout_s`."""
     process = subprocess.Popen(
         [sys.executable, "-m", *map(str, arguments)],
         cwd=ROOT,
@@ -40,7 +40,7 @@
         text=True,
         start_new_session=True,
     )
-    limit = threading.Timer(seconds, process.kill)
+    limit = threading.Timer(timeout_s, process.kill)
     limit.start()
     try:
         yield process
@@ -53,47 +53,47 @@
             stream.close()
 
 
-def finished(*arguments, seconds=SECONDS):
-    """(exit status, standard output, standard error) of a command that ends by itself."""
-    with started(*arguments, seconds=seconds) as process:
-        output, errors = process.communicate(timeout=seconds)
+def run_to_exit(*arguments, timeout_s=TIMEOUT_S):
+    """Run a command that exits by itself; return (exit status, standard output, standard error)."""
+    with running(*arguments, timeout_s=timeout_s) as process:
+        output, errors = process.communicate(timeout=timeout_s)
     return process.returncode, output, errors
 
 
-def ended(process, text=None):
-    """The same of a process that ends with its standard input, which first gets `text`."""
-    output, errors = process.communicate(text, timeout=SECONDS)
+def wait_for_exit(process, text=None):
+    """Send `text` and end-of-file to a process, wait for its successful exit and return its output."""
+    output, errors = process.communicate(text, timeout=TIMEOUT_S)
     assert process.returncode == 0, errors
     return output
 
 
-def address(line):
-    """(host, port) at the end of a line that a stand-in prints when it listens."""
+def listen_address(line):
+    """Return (host, port) from the end of the line that a stand-in prints once it listens."""
     host, _, port = line.split()[-1].rpartition(":")
     return host, int(port)
 
 
-def received(sock, wanted):
-    """What comes until `wanted` is in it."""
+def receive_until(sock, expected):
+    """Receive until the data contains `expected`, and return it."""
     data = b""
-    while wanted not in data:
-        piece = sock.recv(4096)
-        assert piece, data
-        data += piece
+    while expected not in data:
+        chunk = sock.recv(4096)
+        assert chunk, data
+        data += chunk
     return data
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_benchmark_runs_to_its_figures(name):
+def test_a_benchmark_runs_and_prints_its_results(name):
     size = "--quick" if name == "same" else "--smoke"
-    status, output, errors = finished("benchmarks", name, size, seconds=60)
+    status, output, errors = run_to_exit("benchmarks", name, size, timeout_s=60)
     *_, last = ["", *output.splitlines()]
-    assert last.startswith('{"'), errors  # one JSON object of its figures
-    figures = json.loads(last)
-    assert status == (1 if broken(figures) else 0), errors
+    assert last.startswith('{"'), errors  # the results as one JSON object
+    results = json.loads(last)
+    assert status == (1 if broken(results) else 0), errors
 
 
-# Commands that end by themselves: of each the module, its arguments, and a figure that it prints.
+# Commands that exit by themselves: module, arguments, and results that it must print.
 DETERMINISTIC = {
     "schedules": (["--seeds", "1", "--size", "3"], {"schedules": 1, "broken": 0}),
     "keepers": (["--seeds", "1"], {"schedules": 1, "broken": 0}),
@@ -108,103 +108,103 @@
 
 
 @pytest.mark.parametrize("name", DETERMINISTIC)
-def test_schedules_and_explorations_run(name):
-    arguments, wanted = DETERMINISTIC[name]
-    status, output, errors = finished(f"standins.fleet.{name}", *arguments)
+def test_deterministic_simulations_and_explorations_run(name):
+    arguments, expected = DETERMINISTIC[name]
+    status, output, errors = run_to_exit(f"standins.fleet.{name}", *arguments)
     assert status == 0, errors
-    figures = json.loads(output.splitlines()[-1])
-    assert wanted.items() <= figures.items()
+    results = json.loads(output.splitlines()[-1])
+    assert expected.items() <= results.items()
 
 
 @pytest.mark.parametrize("speaks", ["lines", "http2"])
-def test_a_cache_server_answers_and_tells_what_ran(tmp_path, speaks):
-    async def asked(where):
+def test_a_cache_server_answers_and_records_executed_requests(tmp_path, speaks):
+    async def send_get(where):
         recorder = Recorder({1: where}, speaks, Limits())
         outcome = await recorder.end(recorder.send(1, "00000000000000a1"))
         recorder.servers.stop()
         return outcome
 
-    with started(f"standins.{speaks}", "--ran", tmp_path / "ran") as process:
-        host, port = address(process.stdout.readline())
-        assert asyncio.run(asked(f"{host}:{port}")) is AttemptOutcome.RETURNED
+    with running(f"standins.{speaks}", "--ran", tmp_path / "ran") as process:
+        host, port = listen_address(process.stdout.readline())
+        assert asyncio.run(send_get(f"{host}:{port}")) is AttemptOutcome.RETURNED
         process.terminate()
-        assert ended(process) == "ran 1 connections 1 closes 0\n"
+        assert wait_for_exit(process) == "ran 1 connections 1 closes 0\n"
     assert (tmp_path / "ran").read_text() == "00000000000000a1 0 get\n"
 
 
-def test_a_bus_tells_its_port_an_event():
-    with started("standins.bus", "--count", "2") as process:
-        addresses = [address(process.stdout.readline()) for _ in range(2)]
-        with socket.create_connection(addresses[1], SECONDS) as sock:
+def test_a_bus_sends_an_event_on_the_addressed_port():
+    with running("standins.bus", "--count", "2") as process:
+        addresses = [listen_address(process.stdout.readline()) for _ in range(2)]
+        with socket.create_connection(addresses[1], TIMEOUT_S) as sock:
             sock.sendall(b"GET / HTTP/1.1\r\nLast-Event-ID: 1\r\n\r\n")
             process.stdin.write('{"to": [1], "event": {"ban": {"url": "7f3a"}}}\n')
             process.stdin.flush()
-            assert b'data: {"offset": 2, "ban": {"url": "7f3a"}}' in received(sock, b"}}\n")
-        ended(process)
+            assert b'data: {"offset": 2, "ban": {"url": "7f3a"}}' in receive_until(sock, b"}}\n")
+        wait_for_exit(process)
 
 
-def test_a_relay_passes_frames_until_it_is_told_to_cut():
+def test_a_relay_forwards_frames_until_the_link_is_cut():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
-        with started("standins.fleet.relay", f"n0=127.0.0.1:{port}") as process:
-            relay = address(process.stdout.readline())
-            with socket.create_connection(relay, SECONDS) as dialler:
-                dialler.sendall(GREETING)
-                listener.settimeout(SECONDS)
-                dialled, _ = listener.accept()
-                with dialled:
-                    dialled.settimeout(SECONDS)
-                    assert received(dialled, GREETING) == GREETING
-                    dialled.sendall(GREETING)
-                    assert received(dialler, GREETING) == GREETING
+        with running("standins.fleet.relay", f"n0=127.0.0.1:{port}") as process:
+            relay = listen_address(process.stdout.readline())
+            with socket.create_connection(relay, TIMEOUT_S) as client:
+                client.sendall(GREETING)
+                listener.settimeout(TIMEOUT_S)
+                server_side, _ = listener.accept()
+                with server_side:
+                    server_side.settimeout(TIMEOUT_S)
+                    assert receive_until(server_side, GREETING) == GREETING
+                    server_side.sendall(GREETING)
+                    assert receive_until(client, GREETING) == GREETING
                     process.stdin.write('{"do": "cut", "from": ["n1"], "to": ["n0"]}\n')
                     process.stdin.flush()
                     assert process.stdout.readline() == "set\n"
-                    dialler.sendall(GREETING)
-                    dialled.settimeout(0.2)
+                    client.sendall(GREETING)
+                    server_side.settimeout(0.2)
                     with pytest.raises(TimeoutError):
-                        dialled.recv(1)
-            ended(process)
+                        server_side.recv(1)
+            wait_for_exit(process)
 
 
-def test_a_filling_cache_takes_a_place_at_its_source(tmp_path):
+def test_a_filling_cache_occupies_a_slot_of_its_source(tmp_path):
     arguments = ["--paces", "0.1", "--places", "s-2a=1", "--ran", tmp_path / "fills"]
-    with started("standins.fleet.filling", *arguments) as process:
-        cache = address(process.stdout.readline())
-        with socket.create_connection(cache, SECONDS) as sock:
+    with running("standins.fleet.filling", *arguments) as process:
+        cache = listen_address(process.stdout.readline())
+        with socket.create_connection(cache, TIMEOUT_S) as sock:
             sock.sendall(b"serve a1 thing=7f3a,nth=0,src=s-2a 0\r\n\r\n")
-            assert b"a1 served" in received(sock, b"remark=fetched 5\r\nxxxxx\r\n")
-    _, source, thing, took = (tmp_path / "fills").read_text().split()
-    assert (source, thing) == ("s-2a", "7f3a") and int(took) > 0
+            assert b"a1 served" in receive_until(sock, b"remark=fetched 5\r\nxxxxx\r\n")
+    _, source, object_id, duration = (tmp_path / "fills").read_text().split()
+    assert (source, object_id) == ("s-2a", "7f3a") and int(duration) > 0
 
 
-def test_servers_of_a_soak_listen_and_write_down_what_they_told(tmp_path):
+def test_soak_servers_listen_and_record_sent_events(tmp_path):
     records = tmp_path / "records"
     counts = ["--caches", "1", "--parents", "1", "--fronts", "1", "--records", records]
-    with started("standins.soak.servers", *counts) as process:
+    with running("standins.soak.servers", *counts) as process:
         for _ in range(4):  # a cache, a parent, the origin, a bus
-            socket.create_connection(address(process.stdout.readline()), SECONDS).close()
-        ended(process, '{"do": "purge", "where": 3}\n')
+            socket.create_connection(listen_address(process.stdout.readline()), TIMEOUT_S).close()
+        wait_for_exit(process, '{"do": "purge", "where": 3}\n')
     written = [json.loads(line) for line in records.read_text().splitlines()]
-    assert [one["event"]["ban"]["tag"] for one in written if one["what"] == "event"] == [3]
+    assert [record["event"]["ban"]["tag"] for record in written if record["what"] == "event"] == [3]
 
 
 def test_the_program_runs_under_injected_faults(tmp_path):
     Faults(tmp_path / "faults")
-    status, output, errors = finished("standins.faults", tmp_path / "faults", "version")
+    status, output, errors = run_to_exit("standins.faults", tmp_path / "faults", "version")
     assert status == 0 and output, errors
 
 
 @pytest.mark.parametrize("stage", ["handover", "mixed"])
 def test_two_checkouts_of_one_build_run_as_one_fleet(stage):
-    status, output, errors = finished(
-        "standins.fleet.mixed_builds", "--other", ROOT, "--stage", stage, seconds=200
+    status, output, errors = run_to_exit(
+        "standins.fleet.mixed_builds", "--other", ROOT, "--stage", stage, timeout_s=200
     )
     assert status == 0, output + errors
     assert "failed" not in output and output.count("passed: ") >= 3
 
 
-def test_each_command_of_the_stand_ins_is_run_here():
+def test_every_stand_in_command_is_covered_here():
     commands = {
         ".".join(path.relative_to(ROOT).with_suffix("").parts)
         for path in ROOT.glob("standins/**/*.py")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known faults marks just its own tests, and is refused where it is not as agreed."""
+"""KNOWN-RED.txt marks exactly the listed tests as expected failures; a malformed list is rejected."""
 
 import pathlib
 import subprocess
@@ -10,7 +10,7 @@
 HERE = pathlib.Path(__file__).parent
 
 
-SEEN = "pytest -n 0, seed 7 | AssertionError: 0 | 38"
+ENTRY = "pytest -n 0, seed 7 | AssertionError: 0 | 38"
 
 
 def run(path, listed, body="def test_a():\n    assert 0\n\n\ndef test_b():\n    pass\n"):
@@ -28,30 +28,30 @@
     )
 
 
-def test_a_listed_test_is_passed_over_and_no_other(tmp_path):
-    done = run(tmp_path, f"tests/test_x.py::test_a | {SEEN}\n")
-    assert done.returncode == 0 and "1 passed, 1 xfailed" in done.stdout
+def test_only_a_listed_test_is_expected_to_fail(tmp_path):
+    completed = run(tmp_path, f"tests/test_x.py::test_a | {ENTRY}\n")
+    assert completed.returncode == 0 and "1 passed, 1 xfailed" in completed.stdout
 
 
-def test_a_listed_test_that_passes_again_fails(tmp_path):
-    assert run(tmp_path, f"tests/test_x.py::test_b | {SEEN}\n").returncode == 1
+def test_a_listed_test_that_passes_fails_the_run(tmp_path):
+    assert run(tmp_path, f"tests/test_x.py::test_b | {ENTRY}\n").returncode == 1
 
 
-def test_one_that_is_not_listed_fails(tmp_path):
+def test_an_unlisted_failure_fails_the_run(tmp_path):
     assert run(tmp_path, "").returncode == 1
 
 
 @pytest.mark.parametrize(
     "listed",
     [
-        f"tests/test_x.py::test_gone | {SEEN}\n",
+        f"tests/test_x.py::test_gone | {ENTRY}\n",
         "tests/test_x.py::test_a | pytest -n 0, seed 7 | AssertionError: 0\n",
         "tests/test_x.py::test_a | the former form, a cause | 38\n",
     ],
 )
-def test_a_test_that_is_not_there_or_a_line_that_is_malformed_fails_all(tmp_path, listed):
-    done = run(tmp_path, listed)
-    assert done.returncode not in (0, 1) and "KNOWN-RED.txt" in done.stderr + done.stdout
+def test_an_unknown_test_or_a_malformed_line_aborts_the_run(tmp_path, listed):
+    completed = run(tmp_path, listed)
+    assert completed.returncode not in (0, 1) and "KNOWN-RED.txt" in completed.stderr + completed.stdout
 
 
 @pytest.mark.parametrize(
@@ -68,15 +68,15 @@
         "\n".join(f"t.py::a{at} | b | c | 1" for at in range(4)),
     ],
 )
-def test_what_is_no_list_of_known_faults(text):
+def test_a_malformed_list_is_rejected(text):
     with pytest.raises(Wrong):
         known_red(text)
 
 
-def test_the_reason_of_a_known_fault_has_what_was_seen_the_issue_and_the_command():
+def test_the_reason_contains_the_failure_the_issue_and_the_command():
     listed = known_red("t.py::a | pytest -n 0, seed 7 | got 503 | #38")
     assert listed == {"t.py::a": "got 503 (issue #38; pytest -n 0, seed 7)"}
 
 
-def test_an_empty_list_has_no_known_faults():
+def test_an_empty_list_has_no_entries():
     assert known_red("\n") == {}
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""No import runs from a lower layer to a higher one, and what holds that can fail."""
+"""No lower layer imports a higher one, and the check itself detects a violation."""
 
 import pathlib
 import subprocess
@@ -13,19 +13,19 @@
 ]
 
 
-def linted(config):
+def run_linter(config):
     return subprocess.run(
         [*LINTER, "--config", str(config)], cwd=ROOT, capture_output=True, text=True, timeout=120
     )
 
 
-def test_no_import_runs_up():
-    done = linted(ROOT / "pyproject.toml")
-    assert done.returncode == 0, done.stdout + done.stderr
+def test_no_lower_layer_imports_a_higher_one():
+    completed = run_linter(ROOT / "pyproject.toml")
+    assert completed.returncode == 0, completed.stdout + completed.stderr
 
 
-def test_an_import_that_runs_up_is_found(tmp_path):
-    turned = (
+def test_an_import_of_a_higher_layer_is_detected(tmp_path):
+    swapped = (
         (ROOT / "pyproject.toml")
         .read_text()
         .replace(
@@ -33,6 +33,6 @@
             '"routing",\n    "simulator | config | storage"',
         )
     )
-    (tmp_path / "pyproject.toml").write_text(turned)
-    done = linted(tmp_path / "pyproject.toml")
-    assert done.returncode == 1 and "sprucegate.simulator.host -> sprucegate.routing" in done.stdout
+    (tmp_path / "pyproject.toml").write_text(swapped)
+    completed = run_linter(tmp_path / "pyproject.toml")
+    assert completed.returncode == 1 and "sprucegate.simulator.host -> sprucegate.routing" in completed.stdout
