--- a/sprucegate/clock.py
+++ b/sprucegate/clock.py
@@ -19,12 +19,12 @@
     return time.time_ns()
 
 
-def unix_of(at: int) -> int:
+def to_unix(at: int) -> int:
     """Convert a monotonic time to Unix time by the current wall clock, for output and files."""
     return unix() - (now() - at)
 
 
-def since_unix(timestamp: int) -> int:
+def from_unix(timestamp: int) -> int:
     """Convert a Unix time from a file to monotonic time; a time in the future counts as now."""
     return now() - max(0, unix() - timestamp)
 
@@ -57,21 +57,21 @@
         """Upper bound of the platform's clock minus the monotonic clock, in ns."""
         return max(self.wall_offset, self.least_offset)
 
-    def stamped(self, timestamp: int, at: int) -> None:
+    def add_timestamp(self, timestamp: int, at: int) -> None:
         """Process a trusted timestamp from discovery, of a purge or a start, in Unix ns; 0 means none."""
         if not timestamp or timestamp - at > self.wall_offset + MAX_TIMESTAMP_LEAD:
             return
         if self._newest is None or timestamp - at > self._newest:
             self._newest = timestamp - at
 
-    def copy_stamped(self, timestamp: int, server: int, at: int) -> None:
+    def add_copy_timestamp(self, timestamp: int, server: int, at: int) -> None:
         """Process the timestamp of a copy, reported by one of many servers, of which one may be wrong.
 
         It is enough to show that the wall clock is not ahead; that it is behind must be confirmed by a second server.
         """
         if not timestamp or timestamp - at > self.wall_offset + MAX_TIMESTAMP_LEAD:
             return
-        self.stamped(min(timestamp, at + self.wall_offset), at)
+        self.add_timestamp(min(timestamp, at + self.wall_offset), at)
         lead = timestamp - at - self.most_offset
         if lead <= 0:
             return
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -110,7 +110,7 @@
         try:
             kept = orjson.loads(taken.payload)
             kept["file"] = [row for piece in kept["file"] for row in piece]
-            self.view.restored(kept, clock.since_unix)
+            self.view.restored(kept, clock.from_unix)
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as fault:
             self.log("snapshot_refused", name="servers", error=f"{type(fault).__name__}: {fault}")
             return None
@@ -356,7 +356,7 @@
         """What a restart needs (the file's list, all drains) and what `servers show` prints (the view's rows)."""
         self.dirty, generation, pieces = False, self.view.generation, []
         rows = list(self.view.lists["file"].values())
-        head = orjson.dumps(self.view.kept(clock.unix_of))[:-1]
+        head = orjson.dumps(self.view.kept(clock.to_unix))[:-1]
         for at in range(0, len(rows), PIECE):
             pieces.append(orjson.dumps([flat(server) for server in rows[at : at + PIECE]]))
             await asyncio.sleep(0)
@@ -370,7 +370,7 @@
                             row.server.address,
                             STANDING_WORDS[row.standing],
                             row.why,
-                            clock.unix_of(row.since),
+                            clock.to_unix(row.since),
                             row.server.entry.weight,
                         ]
                         for row in rows[at : at + PIECE]
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -178,7 +178,7 @@
         """When a copy was made, at the earliest, on this front's clock; None where that can't be told."""
         if said.age is not None:
             return out.at - said.age
-        self.platform.copy_stamped(said.made, out.cache, now)
+        self.platform.add_copy_timestamp(said.made, out.cache, now)
         self.router.platform_clock_offset = self.platform.least_offset
         age = self.platform.copy_age(said.made, now) if said.made else None
         return None if age is None else now - age
@@ -235,9 +235,9 @@
         """What news of discovery shows of the platform's clock; known before, their ages are told apart."""
         if isinstance(news, EndpointList):
             for entry in news.entries:
-                self.platform.stamped(entry.started, now)
+                self.platform.add_timestamp(entry.started, now)
         elif news is not None:
-            self.platform.stamped(news.at, now)
+            self.platform.add_timestamp(news.at, now)
         self.router.platform_clock_offset = self.platform.least_offset
 
     def apply(self, hosts):
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -13,16 +13,16 @@
     """The wall clock is wrong by a constant from the start, and two servers have reported fresh copies."""
     time = PlatformTime(AT, UNIX + wrong)
     for server in (1, 2):
-        time.copy_stamped(UNIX, server, AT)
+        time.add_copy_timestamp(UNIX, server, AT)
     purge = UNIX + 2 * S
-    time.stamped(purge, AT + 3 * S)  # received one second after the purge
+    time.add_timestamp(purge, AT + 3 * S)  # received one second after the purge
     assert 0 <= time.age(purge, AT + 10 * S) <= 8 * S
     assert time.copy_age(UNIX + S, AT + 10 * S) >= 9 * S
 
 
 def test_with_a_correct_wall_clock_ages_are_exact_after_a_fresh_copy():
     time = PlatformTime(AT, UNIX)
-    time.copy_stamped(UNIX, 1, AT)
+    time.add_copy_timestamp(UNIX, 1, AT)
     assert time.age(UNIX - 60 * S, AT) == 60 * S and time.copy_age(UNIX - 4 * S, AT) == 4 * S
     assert time.age(UNIX - 60 * S, AT + S) == 61 * S
 
@@ -30,9 +30,9 @@
 def test_future_timestamps_of_one_server_do_not_shift_the_clock():
     time = PlatformTime(AT, UNIX)
     for _ in range(3):
-        time.copy_stamped(UNIX + HOUR, 1, AT)
+        time.add_copy_timestamp(UNIX + HOUR, 1, AT)
     assert time.copy_age(UNIX + HOUR, AT) is None and time.copy_age(UNIX - S, AT) == S
-    time.copy_stamped(UNIX + S, 2, AT)  # confirmed by a second server: behind by the smaller lead
+    time.add_copy_timestamp(UNIX + S, 2, AT)  # confirmed by a second server: behind by the smaller lead
     assert time.copy_age(UNIX + S, AT) == 0 and time.age(UNIX, AT) <= S
 
 
@@ -41,9 +41,9 @@
     for absurd in (UNIX * 1000, 10**4000, UNIX + 25 * HOUR):
         time = PlatformTime(AT, UNIX)
         for server in (1, 2):
-            time.copy_stamped(absurd, server, AT)
-        time.stamped(absurd, AT)
-        time.stamped(UNIX, AT)
+            time.add_copy_timestamp(absurd, server, AT)
+        time.add_timestamp(absurd, AT)
+        time.add_timestamp(UNIX, AT)
         assert time.age(UNIX, AT + S) == S and time.copy_age(UNIX - S, AT) == S
         assert time.copy_age(absurd, AT) is None and time.age(absurd, AT) == 0
 
@@ -51,7 +51,7 @@
 def test_trusted_timestamps_are_compared_with_each_other_before_the_first_copy():
     time = PlatformTime(AT, UNIX + HOUR)
     for timestamp in (UNIX - 60 * S, UNIX):
-        time.stamped(timestamp, AT)
+        time.add_timestamp(timestamp, AT)
     assert time.age(UNIX - 60 * S, AT) == 60 * S and time.age(UNIX, AT + S) == S
-    time.stamped(0, AT)  # 0 means no timestamp
+    time.add_timestamp(0, AT)  # 0 means no timestamp
     assert time.age(UNIX, AT + S) == S
