--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -81,7 +81,7 @@
             driver.membership.stop()
         log("stopped", **driver.book.taken())
         return 0
-    repeatable = () if wanted.shares is None else (wanted.shares.header_bytes,)
+    repeatable = () if wanted.shares is None else (wanted.shares.lowercase_header,)
     take_in = ConnectionReader(driver, pool, wanted.descriptors // 2, wanted.times, frozenset(repeatable))
     listener = await _listening(wanted.listen, stop, log)
     if listener is None:
--- a/sprucegate/cli/operator_file.py
+++ b/sprucegate/cli/operator_file.py
@@ -233,37 +233,37 @@
                 return key, f"names {twice[0][:60]!r} twice"
         if len(set(self.fronts)) != len(self.fronts):
             return "fronts", "names a front twice"
-        if b"common" in self.listed:
+        if b"common" in self.tenant_indices:
             return "tenants", "`common` is reserved for the tenants that are not listed"
-        guaranteed = sum(floor for _, floor in self.weights)
-        fewest = min(self.counts.values())
+        guaranteed = sum(floor for _, floor in self.tenant_weights)
+        fewest = min(self.slot_counts.values())
         if guaranteed > fewest:
             return "tenants", f"the floors add up to {guaranteed} slots, but a source has only {fewest}"
         return None
 
     @property
-    def listed(self):
+    def tenant_indices(self):
         """The index of each listed tenant by the value of its header."""
         return {value.split()[0].encode(): at for at, value in enumerate(self.tenants, 1)}
 
     @property
-    def names(self):
+    def tenant_names(self):
         """The tenants' names by index; index 0 is the common tenant."""
         return ["common", *[value.split()[0] for value in self.tenants]]
 
     @property
-    def weights(self):
+    def tenant_weights(self):
         """(weight, floor) by tenant index; index 0 is the common tenant."""
         rows = [[int(word) for word in value.split()[1:]] for value in self.tenants]
         return [(self.common, 0), *[(row[0], row[1] if len(row) > 1 else 0) for row in rows]]
 
     @property
-    def counts(self):
+    def slot_counts(self):
         """The number of slots by name of a source or kind."""
         return {name: int(count) for name, count in map(str.split, self.places)}
 
     @property
-    def header_bytes(self):
+    def lowercase_header(self):
         """The tenant header's name in the form that the request parser uses: lower-case bytes."""
         return self.header.lower().encode()
 
@@ -459,7 +459,7 @@
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several types of exceptions
         raise OperatorFileError(
-            path, source_locations.fault_line(text), "", "is not valid KDL from this line on"
+            path, source_locations.syntax_error_line(text), "", "is not valid KDL from this line on"
         ) from None
     builder = _TreeBuilder(path)
     data = builder.children(nodes, source_locations.starts(text), "", False)
--- a/sprucegate/config/source_locations.py
+++ b/sprucegate/config/source_locations.py
@@ -26,7 +26,7 @@
         self.text = text
 
 
-MAX_OPEN_BRACES = 8  # nesting up to which fault_line closes the prefix of a document
+MAX_OPEN_BRACES = 8  # nesting up to which syntax_error_line closes the prefix of a document
 
 
 class Start(NamedTuple):
@@ -143,7 +143,7 @@
     return True
 
 
-def fault_line(text: str) -> int:
+def syntax_error_line(text: str) -> int:
     """Return the line of the syntax error in `text`.
 
     It is the line after the longest prefix of whole lines that parses once its open braces are closed.
--- a/sprucegate/discovery/list_format.py
+++ b/sprucegate/discovery/list_format.py
@@ -105,7 +105,7 @@
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several kinds
         short = len(text) < FAULT_SEARCH_CHARACTERS_MAX
-        line = source_locations.fault_line(text) if short else text.count("\n") + 1
+        line = source_locations.syntax_error_line(text) if short else text.count("\n") + 1
         raise OperatorFileError(file, line, "", "is not KDL, or is cut") from None
     if [node.name for node in nodes] != ["servers"] or nodes[0].args or nodes[0].properties:
         raise OperatorFileError(file, 1, "", "wants one block `servers { ... }` and nothing else")
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -65,7 +65,7 @@
         self.loop = fleet.loop
         timeouts = [one for one in self.driver.wanted.settings.get("viewer_timeout", ()) if one]
         self.settings = QuotaSettings(
-            tenants=tuple(Tenant(*one) for one in node.weights),
+            tenants=tuple(Tenant(*one) for one in node.tenant_weights),
             fronts=tuple(node.fronts),
             slots={},
             fill_time_max=node.longest or max(timeouts, default=FILL_TIME_MAX_DEFAULT),
@@ -110,7 +110,9 @@
         for source in [*router.group("parent"), *router.group("origin")]:
             server = self.driver.servers.places.get(source.id)
             name = server.name if server is not None else ""
-            count = self.node.counts.get(name) or self.node.counts.get(kinds.get(source.entry.kind, ""))
+            count = self.node.slot_counts.get(name) or self.node.slot_counts.get(
+                kinds.get(source.entry.kind, "")
+            )
             if count:
                 slots[source.id] = count
                 self.source_names[source.id] = name
@@ -146,13 +148,13 @@
     def explain(self, given):
         """Return the rows of `fleet why share`, for the tenants or sources given, or for all."""
         now = time.monotonic_ns()
-        return quota_status(self.quotas, self.node.names, self.source_names, given, now)
+        return quota_status(self.quotas, self.node.tenant_names, self.source_names, given, now)
 
     # Events of the front, called by its driver.
 
     def tenant_index(self, headers):
         """Return the index of a client's tenant; clients that name no listed one belong to the common tenant."""
-        index, listed = tenant_of(headers.get(self.node.header_bytes), self.node.listed)
+        index, listed = tenant_of(headers.get(self.node.lowercase_header), self.node.tenant_indices)
         if not listed:
             self.driver.book.count("tenants_unlisted")
         return index
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -433,8 +433,8 @@
 
 def test_the_file_gives_tenants_slots_and_fronts():
     node = operator_file.parse(GOOD, "f.kdl").shares
-    assert node.weights == [(1, 0), (4, 0), (1, 1)] and node.counts == {"parent": 8, "origin": 2}
-    assert node.listed == {b"gold": 1, b"iron": 2} and node.names == ["common", "gold", "iron"]
+    assert node.tenant_weights == [(1, 0), (4, 0), (1, 1)] and node.slot_counts == {"parent": 8, "origin": 2}
+    assert node.tenant_indices == {b"gold": 1, b"iron": 2} and node.tenant_names == ["common", "gold", "iron"]
 
 
 @pytest.mark.parametrize(
