--- a/sprucegate/cli/operator_file.py
+++ b/sprucegate/cli/operator_file.py
@@ -79,15 +79,10 @@
     """The `membership` node: sources of the server list besides the bus. Times in ns."""
 
     file: Annotated[str, Meta(min_length=1)]
-    order: tuple[Literal["file", "bus"], Literal["file", "bus"]] = (
-        "file",
-        "bus",
-    )  # precedence of the sources, highest first
+    order: tuple[Literal["file", "bus"], Literal["file", "bus"]] = ("file", "bus")  # highest precedence first
     poll: time(20 * MS, 60 * S) = 200 * MS
     least: time(MS, 60 * S) = 50 * MS  # minimum interval between two reads
-    most_removed: Share = (
-        0.5  # share of a location's servers that one list may remove; above it the list is held
-    )
+    most_removed: Share = 0.5  # share of a location that one list may remove; above it the list is held
     hold: time(S, 30 * 86_400 * S) = 600 * S
     ramp: time(0, 3600 * S) = 20 * S  # slow start: until a returning server has its full weight
     state: str = ""  # directory of snapshots; empty: no snapshots
@@ -107,9 +102,7 @@
     name: Annotated[str, Meta(min_length=1, max_length=60)]
     listen: Annotated[str, Meta(min_length=1)]  # HOST:PORT
     advertise: str = ""  # address at which other fronts reach this one, if not `listen`
-    join: Annotated[
-        list[str], Meta(max_length=100)
-    ] = []  # seed addresses; further members are learned from them
+    join: Annotated[list[str], Meta(max_length=100)] = []  # seed addresses; they report further members
     state: Annotated[str, Meta(min_length=1)] = "fleet"  # directory, not shared with another front
     alone_after: time(100 * MS, 600 * S) = 5 * S  # without contact to another front this one serves alone
     catch_up: size(64 << 10, 1 << 30) = 8 << 20  # bytes/s in total, to all fronts catching up from this one
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -41,12 +41,8 @@
     assert limits.idle == 14 * S  # the default of an omitted setting
     servers = config.servers.resolved({"std": 0, "parent": 1})
     assert servers.transport("s-01", "127.0.0.1:1", 0) == "http2"
-    assert (
-        servers.transport("s-0b", "127.0.0.1:4101", 0) == "lines"
-    )  # a name takes precedence over an address
-    assert (
-        servers.transport("s-01", "127.0.0.1:4101", 1) == "http2"
-    )  # an address takes precedence over a kind
+    assert servers.transport("s-0b", "127.0.0.1:4101", 0) == "lines"  # name over address
+    assert servers.transport("s-01", "127.0.0.1:4101", 1) == "http2"  # address over kind
     assert servers.transport("s-01", "127.0.0.1:1", 1) == "lines"
     with pytest.raises(KeyError):
         config.servers.resolved({"parent": 0})
