--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -84,7 +84,7 @@
             driver.membership.stop()
         log("stopped", **driver.counters.read_and_reset())
         return 0
-    repeatable = () if config.shares is None else (config.shares.header_bytes,)
+    repeatable = () if config.shares is None else (config.shares.lowercase_header,)
     reader = ConnectionReader(driver, pool, config.descriptors // 2, config.times, frozenset(repeatable))
     listener = await _open_listener(config.listen, stop, log)
     if listener is None:
--- a/sprucegate/discovery/list_format.py
+++ b/sprucegate/discovery/list_format.py
@@ -107,7 +107,7 @@
         nodes = ckdl.parse(text).nodes
     except Exception:  # ckdl raises several types of exception
         short = len(text) < FAULT_SEARCH_CHARACTERS_MAX
-        line = source_locations.fault_line(text) if short else text.count("\n") + 1
+        line = source_locations.syntax_error_line(text) if short else text.count("\n") + 1
         raise OperatorFileError(file, line, "", "is not valid KDL, or is truncated") from None
     if [node.name for node in nodes] != ["servers"] or nodes[0].args or nodes[0].properties:
         raise OperatorFileError(file, 1, "", "must hold one block `servers { ... }` and nothing else")
--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -142,7 +142,7 @@
         try:
             stored = orjson.loads(snapshot.payload)
             stored["file"] = [row for batch in stored["file"] for row in batch]
-            self.view.restore(stored, clock.since_unix)
+            self.view.restore(stored, clock.from_unix)
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as fault:
             self.log("snapshot_refused", name="servers", error=f"{type(fault).__name__}: {fault}")
             return None
@@ -407,7 +407,7 @@
         generation = self.view.generation
         file_batches = []
         servers = list(self.view.lists["file"].values())
-        head = orjson.dumps(self.view.dump(clock.unix_of))[:-1]
+        head = orjson.dumps(self.view.dump(clock.to_unix))[:-1]
         for at in range(0, len(servers), BATCH_SIZE):
             file_batches.append(orjson.dumps([row_of(server) for server in servers[at : at + BATCH_SIZE]]))
             await asyncio.sleep(0)
@@ -422,7 +422,7 @@
                             row.server.address,
                             STANDING_WORDS[row.standing],
                             row.why,
-                            clock.unix_of(row.since),
+                            clock.to_unix(row.since),
                             row.server.entry.weight,
                         ]
                         for row in rows[at : at + BATCH_SIZE]
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -240,7 +240,7 @@
         """Return the earliest time at which a response was generated, on this front's clock; None where unknown."""
         if response.age is not None:
             return attempt.decided_at - response.age
-        self.platform_time.copy_stamped(response.generated_at, attempt.cache, now)
+        self.platform_time.add_copy_timestamp(response.generated_at, attempt.cache, now)
         self.router.platform_clock_offset = self.platform_time.least_offset
         age = self.platform_time.copy_age(response.generated_at, now) if response.generated_at else None
         return None if age is None else now - age
@@ -305,9 +305,9 @@
         """Record the platform's time stamps in a discovery event: ages are computed relative to the newest one."""
         if isinstance(event, EndpointList):
             for entry in event.entries:
-                self.platform_time.stamped(entry.started, now)
+                self.platform_time.add_timestamp(entry.started, now)
         elif event is not None:
-            self.platform_time.stamped(event.at, now)
+            self.platform_time.add_timestamp(event.at, now)
         self.router.platform_clock_offset = self.platform_time.least_offset
 
     def apply(self, hosts):
