--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -1,4 +1,4 @@
-"""Real fronts as processes with relays between them, stand-in caches, an origin and a bus; troubles by calls.
+"""Runs real front processes with relays between them, stand-in caches, an origin and a bus; methods inject faults.
 
 with Rig(folder, 3) as rig:
     rig.start_all()
@@ -37,8 +37,8 @@
 }
 
 
-class Lines:
-    """A process that takes commands as lines and prints its addresses first."""
+class CommandProcess:
+    """A process that prints its listening addresses, then reads commands from stdin as lines of JSON."""
 
     def __init__(self, module, *flags, count):
         self.process = subprocess.Popen(
@@ -46,8 +46,8 @@
         )
         self.addresses = [self.process.stdout.readline().strip() for _ in range(count)]
 
-    def say(self, **said):
-        self.process.stdin.write(json.dumps(said) + "\n")
+    def send(self, **command):
+        self.process.stdin.write(json.dumps(command) + "\n")
         self.process.stdin.flush()
 
     def stop(self):
@@ -57,10 +57,10 @@
         self.process.stdout.close()
 
 
-class RealFront:
-    """One front's files, and its process while it has one; `lines` has its log.
+class FrontProcess:
+    """The files of one front and its process, None until it is started; `lines` holds its parsed log.
 
-    `checkout`: the folder of another build of sprucegate that the process runs; None for this one."""
+    `checkout`: root folder of another build of sprucegate for the process to run; None for this build."""
 
     def __init__(self, rig, name, number):
         self.rig, self.name, self.number, self.process = rig, name, number, None
@@ -69,7 +69,7 @@
         self.folder.mkdir()
         self.faults = Faults(self.folder / "faults")
         self.port, self.fleet_port = free_port(), free_port()
-        self.lines, self.fresh = [], threading.Condition()
+        self.lines, self.line_added = [], threading.Condition()
 
     def configure(self, bus, advertise, join):
         known = [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": self.rig.hosts}}]
@@ -115,11 +115,11 @@
     def _read(self, process):
         try:
             for line in process.stdout:
-                with self.fresh:
+                with self.line_added:
                     self.lines.append(json.loads(line))
-                    self.fresh.notify_all()
+                    self.line_added.notify_all()
         except ValueError:
-            pass  # closed under it, as the process was killed
+            pass  # the pipe was closed because the process was killed
 
     def seen(self, event, since=0, **wanted):
         return [
@@ -129,14 +129,14 @@
         ]
 
     def until(self, event, since=0, patience=20, **wanted):
-        """The first such line of its log from `since` (a count of lines) on."""
-        end = time.monotonic() + patience
-        with self.fresh:
-            while not (found := self.seen(event, since, **wanted)):
-                left = end - time.monotonic()
+        """Waits for the first matching log line at or after index `since`; fails after `patience` seconds."""
+        deadline = time.monotonic() + patience
+        with self.line_added:
+            while not (matches := self.seen(event, since, **wanted)):
+                left = deadline - time.monotonic()
                 assert left > 0, (self.name, event, wanted, self.lines[-5:])
-                self.fresh.wait(left)
-        return found[0]
+                self.line_added.wait(left)
+        return matches[0]
 
     def signal(self, number):
         self.process.send_signal(number)
@@ -147,7 +147,7 @@
         self.process.stdout.close()
 
     def ask(self, what, *given):
-        """What the command line gets of it; None where it does not answer."""
+        """Returns the answer to an operator's request, as the command line gets it; None without an answer."""
         from sprucegate.fleet.links import codec
         from sprucegate.storage import records
 
@@ -166,12 +166,16 @@
             return None
 
     def holds(self):
-        """{(kind, key...): value or state} of the facts that it tells of, a thousand at most."""
-        said = self.ask("facts")
-        return {(f["kind"], *f["key"]): f.get("state", f.get("value")) for f in said["facts"]} if said else {}
+        """Returns {(kind, key...): value or state} of the facts that it reports, which are a thousand at most."""
+        answer = self.ask("facts")
+        return (
+            {(f["kind"], *f["key"]): f.get("state", f.get("value")) for f in answer["facts"]}
+            if answer
+            else {}
+        )
 
     def live(self):
-        """The status of GET /status/live; 0 where nobody listens."""
+        """Returns the status code of GET /status/live; 0 if the port does not answer."""
         try:
             with socket.create_connection(("127.0.0.1", self.port), 2) as sock:
                 sock.sendall(b"GET /status/live HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -180,8 +184,8 @@
             return 0
 
 
-class RealKeeper(RealFront):
-    """A keeper of the agreed log, and nothing else."""
+class VoterProcess(FrontProcess):
+    """A voter of the replicated log that runs without a front."""
 
     def __init__(self, rig, name):
         super().__init__(rig, name, 0)
@@ -226,12 +230,13 @@
         boxes=None,
         kinds=(),
     ):
-        """`boxes`, `kinds`: caches and sources that run already, and the kind of each; else `caches` quick ones.
+        """`boxes`, `kinds`: servers that already run, the origin last, and the kind of each. Without them the rig
+        starts `caches` stand-in caches of 1 ms service time and an origin.
 
-        `kdl` goes into each `fleet` block, `more` beside it, with {name} for the front's; `keepers`: processes k0,
-        k1, ... that keep the agreed log, with those budgets."""
+        `kdl` is added to the `fleet` block of each front's file, `more` after that block, with {name} for the front's
+        name. `keepers`: count of voter processes k0, k1, ...; `budgets`: budgets of the rollout."""
         self.folder, self.kdl, self.more, self.offset, self.relay = folder, kdl, more, 1, None
-        self.twins, self.twin_bus, self.twin_relay, self.requests = [], None, None, 0
+        self.duplicates, self.duplicate_bus, self.duplicate_relay, self.requests = [], None, None, 0
         self.boxes = boxes or [
             Process("lines", service=0.001, made=1, ran=folder / f"ran-{at}") for at in range(caches + 1)
         ]
@@ -240,10 +245,10 @@
             for at in range(len(self.boxes))
         ]
         self.names = [f"n{at}" for at in range(size)]
-        self.fronts = {name: RealFront(self, name, at) for at, name in enumerate(self.names)}
-        self.bus = Lines("standins.bus", "--count", str(size), count=size)
-        self.keepers = {f"k{at}": RealKeeper(self, f"k{at}") for at in range(keepers)}
-        self.relay = Lines(
+        self.fronts = {name: FrontProcess(self, name, at) for at, name in enumerate(self.names)}
+        self.bus = CommandProcess("standins.bus", "--count", str(size), count=size)
+        self.keepers = {f"k{at}": VoterProcess(self, f"k{at}") for at in range(keepers)}
+        self.relay = CommandProcess(
             "standins.fleet.relay",
             "--seed",
             str(seed),
@@ -279,17 +284,17 @@
         return self
 
     def __exit__(self, *_):
-        for front in [*self.fronts.values(), *self.keepers.values(), *self.twins]:
+        for front in [*self.fronts.values(), *self.keepers.values(), *self.duplicates]:
             if front.process is not None and front.process.poll() is None:
                 front.signal(signal.SIGCONT)
                 front.kill()
-        for one in (self.bus, self.relay, self.twin_bus, self.twin_relay):
-            if one is not None:
-                one.stop()
+        for helper in (self.bus, self.relay, self.duplicate_bus, self.duplicate_relay):
+            if helper is not None:
+                helper.stop()
         for box in self.boxes:
             box.stop()
 
-    # What happens.
+    # Schedule steps and waits.
 
     def start_all(self, patience=30):
         for front in [*self.keepers.values(), *self.fronts.values()]:
@@ -301,111 +306,116 @@
             count = len(self.boxes) - 1 + len(self.names)
             self.wait(
                 lambda: all(
-                    (said := self.agreed(name)).get("fronts") == sorted(self.names) and said["boxes"] == count
+                    (state := self.agreed(name)).get("fronts") == sorted(self.names)
+                    and state["boxes"] == count
                     for name in self.names
                 ),
                 patience,
             )
 
-    # The agreed log.
+    # The replicated log.
 
     def agreed(self, name):
-        """What a front has of it; nothing where it does not answer."""
+        """Returns a front's copy of the log's state; {} if it does not answer."""
         return self.fronts[name].ask("agreed") or {}
 
     def propose(self, name, *command, id=None):
-        """An operator's request at a front: its answer."""
+        """Sends an operator's command through a front and returns the answer; {} if the front does not answer."""
         self.requests += 1
         id = id or f"q{self.requests}"
         return self.fronts[name].ask("propose", json.dumps(["once", id, list(command)])) or {}
 
     def leader(self):
-        """The name of the keeper that leads and is followed by most; "" where there is none."""
-        said = {
+        """Returns the name of the voter that leads in the highest term; "" if none says that it leads."""
+        votings = {
             name: (k.ask("agreed") or {}).get("voting") or {}
             for name, k in self.keepers.items()
             if k.process is not None and k.process.poll() is None
         }
-        leads = [(one["term"], name) for name, one in said.items() if one.get("role") == "leader"]
-        return max(leads)[1] if leads else ""
+        leaders = [(v["term"], name) for name, v in votings.items() if v.get("role") == "leader"]
+        return max(leaders)[1] if leaders else ""
 
     def permit(self, name, id):
-        """One permit as that front has it; nothing where it is over, or not there."""
+        """Returns an open permit as the front has it; {} if it has ended or is unknown there."""
         return next((p for p in self.agreed(name).get("permits", ()) if p["id"] == id), {})
 
     def step_of(self, name, id):
-        """How far that permit is, as that front has it; "" where it is not there."""
-        said = self.agreed(name)
-        steps = {p["id"]: p["step"] for p in said.get("permits", ())} | said.get("ended", {})
+        """Returns the step of an open or ended permit as the front has it; "" if it is unknown there."""
+        state = self.agreed(name)
+        steps = {p["id"]: p["step"] for p in state.get("permits", ())} | state.get("ended", {})
         return steps.get(id, "")
 
     def step(self, id, step, names=None, patience=20):
-        """Waits until the permit is at that step at those fronts."""
+        """Waits until the permit is at `step` at each front of `names`, by default at all."""
         self.wait(lambda: all(self.step_of(name, id) == step for name in names or self.names), patience)
 
     def phase(self, release, phase, patience=60):
-        """Waits until the release is in that phase at all fronts."""
+        """Waits until the release is in `phase` at all fronts."""
 
-        def so():
+        def has_phase():
             return all(
                 {r["name"]: r["phase"] for r in self.agreed(name).get("releases", ())}.get(release) == phase
                 for name in self.names
             )
 
-        self.wait(so, patience)
+        self.wait(has_phase, patience)
 
     def together(self, patience=30, names=None):
-        """Waits until each of those is known as alive by all of them."""
+        """Waits until each front of `names`, by default all, lists all of them as alive."""
         names = list(names or self.names)
 
-        def all_there():
+        def all_alive():
             for name in names:
-                said = self.fronts[name].ask("status")
-                if said is None or not {
-                    m["name"] for m in said["members"] if m["standing"] == "alive"
+                status = self.fronts[name].ask("status")
+                if status is None or not {
+                    m["name"] for m in status["members"] if m["standing"] == "alive"
                 } >= set(names):
                     return False
             return True
 
-        self.wait(all_there, patience)
+        self.wait(all_alive, patience)
 
     def wait(self, what, patience=20):
-        """Asks again until it is so: what is waited for has no event of its own."""
-        end = time.monotonic() + patience
+        """Polls until `what()` is true: for conditions that no log event reports."""
+        deadline = time.monotonic() + patience
         while not what():
-            assert time.monotonic() < end, what
+            assert time.monotonic() < deadline, what
             time.sleep(0.01)
 
     def tell(self, names, **event):
-        self.bus.say(to=[self.names.index(name) for name in names], event=event)
+        self.bus.send(to=[self.names.index(name) for name in names], event=event)
 
     def purge(self, names, obj, at):
-        """`at`: Unix ms."""
+        """Sends a purge of `obj` to those fronts by their bus; `at`: Unix ms."""
         self.tell(names, ban={"url": f"{obj:x}", "ts": at})
 
     def purge_at(self, front, obj, at):
-        """To one front, which may be a twin."""
-        (self.bus if front in self.fronts.values() else self.twin_bus).say(
+        """Sends a purge to one front, which may be a duplicate, by its bus."""
+        (self.bus if front in self.fronts.values() else self.duplicate_bus).send(
             to=[front.number if front in self.fronts.values() else 0],
             event={"ban": {"url": f"{obj:x}", "ts": at}},
         )
 
-    def twin(self, name):
-        """Another process of that name, with a folder, ports, a bus and a relay of its own; not yet started."""
+    def duplicate(self, name):
+        """Returns a second front of that name, not yet started, with its own folder, ports, bus and relay."""
         (self.folder / "twin").mkdir()
-        twin, self.folder = None, self.folder / "twin"
+        duplicate, self.folder = None, self.folder / "twin"
         try:
-            twin = RealFront(self, name, 0)
+            duplicate = FrontProcess(self, name, 0)
         finally:
             self.folder = self.folder.parent
-        self.twin_bus = Lines("standins.bus", count=1)
-        self.twin_relay = Lines("standins.fleet.relay", f"{name}=127.0.0.1:{twin.fleet_port}", count=1)
-        twin.configure(self.twin_bus.addresses[0], self.twin_relay.addresses[0], self.relay.addresses[:2])
-        self.twins.append(twin)
-        return twin
+        self.duplicate_bus = CommandProcess("standins.bus", count=1)
+        self.duplicate_relay = CommandProcess(
+            "standins.fleet.relay", f"{name}=127.0.0.1:{duplicate.fleet_port}", count=1
+        )
+        duplicate.configure(
+            self.duplicate_bus.addresses[0], self.duplicate_relay.addresses[0], self.relay.addresses[:2]
+        )
+        self.duplicates.append(duplicate)
+        return duplicate
 
     def ran(self, box):
-        """GETs that a cache has run so far."""
+        """Returns the count of GETs that a cache has run so far."""
         with open(self.folder / f"ran-{box}") as file:
             return sum(1 for _ in file)
 
@@ -416,8 +426,8 @@
             names, topology={"seq": self.offset, "whole": False, "hosts": [self.host(box, kind, health)]}
         )
 
-    def trouble(self, do, **said):
-        self.relay.say(do=do, **said)
+    def trouble(self, do, **parameters):
+        self.relay.send(do=do, **parameters)
         assert self.relay.process.stdout.readline() == "set\n"
 
     def split(self, one, other):
@@ -425,23 +435,23 @@
         self.trouble("cut", **{"from": other, "to": one})
 
     def all_hold(self, key, value, names=None, patience=20):
-        """Waits until those hold at least that; the names of none are left out."""
+        """Waits until each front of `names`, by default all, holds at least `value` of the fact `key`."""
 
-        def so():
+        def all_have_value():
             return all(_at_least(self.fronts[name].holds().get(key), value) for name in names or self.names)
 
-        self.wait(so, patience)
+        self.wait(all_have_value, patience)
 
     def get(self, name, obj, call_id, sock=None, extra=""):
-        """Status and body of one GET through a front; `extra`: more header lines, each with its end."""
-        own = sock or socket.create_connection(("127.0.0.1", self.fronts[name].port), timeout=5)
-        own.sendall(
+        """Sends one GET through a front and returns status and body; `extra`: header lines, each with its CRLF."""
+        connection = sock or socket.create_connection(("127.0.0.1", self.fronts[name].port), timeout=5)
+        connection.sendall(
             f"GET /svc/media/{obj:016x}/slice-1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: {call_id:016x}\r\n"
             f"X-Patience-Ms: 1500\r\nX-Set: 17\r\nX-Heap-Kb: 4.5\r\n{extra}Content-Length: 0\r\n\r\n".encode()
         )
         head = b""
         while b"\r\n\r\n" not in head:
-            if not (piece := own.recv(65_536)):
+            if not (piece := connection.recv(65_536)):
                 return 0, b""
             head += piece
         head, _, body = head.partition(b"\r\n\r\n")
@@ -454,9 +464,9 @@
             0,
         )
         while len(body) < size:
-            body += own.recv(65_536)
+            body += connection.recv(65_536)
         if sock is None:
-            own.close()
+            connection.close()
         return int(head.split()[1]), body
 
 
--- a/tests/fleet/test_fleet_rig.py
+++ b/tests/fleet/test_fleet_rig.py
@@ -165,17 +165,17 @@
 
 
 def test_two_processes_of_one_name_are_told_apart(three):
-    rig, twin = three, three.twin("n2")
-    twin.start()
-    twin.until("ready")
-    rig.wait(lambda: rig.fronts["n2"].seen("fleet_name_twice") or twin.seen("fleet_name_twice"), 30)
-    seen = [line for f in (rig.fronts["n2"], twin) for line in f.seen("fleet_name_twice")]
+    rig, duplicate = three, three.duplicate("n2")
+    duplicate.start()
+    duplicate.until("ready")
+    rig.wait(lambda: rig.fronts["n2"].seen("fleet_name_twice") or duplicate.seen("fleet_name_twice"), 30)
+    seen = [line for f in (rig.fronts["n2"], duplicate) for line in f.seen("fleet_name_twice")]
     assert seen and all(line["own"] != line["other"] for line in seen)
     at = stamp()
-    for number, teller in enumerate((twin, rig.fronts["n2"]), 70):
+    for number, teller in enumerate((duplicate, rig.fronts["n2"]), 70):
         rig.purge_at(teller, number, at)
         rig.all_hold(("purge", "object", number), purged(at))
-        rig.wait(lambda key=("purge", "object", number): key in twin.holds())
+        rig.wait(lambda key=("purge", "object", number): key in duplicate.holds())
 
 
 def test_one_that_stood_still_takes_no_other_down_and_is_back(three):
