--- a/standins/fleet/agent.py
+++ b/standins/fleet/agent.py
@@ -1,8 +1,8 @@
-"""A box agent for the rig: replaces stand-in caches by permit, through whichever front answers.
+"""A maintenance agent for the rig: restarts servers under a permit, using the first front that answers.
 
-`manner`: "lying" says that a box runs while it does not, "dying" ends once the box is stopped, "failing" starts it in
-vain twice, "idle" does nothing. Fronts among its boxes are ended by SIGTERM and started again.
-`versions`: version -> flags of the stand-in that it runs as.
+`manner` makes it misbehave: "lying" reports a server as started while it is down, "dying" exits after stopping the
+server, "failing" fails the first two starts, "idle" ignores permits. A front is stopped by SIGTERM and started again;
+a stand-in cache is killed and replaced by a new process. `versions`: version -> flags of the stand-in that runs it.
 """
 
 import signal
@@ -11,16 +11,16 @@
 
 from standins.processes import Process
 
-RENEW = 2.0  # seconds
+RENEW_INTERVAL_S = 2.0
 
 
 class Agent(threading.Thread):
     def __init__(self, rig, name, boxes, manner="", versions=None, down=0.1):
-        """`boxes`: numbers of the rig's caches; `down`: seconds for which one that is replaced is away."""
+        """`boxes`: numbers of the rig's caches, or names of fronts; `down`: seconds from stop to start of a server."""
         super().__init__(daemon=True)
         self.rig, self.name, self.manner, self.versions, self.down = rig, name, manner, versions or {}, down
         self.boxes = {at if isinstance(at, str) else f"s-{at + 16:02x}": at for at in boxes}
-        self.vain, self.stopping = 0, {}
+        self.vain, self.stop_begun = 0, {}
         self.stopped, self.renewed, self.started, self.counted, self.late, self.replaced = (
             False,
             {},
@@ -35,54 +35,60 @@
         try:
             while not self.stopped:
                 for name in self.rig.names:
-                    if (said := self.rig.agreed(name)).get("ok") and not said["fenced"]:
-                        self._looks(name, [p for p in said["permits"] if p["box"] in self.boxes])
+                    if (state := self.rig.agreed(name)).get("ok") and not state["fenced"]:
+                        self._process_permits(name, [p for p in state["permits"] if p["box"] in self.boxes])
                         break
                 time.sleep(0.02)
-        except Exception as fault:  # told by whoever waits for what it was to do
+        except Exception as fault:  # the thread that waits for this agent checks `fault`
             self.fault = fault
 
-    def _looks(self, front, permits):
+    def _process_permits(self, front, permits):
         for permit in permits:
             id, box, step = permit["id"], self.boxes[permit["box"]], permit["step"]
             if self.manner == "idle":
                 continue
-            if step in ("drained", "out", "cold") and time.monotonic() - self.renewed.get(id, 0) > RENEW:
+            if (
+                step in ("drained", "out", "cold")
+                and time.monotonic() - self.renewed.get(id, 0) > RENEW_INTERVAL_S
+            ):
                 self.renewed[id] = time.monotonic()
                 self.rig.propose(front, "renew", id, self.name)
             if step == "drained":
                 self.rig.propose(front, "out", id, self.name)
             elif step == "out":
                 if id not in self.started:
-                    if id not in self.stopping:
-                        self.stopping[id] = True
-                        self._stops(id, box)
+                    if id not in self.stop_begun:
+                        self.stop_begun[id] = True
+                        self._stop_server(id, box)
                     if self.manner == "dying":
                         self.stopped = True
                         return
                     if self.manner == "lying":
                         self.rig.propose(front, "started", id, "not so")
                         continue
-                    self._starts(id, box, permit["version"])
+                    self._start_server(id, box, permit["version"])
                 if id in self.started:
                     self.rig.propose(front, "started", id, self.started[id])
             elif step == "cold" and not isinstance(box, str):
                 if id not in self.started or self.rig.boxes[box].process.poll() is not None:
                     if self.manner != "lying":
-                        self._starts(id, box, permit["version"])
+                        self._start_server(id, box, permit["version"])
                 if id in self.started and self.started[id] != permit["start"]:
                     self.rig.propose(front, "started", id, self.started[id])
 
-    def _stops(self, id, box):
+    def _stop_server(self, id, box):
         if isinstance(box, str):
             front = self.rig.fronts[box]
             front.signal(signal.SIGTERM)
             front.process.wait(10)
             return
-        self._kills(box)
+        self._kill_process(box)
 
-    def _kills(self, box):
-        """Kept from stopping what is still sent to: what runs there from now on was sent after all said drained."""
+    def _kill_process(self, box):
+        """Counts in `late` the GETs that the cache gets after all fronts reported it drained, then kills it.
+
+        The first 50 ms are not counted, for GETs under way.
+        """
         time.sleep(0.05)
         before = self.rig.ran(box)
         time.sleep(0.1)
@@ -92,7 +98,7 @@
             process.kill()
             process.wait()
 
-    def _starts(self, id, box, version):
+    def _start_server(self, id, box, version):
         time.sleep(self.down)
         if isinstance(box, str):
             front = self.rig.fronts[box]
--- a/standins/fleet/checkers.py
+++ b/standins/fleet/checkers.py
@@ -1,27 +1,27 @@
-"""Checkers of the replication's promises. Each reads a trace alone, (time, front, what, ...), and gives what broke.
+"""Checkers of the replication's guarantees. Each reads only a trace, (time, front, what, ...), and returns violations.
 
-The numbers are those of the promises in docs/design-replication.md. A value is a tuple of which the greater must hold;
-a word's is (life, counter, state), a purge's is (time,).
+The numbers are those of the guarantees in docs/design-replication.md. A fact's value is a tuple, and the greater value
+wins: (incarnation, counter, state) for a "word", which is what one source says of a server, (time,) for a purge.
 """
 
 LIFTED = 2
 
 
-def lost(trace):
-    """1: what a front has on disk is, at the end, at every front that is up (or a greater value of its key).
+def facts_lost(trace):
+    """1: a fact that any front had on disk is, at the end, at every front that is up, or a greater value of its key.
 
-    Left out: what was let go, which `back` and `let_go_early` watch.
+    Discarded facts are left out: `values_decreased` and `drains_reapplied` check those.
     """
-    disks, gone, found = {}, set(), []
+    disks, discarded, found = {}, set(), []
     for _, front, what, *more in trace:
         if what == "kept":
             held = disks.setdefault(front, {})
             for key, value in more[0]:
                 held[key] = max(held.get(key, value), value)
         elif what == "let-go":
-            gone.add(more[0])
+            discarded.add(more[0])
         elif what == "folder-put-back":
-            disks.pop(front, None)  # what it alone had is lost with its disk
+            disks.pop(front, None)  # what only this disk had is lost when the folder is restored from a copy
     kept = {}
     for held in disks.values():
         for key, value in held.items():
@@ -31,65 +31,67 @@
             found += [
                 f"{front} lacks {key} {value}, has {more[0].get(key)}"
                 for key, value in sorted(kept.items())
-                if key not in gone and (key not in more[0] or more[0][key] < value)
+                if key not in discarded and (key not in more[0] or more[0][key] < value)
             ]
     return found
 
 
-def back(trace):
-    """2: at one front a key's value never gets smaller, from what it was told or acted on to what it holds later."""
+def values_decreased(trace):
+    """2: at one front a key's value never decreases, from what it was told or applied to what it holds later."""
     held, found = {}, []
     for at, front, what, *more in trace:
         if what in ("told", "acts"):
             key, value = more[0], more[1]
             was = held.get((front, key))
             if was is not None and value < was:
-                found.append(f"{at} {front} goes back from {was} to {value} of {key}")
+                found.append(f"{at} {front} goes from {was} back to {value} for {key}")
             held[front, key] = max(value, was or value)
         elif what in ("dump", "live"):
             for key, value in more[-2].items() if what == "dump" else more[-1].items():
                 was = held.get((front, key))
                 if was is not None and value < was:
-                    found.append(f"{at} {front} holds {value} of {key}, had {was}")
+                    found.append(f"{at} {front} holds {value} for {key}, had {was}")
         elif what == "let-go":
-            held.pop((front, more[0]), None)  # of no use any longer: what is older may be heard of after that
+            held.pop((front, more[0]), None)  # after the discard an older value may arrive again
         elif what == "crash":
             held = {(name, key): value for (name, key), value in held.items() if name != front}
     return found
 
 
-def differ(trace):
-    """3: at the end all fronts that are up hold the same, but for what one of them has let go already."""
-    gone = {more[0] for _, _, what, *more in trace if what == "let-go"}
+def replicas_differ(trace):
+    """3: at the end all fronts that are up hold the same facts, except those that one of them has discarded."""
+    discarded = {more[0] for _, _, what, *more in trace if what == "let-go"}
     dumps = [(front, more[0]) for _, front, what, *more in trace if what == "dump"]
     found = []
     for front, held in dumps[1:]:
-        for key in sorted((set(held) | set(dumps[0][1])) - gone):
+        for key in sorted((set(held) | set(dumps[0][1])) - discarded):
             if held.get(key) != dumps[0][1].get(key):
                 found.append(
-                    f"{front} has {held.get(key)} of {key}, {dumps[0][0]} has {dumps[0][1].get(key)}"
+                    f"{front} has {held.get(key)} for {key}, {dumps[0][0]} has {dumps[0][1].get(key)}"
                 )
     return found
 
 
-def lives_twice(trace):
-    """5: no two processes are one life, and a front's later life is the greater one."""
+def incarnations_reused(trace):
+    """5: no two processes share an incarnation, and each new incarnation of a front is greater than the last."""
     seen, last, found = {}, {}, []
     for at, front, what, *more in trace:
         if what == "life":
             if more[0] in seen:
-                found.append(f"{at} {front} is life {more[0]:x} again, as {seen[more[0]]} was")
+                found.append(f"{at} {front} has incarnation {more[0]:x}, which {seen[more[0]]} already had")
             if more[0] <= last.get(front, 0):
-                found.append(f"{at} {front} is life {more[0]:x} after {last[front]:x}")
+                found.append(f"{at} {front} has incarnation {more[0]:x} after {last[front]:x}")
             seen[more[0]] = last[front] = front if more[0] not in seen else seen[more[0]]
             last[front] = more[0]
         elif what == "folder-put-back":
-            last.pop(front, None)  # its starts are counted from there again; the beings tell lives apart
+            last.pop(
+                front, None
+            )  # its start counter is reset too; the random part keeps incarnations distinct
     return found
 
 
-def said_and_lost(trace):
-    """6: what a front has said to have seen it has seen after a restart as well."""
+def seen_reports_lost(trace):
+    """6: what a front has reported as seen is still marked as seen after a restart."""
     said, found = {}, []
     for at, front, what, *more in trace:
         if what == "says-seen":
@@ -102,63 +104,66 @@
             for life, counters in sorted(said.get(front, {}).items()):
                 if missing := counters - there.get(life, set()):
                     found.append(
-                        f"{at} {front} said it had seen {life} {sorted(missing)[:5]}, and comes up without"
+                        f"{at} {front} reported {life} {sorted(missing)[:5]} as seen, but lacks it after its restart"
                     )
     return found
 
 
-def let_go_early(trace):
-    """7: a drain whose lifting was let go is in force at no front again that had let it go, and at the end at none."""
-    lifted, anywhere, found = {}, {}, []
+def drains_reapplied(trace):
+    """7: a drain is not applied again by a front that has discarded its lifting; at the end no front holds it."""
+    lifted, discarded, found = {}, {}, []
     for at, front, what, *more in trace:
         if what == "let-go" and more[0][0] == "word":
-            lifted[front, more[0]] = anywhere[more[0]] = max(more[1], anywhere.get(more[0], more[1]))
+            lifted[front, more[0]] = discarded[more[0]] = max(more[1], discarded.get(more[0], more[1]))
         elif what == "acts" and more[1] < lifted.get((front, more[0]), ()) and more[1][2] != LIFTED:
             found.append(
-                f"{at} {front} acts on {more[1]} of {more[0]}, whose {lifted[front, more[0]]} it let go"
+                f"{at} {front} applies {more[1]} of {more[0]} though {lifted[front, more[0]]} was discarded there"
             )
         elif what == "dump":
             found += [
-                f"{at} {front} holds {value} of {key}, of which {anywhere[key]} was let go"
+                f"{at} {front} holds {value} of {key}, of which {discarded[key]} was discarded"
                 for key, value in more[0].items()
-                if key in anywhere and value < anywhere[key] and value[2] != LIFTED
+                if key in discarded and value < discarded[key] and value[2] != LIFTED
             ]
         elif what == "folder-put-back":
             lifted = {(name, key): value for (name, key), value in lifted.items() if name != front}
     return found
 
 
-def live_too_early(trace):
-    """8: a front that says it has caught up has seen all that those it asked had seen when they were asked."""
+def caught_up_too_early(trace):
+    """8: a front that reports it has caught up has seen all that the fronts it asked had seen when they answered."""
     found = []
     for at, front, what, *more in trace:
         if what == "live" and more[0] == "caught-up":
             seen = {(owner, life): set(_counters(ends)) for owner, life, ends in more[1]}
             if not more[2]:
-                found.append(f"{at} {front} is live and asked nobody")
+                found.append(f"{at} {front} has caught up without asking any front")
             for name, lives in sorted(more[2].items()):
                 for owner, life, ends in lives:
                     if missing := set(_counters(ends)) - seen.get((owner, life), set()):
                         found.append(
-                            f"{at} {front} is live without {owner} {life:x} {sorted(missing)[:5]} of {name}"
+                            f"{at} {front} has caught up without {owner} {life:x} {sorted(missing)[:5]} of {name}"
                         )
     return found
 
 
 def falsely_gone(trace, grace=0):
-    """9: none counts a front as gone that was up, not paused, not cut off; `grace`: ns after a trouble of its own."""
-    well, troubled, found = {}, {}, []
+    """9: no front counts another as gone that is up, neither paused nor cut off.
+
+    `grace`: ns after a start, a resume or the end of a partition of the other front in which it may be counted as gone.
+    """
+    reachable, troubled, found = {}, {}, []
     for at, front, what, *more in trace:
         if what in ("life", "woken"):
-            well[front], troubled[front] = True, at
+            reachable[front], troubled[front] = True, at
         elif what in ("crash", "paused", "cut"):
-            well[front] = False
+            reachable[front] = False
         elif what == "healed":
-            well[front], troubled[front] = True, at
+            reachable[front], troubled[front] = True, at
         elif what == "stands" and more[1] == 2:
             name = more[0]
-            if well.get(name) and at - troubled.get(name, at) > grace and well.get(front):
-                found.append(f"{at} {front} counts {name} as gone")
+            if reachable.get(name) and at - troubled.get(name, at) > grace and reachable.get(front):
+                found.append(f"{at} {front} counts {name} as gone while it is reachable")
     return found
 
 
@@ -167,9 +172,17 @@
         yield from range(first, past)
 
 
-ALL = {1: lost, 2: back, 3: differ, 5: lives_twice, 6: said_and_lost, 7: let_go_early, 8: live_too_early}
+ALL = {
+    1: facts_lost,
+    2: values_decreased,
+    3: replicas_differ,
+    5: incarnations_reused,
+    6: seen_reports_lost,
+    7: drains_reapplied,
+    8: caught_up_too_early,
+}
 
 
 def broken(trace):
-    """(number, what) of each promise that the trace breaks."""
+    """Returns (number of the guarantee, text) for each violation in the trace."""
     return [(number, text) for number, check in ALL.items() for text in check(trace)]
