--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -1,6 +1,6 @@
-"""Whole fleets in one process: the decision modules of the fronts under a time, a network and disks that a seed makes.
+"""Simulates whole fleets in one process: the fronts' decision modules with a clock, a network and disks run by a seed.
 
-Everything that happens is written to `trace`, as tuples (time, front, what, ...); the checkers read nothing else.
+Each event is appended to `trace` as a tuple (time, front, what, ...); the checkers read nothing else.
 """
 
 import heapq
@@ -27,28 +27,29 @@
 from standins.disk import Crashed, FaultyDisk
 
 MS, S = 1_000_000, 1_000_000_000
-LOG_MOST = 20_000  # bytes after which a snapshot is made: small, so that schedules have some
-TURNS_MOST = 5000  # of one front in a second
-LINKS = 12  # other fronts that a link ties a front to, at most
+SNAPSHOT_LOG_BYTES = 20_000  # small, so that schedules of a few seconds include snapshots
+TIMER_RUNS_MAX = 5000  # timer runs of one front in one second of simulated time
+LINKS_MAX = 12  # other fronts to which one front has a link
 
 
-class Spins(Exception):
-    """A front that is due again at once, for ever: in service it would take a core."""
+class EndlessTimer(Exception):
+    """A front's timer is due again at once without end; in service that would use a whole core."""
 
 
 class Network:
-    """Delays, losses, copies, order and cuts, all by one random stream."""
+    """Delays, loses, duplicates and reorders messages and applies partitions, all by one random stream."""
 
     def __init__(self, chance, loss=0.0, twice=0.0, slow=0.0):
         self.chance, self.loss, self.twice, self.slow = chance, loss, twice, slow
+        # `cut`: directed pairs (a, b) that are cut off, or (a, b, kind) for one kind of message.
         self.cut, self.bytes, self.frames = (
             set(),
             0,
             0,
-        )  # directed pairs that are cut; (a, b, kind) one kind alone
+        )
 
-    def fates(self, sender, to, message):
-        """When each copy of a message comes, ns from now; none where it is lost."""
+    def delays(self, sender, to, message):
+        """Returns the delay of each copy of a message in ns; no entry if it is lost."""
         self.frames += 1
         kind = type(message)
         if (sender, to) in self.cut or (sender, to, kind) in self.cut or self.chance.random() < self.loss:
@@ -61,32 +62,34 @@
 
 
 class Front:
-    """One process: its disk outlives it."""
+    """One front's process; its disk survives the crash of the process."""
 
     def __init__(self, fleet, name, seeds):
         self.fleet, self.name, self.seeds, self.address = fleet, name, seeds, f"at-{name}"
         self.disk, self.peer, self.generation = FaultyDisk(), None, 0
-        self.up, self.paused, self.lying = False, False, []
+        self.up, self.paused, self.deferred = False, False, []
 
     def start(self):
         fleet, now = self.fleet, self.fleet.now
-        self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
-        self.keeping = ReplicaStorage(self.disk, "/f")
+        self.generation, self.up, self.paused, self.deferred = self.generation + 1, True, False, []
+        self.storage = ReplicaStorage(self.disk, "/f")
         try:
-            life = self.keeping.count_start() << 32 | fleet.chance.randrange(1 << 32)
-            kept = self.keeping.load(now)
+            life = self.storage.count_start() << 32 | fleet.chance.randrange(1 << 32)
+            loaded = self.storage.load(now)
         except Crashed:
             return self.crash()
         except OSError:
-            self.up = False  # without a start on disk it may not tell anything: it tries again
-            return fleet.at(now + S, self._again)
+            self.up = False  # it must not send anything before its start count is on disk; retries
+            return fleet.at(now + S, self._retry_start)
         fleet.note(self.name, "life", life)
-        self.peer = FleetNode(self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.wanted)
-        self.peer.load(kept.records.values(), kept.seen, now)
+        self.peer = FleetNode(
+            self.name, self.address, life, self.seeds, fleet.seed, now, **fleet.node_options
+        )
+        self.peer.load(loaded.records.values(), loaded.seen, now)
         fleet.note(self.name, "loaded", self.peer.replica.store.seen.as_ranges(), self.holds())
-        self.done(self.peer.start(now))
+        self.execute(self.peer.start(now))
 
-    def _again(self):
+    def _retry_start(self):
         if not self.up:
             self.start()
 
@@ -94,11 +97,11 @@
         return {fact.key: fact.value for fact in self.peer.replica.store.held.values()}
 
     def crash(self):
-        self.up, self.peer, self.lying = False, None, []
+        self.up, self.peer, self.deferred = False, None, []
         self.disk = self.disk.after_crash()
         self.generation += 1
         self.fleet.note(self.name, "crash")
-        self.fleet.resets(self)
+        self.fleet.reset_links(self)
 
     def told(self, key, value):
         before = self.peer.replica.counter
@@ -106,23 +109,23 @@
         fact = self.peer.replica.store.held.get(key)
         if fact is not None:
             self.fleet.note(self.name, "told", key, fact.value, self.peer.replica.counter > before)
-        self.done(actions)
+        self.execute(actions)
 
     def event(self, action, *given):
-        """One event of this process; a crash at a disk call ends it there."""
+        """Runs one event of this process; a simulated crash at a disk call ends the event there."""
         if self.up:
-            self.done(action(*given))
+            self.execute(action(*given))
 
-    def done(self, actions):
+    def execute(self, actions):
         try:
             for action in actions:
-                self._do(action)
+                self._execute(action)
         except Crashed:
             self.crash()
         if self.up:
             self.fleet.wake(self)
 
-    def _do(self, action):
+    def _execute(self, action):
         fleet = self.fleet
         if (sent := outgoing(action)) is not None:
             name, address, message, _ = sent
@@ -138,15 +141,15 @@
         match action:
             case PersistRecords():
                 number, generation = action.number, self.generation
-                fault = self.keeping.write(action.record)
+                fault = self.storage.write(action.record)
                 if fault is None:
                     fleet.note(self.name, "kept", [(f.key, f.value) for f in action.record[0]])
                     fleet.later(
-                        int((0.5 + 3 * fleet.chance.random()) * MS), self, self._synced, number, generation
+                        int((0.5 + 3 * fleet.chance.random()) * MS), self, self._on_synced, number, generation
                     )
                 else:
                     fleet.note(self.name, "not-kept", fault)
-                    fleet.later(MS, self, self._not_kept, number, fault, generation)
+                    fleet.later(MS, self, self._on_write_failed, number, fault, generation)
             case RecordInForce():
                 fleet.note(self.name, "acts", action.record.key, action.record.value)
             case RecordDiscarded():
@@ -163,7 +166,7 @@
             case LogEvent():
                 fleet.note(self.name, "note", action.event)
             case CheckPort(name, _, life):
-                fleet.later(2 * MS, self, self._looked, name, life)
+                fleet.later(2 * MS, self, self._on_port_checked, name, life)
             case ViewChanged(view):
                 fleet.note(
                     self.name,
@@ -183,33 +186,36 @@
         if generation != self.generation or not self.up:
             return
         try:
-            start = self.keeping.count_start(least)
+            start = self.storage.count_start(least)
         except OSError:
             return self.fleet.later(S, self, self._renew, least, alias, generation)
         self.peer.renew(start, alias)
         self.fleet.note(self.name, "life", self.peer.members.own.incarnation)
 
-    def _looked(self, name, life):
-        """What a dial shows: nothing where it is cut off, and an open port where it stands still."""
+    def _on_port_checked(self, name, life):
+        """Simulates a check of a member's port: a connection is refused only if its process is down.
+
+        A paused process still has its port open; a partition gives no answer at all.
+        """
         cut = self.fleet.network.cut
         there = self.fleet.fronts[name.partition("~")[0]].up
         if self.up and not there and not {(self.name, name), (name, self.name)} & cut:
-            self.done(self.peer.on_connection_refused(name, life, self.fleet.now))
+            self.execute(self.peer.on_connection_refused(name, life, self.fleet.now))
 
     def _address(self, name):
         member = self.peer.members.known.get(name)
         return member.address if member else None
 
-    def _synced(self, number, generation):
+    def _on_synced(self, number, generation):
         if generation != self.generation or not self.up:
             return
-        self.done(self.peer.on_written(number, self.fleet.now))
-        if self.up and self.keeping.needs_snapshot(LOG_MOST):
+        self.execute(self.peer.on_written(number, self.fleet.now))
+        if self.up and self.storage.needs_snapshot(SNAPSHOT_LOG_BYTES):
             self.snapshot()
 
-    def _not_kept(self, number, fault, generation):
+    def _on_write_failed(self, number, fault, generation):
         if generation == self.generation and self.up:
-            self.done(self.peer.on_write_failed(number, fault, self.fleet.now))
+            self.execute(self.peer.on_write_failed(number, fault, self.fleet.now))
             self.fleet.later(S, self, self.snapshot)
 
     def snapshot(self):
@@ -218,17 +224,17 @@
         try:
             if self.peer.replica.writing is not None:
                 return
-            fault = self.keeping.begin_snapshot()
+            fault = self.storage.begin_snapshot()
             held, lives = self.peer.replica.begin_snapshot()
             if fault is None:
                 pieces = [
                     encode_records(held[at : at + RECORDS_PER_PIECE])
                     for at in range(0, len(held), RECORDS_PER_PIECE)
                 ]
-                fault = self.keeping.finish_snapshot(lives, pieces, self.fleet.now)
+                fault = self.storage.finish_snapshot(lives, pieces, self.fleet.now)
             if fault is None and not self.peer.replica.is_disk_writable:
                 self.fleet.note(self.name, "kept", [(f.key, f.value) for f in held])
-                self.done(self.peer.replica.on_disk_recovered(lives, self.fleet.now))
+                self.execute(self.peer.replica.on_disk_recovered(lives, self.fleet.now))
         except Crashed:
             return self.crash()
         if fault is not None and not self.peer.replica.is_disk_writable:
@@ -236,15 +242,15 @@
 
 
 class Fleet:
-    def __init__(self, size, seed, loss=0.0, twice=0.0, slow=0.0, **wanted):
+    def __init__(self, size, seed, loss=0.0, twice=0.0, slow=0.0, **node_options):
         self.seed, self.chance, self.now, self.trace = seed, random.Random(seed), 0, []
-        self.network, self.events, self.order = Network(self.chance, loss, twice, slow), [], count()
-        self.wanted, self.bytes, self.armed, self.turns = wanted, 0, {}, {}
+        self.network, self.events, self.sequence = Network(self.chance, loss, twice, slow), [], count()
+        self.node_options, self.bytes, self.armed_timers, self.timer_runs = node_options, 0, {}, {}
         names = [f"n{at}" for at in range(size)]
         self.by_address = {f"at-{name}": name for name in names}
         self.fronts = {name: Front(self, name, [f"at-{n}" for n in names[:3]]) for name in names}
 
-    # What a schedule does.
+    # Steps of a schedule.
 
     def start(self, *names):
         for name in names or self.fronts:
@@ -254,14 +260,14 @@
         if self.fronts[name].up:
             self.fronts[name].crash()
 
-    def resets(self, ended):
-        """Whoever had a link to that process finds it reset."""
+    def reset_links(self, ended):
+        """Resets the links of up to LINKS_MAX other fronts to a process that has ended."""
         others = [
             f
             for f in self.fronts.values()
             if f is not ended and f.up and not {(f.name, ended.name), (ended.name, f.name)} & self.network.cut
         ]
-        for other in self.chance.sample(others, min(LINKS, len(others))):
+        for other in self.chance.sample(others, min(LINKS_MAX, len(others))):
             self.later(MS, other, other.event, other.peer.on_connection_reset, ended.name, self.now + MS)
 
     def pause(self, name, on):
@@ -269,9 +275,9 @@
         front.paused = on and front.up
         self.note(name, "paused" if front.paused else "woken")
         if not on and front.up:
-            lying, front.lying = front.lying, []
-            for action, given in lying:
-                if front.up:  # one of them may be the end of it
+            deferred, front.deferred = front.deferred, []
+            for action, given in deferred:
+                if front.up:  # one of them may crash it
                     action(*given)
             if front.up:
                 self.wake(front)
@@ -306,64 +312,71 @@
                 action(*given)
             elif front.up and (generation is None or generation == front.generation):
                 if front.paused:
-                    front.lying.append((action, given))
-                    del front.lying[:-5000]
+                    front.deferred.append((action, given))
+                    del front.deferred[:-5000]
                 else:
                     action(*given)
         self.now = max(self.now, until)
 
     def at(self, when, action, *given):
-        """A step of the schedule."""
-        heapq.heappush(self.events, (when, next(self.order), None, None, action, given))
+        """Schedules a step at time `when`."""
+        heapq.heappush(self.events, (when, next(self.sequence), None, None, action, given))
 
     def dump(self):
         for name, front in self.fronts.items():
             if front.up:
                 self.note(name, "dump", front.holds(), front.peer.replica.store.root())
 
-    # What fronts do.
+    # Called by fronts.
 
     def note(self, front, what, *more):
         self.trace.append((self.now, front, what, *more))
 
     def later(self, wait, front, action, *given):
         heapq.heappush(
-            self.events, (self.now + wait, next(self.order), front, front.generation, action, given)
+            self.events, (self.now + wait, next(self.sequence), front, front.generation, action, given)
         )
 
     def send(self, front, to, message):
-        for wait in self.network.fates(front.name, to, message):
+        for wait in self.network.delays(front.name, to, message):
             other = self.fronts[to]
             heapq.heappush(
                 self.events,
                 (
                     self.now + wait,
-                    next(self.order),
+                    next(self.sequence),
                     other,
                     None,
-                    self._comes,
+                    self._deliver,
                     (front.name, front.peer.members.own.name, other, message),
                 ),
             )
 
-    def _comes(self, sender, name, other, message):
+    def _deliver(self, sender, name, other, message):
         if other.up and other.peer is not None:
             other.event(other.peer.on_message, name, message, self.now)
 
     def wake(self, front):
         due = front.peer.next_deadline()
-        if self.armed.get(front.name, (None, None)) != (front.generation, due):
-            self.armed[front.name] = front.generation, due
+        if self.armed_timers.get(front.name, (None, None)) != (front.generation, due):
+            self.armed_timers[front.name] = front.generation, due
             heapq.heappush(
                 self.events,
-                (max(due, self.now + 1), next(self.order), front, front.generation, self._due, (front, due)),
+                (
+                    max(due, self.now + 1),
+                    next(self.sequence),
+                    front,
+                    front.generation,
+                    self._due,
+                    (front, due),
+                ),
             )
 
     def _due(self, front, due):
-        if self.armed.get(front.name) == (front.generation, due):
-            self.armed.pop(front.name)
-            second, times = self.turns.get(front.name, (0, 0))
-            self.turns[front.name] = self.now // S, 1 + (times if second == self.now // S else 0)
-            if times > TURNS_MOST:
-                raise Spins(f"{front.name} is due without end at {self.now}")
+        if self.armed_timers.get(front.name) == (front.generation, due):
+            self.armed_timers.pop(front.name)
+            second, times = self.timer_runs.get(front.name, (0, 0))
+            self.timer_runs[front.name] = self.now // S, 1 + (times if second == self.now // S else 0)
+            if times > TIMER_RUNS_MAX:
+                raise EndlessTimer(f"{front.name} has a timer that is due without end at {self.now}")
             front.event(front.peer.on_timer, self.now)
