--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -1,8 +1,8 @@
-"""Keepers, fronts, caches and box agents under a time, a network and troubles by seed: who goes out, and when.
+"""Simulates rollouts: voters, fronts, caches and maintenance agents with clocks, network and faults run by a seed.
 
     python -m standins.fleet.rollouts --seeds 200 --size 3 --fronts 6 --caches 12
 
-Caches here have a true state that no decision sees: down, up and cold, warm. Checkers read the trace alone.
+A simulated cache has a true state (down, up and cold, warm) that no decision reads. Checkers read only the trace.
 """
 
 import math
@@ -19,15 +19,14 @@
 from sprucegate.fleet.random_source import RandomSource
 from sprucegate.fleet.rollout.follower import FrontReporter
 from sprucegate.fleet.rollout.leader import RolloutLeader, front_lease
-from sprucegate.fleet.rollout.permits import ManagedServer as Listed
-from sprucegate.fleet.rollout.permits import PermitStep
+from sprucegate.fleet.rollout.permits import ManagedServer, PermitStep
 from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 from standins.fleet import keepers
 from standins.fleet.keepers import MS, S, World
 from standins.fleet.schedules import reported
 
-WARM = 2 * S  # from the start of a cache to its being truly warm
-PATIENCE = 4 * S
+WARM_UP_TIME = 2 * S  # time from the start of a cache until it is warm
+PROPOSAL_TIMEOUT = 4 * S
 RATES = {
     "bad-errors": (0.022, 0.001, 0.02, 0.2),
     "bad-slow": (0.002, 0.001, 0.3, 0.2),
@@ -36,61 +35,63 @@
 
 
 class KeeperBox(keepers.Box):
-    def installs(self, index, state):
+    def install_state(self, index, state):
         machine = RolloutStateMachine()
         if state:
             machine.restore(msgspec.msgpack.decode(state))
-        self.serving = LogServer(self.keeper, machine)
-        self.leading = None
+        self.log_server = LogServer(self.raft_node, machine)
+        self.rollout_leader = None
 
-    def whole(self):
-        # Packed as on the way: a state that two machines share would be changed by both.
-        return msgspec.msgpack.encode(self.serving.machine.snapshot())
+    def encoded_state(self):
+        # Encoded, as in a message: a state shared by two state machines would be changed by both.
+        return msgspec.msgpack.encode(self.log_server.machine.snapshot())
 
-    def applies(self, entries):
-        machine = self.serving.machine
-        sends, granted = self.serving.on_committed(entries)
+    def apply_entries(self, entries):
+        machine = self.log_server.machine
+        sends, granted = self.log_server.on_committed(entries)
         for permit in granted:
             self.world.note(self.name, "grants", permit.id, permit.index, permit.box, permit.release)
         self.state = machine
-        self.done(sends)
+        self.execute(sends)
 
-    def leads(self, on):
-        self.leading = RolloutLeader(self.serving.machine, self.clock(), self.world.gate) if on else None
+    def on_leadership_changed(self, on):
+        self.rollout_leader = (
+            RolloutLeader(self.log_server.machine, self.clock(), self.world.gate) if on else None
+        )
         if on:
             generation = self.generation
-            self.world.later(1, self, self._duties, generation, self.leading)
+            self.world.later(1, self, self._run_leader_timer, generation, self.rollout_leader)
         else:
-            self.done(self.serving.on_leadership_lost())
+            self.execute(self.log_server.on_leadership_lost())
 
-    def _duties(self, generation, leading):
-        if generation != self.generation or self.leading is not leading:
+    def _run_leader_timer(self, generation, rollout_leader):
+        if generation != self.generation or self.rollout_leader is not rollout_leader:
             return []
-        done, now = [], self.clock()
-        for command in leading.due(self.serving.contacts, now):
-            done += self.keeper.propose(command, now)[1]
-        self.world.later(100 * MS, self, self._duties, generation, leading)
-        return done
+        emitted, now = [], self.clock()
+        for command in rollout_leader.due(self.log_server.contacts, now):
+            emitted += self.raft_node.propose(command, now)[1]
+        self.world.later(100 * MS, self, self._run_leader_timer, generation, rollout_leader)
+        return emitted
 
-    def comes(self, sender, to, message):
+    def receive(self, sender, to, message):
         if isinstance(message, FollowRequest | ProposeRequest):
-            if not self.fitness.may_vote:
+            if not self.durability.may_vote:
                 return []
-            done = self.serving.on_message(sender, message, self.clock())
+            emitted = self.log_server.on_message(sender, message, self.clock())
             return [
                 a._replace(message=a.message._replace(state=msgspec.msgpack.encode(a.message.state)))
                 if isinstance(a, SendMessage) and isinstance(a.message, StateResponse)
                 else a
-                for a in done
+                for a in emitted
             ]
-        return super().comes(sender, to, message)
+        return super().receive(sender, to, message)
 
 
 class Process:
-    """A front or an agent: follows the log, proposes, may be killed, paused and cut off."""
+    """A front or a maintenance agent: follows the log and proposes; may be killed, paused and cut off."""
 
     def __init__(self, world, name):
-        self.world, self.name, self.up, self.paused, self.lying, self.generation = (
+        self.world, self.name, self.up, self.paused, self.deferred, self.generation = (
             world,
             name,
             False,
@@ -100,7 +101,7 @@
         )
 
     def start(self):
-        self.generation, self.up, self.paused, self.lying = self.generation + 1, True, False, []
+        self.generation, self.up, self.paused, self.deferred = self.generation + 1, True, False, []
         life = self.generation if isinstance(self, Front) else 0
         self.machine = RolloutStateMachine()
         self.follower = LogFollower(
@@ -110,14 +111,14 @@
             self.clock(),
             front_lease(),
         )
-        self.words = FrontReporter(self.name, life)
-        self.begins()
+        self.reporter = FrontReporter(self.name, life)
+        self.on_started()
         self.world.later(1, self, self._due, self.generation)
 
     def clock(self):
         return self.world.clock(self.name)
 
-    def begins(self):
+    def on_started(self):
         pass
 
     def crash(self, _=None):
@@ -125,14 +126,14 @@
 
     def event(self, action, *given):
         if self.up and self.paused:
-            self.lying.append((action, given))
+            self.deferred.append((action, given))
         elif self.up:
-            self.done(action(*given) or [])
+            self.execute(action(*given) or [])
 
-    def comes(self, sender, to, message):
+    def receive(self, sender, to, message):
         return self.follower.on_message(base_name(sender), message, self.clock())
 
-    def done(self, actions):
+    def execute(self, actions):
         for action in actions:
             if isinstance(action, SendMessage):
                 self.world.send(self.name, action.to, action.message)
@@ -147,15 +148,15 @@
         if generation != self.generation:
             return []
         self.world.later(50 * MS, self, self._due, generation)
-        done = self.follower.on_timer(self.clock())
+        emitted = self.follower.on_timer(self.clock())
         for command in self.turn(self.clock()):
-            done += self.follower.propose(command, None, self.clock(), PATIENCE)
-        return done
+            emitted += self.follower.propose(command, None, self.clock(), PROPOSAL_TIMEOUT)
+        return emitted
 
 
 class Front(Process):
-    def begins(self):
-        self.drained, self.told_at = {}, 0
+    def on_started(self):
+        self.drained, self.report_due = {}, 0
 
     def turn(self, now):
         fresh = self.machine.drained()
@@ -165,31 +166,34 @@
         self.drained = fresh
         if not self.follower.is_fenced(now):
             self.world.note(self.name, "lease", self.world.when(self.name, self.follower.lease_expiry))
-        if now >= self.told_at:
-            self.told_at = now + 500 * MS  # as a front in service
+        if now >= self.report_due:
+            self.report_due = now + 500 * MS  # the interval of a real front
             down = [name for name, cache in self.world.caches.items() if cache.state == "down"]
             rows = [
                 [name, *cache.served(self.name), cache.starts] for name, cache in self.world.caches.items()
             ]
             self.follower.report = [rows, down, {}]
-        return self.words.list_changes(self.machine, self.world.listed, LIMITS, now) + self.words.due(
-            self.machine, self.drained, self._warm, now
-        )
+        return self.reporter.list_changes(
+            self.machine, self.world.managed_servers, LIMITS, now
+        ) + self.reporter.due(self.machine, self.drained, self._is_warm, now)
 
-    def _warm(self, box, start):
+    def _is_warm(self, box, start):
         cache = self.world.caches.get(box)
         return cache is not None and cache.warm() and str(cache.started) == start
 
 
 class Agent(Process):
-    """Replaces its boxes by permit. `manner`: "slow", "lying" (says that it runs while it does not) or ""."""
+    """Restarts its servers under permits.
+
+    `manner`: "slow", "lying" (reports a server as started while it is down) or "" for a well-behaved one.
+    """
 
     def __init__(self, world, name, boxes, manner=""):
         super().__init__(world, name)
-        self.boxes, self.manner, self.busy = boxes, manner, {}
+        self.boxes, self.manner, self.busy_until = boxes, manner, {}
 
-    def begins(self):
-        self.busy, self.renewed = {}, {}
+    def on_started(self):
+        self.busy_until, self.renewed = {}, {}
 
     def turn(self, now):
         found, world = [], self.world
@@ -202,18 +206,18 @@
             ):
                 self.renewed[id] = now
                 found.append(["renew", id, self.name])
-            if now < self.busy.get(id, 0):
+            if now < self.busy_until.get(id, 0):
                 continue
             if permit.step is PermitStep.DRAINED:
-                self.busy[id] = now + 500 * MS
+                self.busy_until[id] = now + 500 * MS
                 found.append(["out", id, self.name])
             elif permit.step is PermitStep.OUT:
-                self.busy[id] = now + 500 * MS
+                self.busy_until[id] = now + 500 * MS
                 if cache.out_for != id:
-                    cache.stops(id)
-                    self.busy[id] = now + (3 * S if self.manner == "slow" else S)
-                    if self.manner == "lying" and cache.lies < 2:
-                        cache.lies += 1
+                    cache.stop(id)
+                    self.busy_until[id] = now + (3 * S if self.manner == "slow" else S)
+                    if self.manner == "lying" and cache.false_reports < 2:
+                        cache.false_reports += 1
                         found.append(["started", id, "never"])
                 elif cache.state == "down":
                     cache.starts_again(permit.version)
@@ -223,25 +227,25 @@
             elif permit.step is PermitStep.COLD and cache.state == "down":
                 cache.starts_again(permit.version)
                 found.append(["started", id, str(cache.started)])
-                self.busy[id] = now + 500 * MS
+                self.busy_until[id] = now + 500 * MS
             elif permit.step is PermitStep.COLD and str(cache.started) != permit.start:
                 found.append(["started", id, str(cache.started)])
-                self.busy[id] = now + 500 * MS
+                self.busy_until[id] = now + 500 * MS
         return found
 
 
 class Cache:
-    """What is true of a box: nobody decides by it."""
+    """The true state of a server, which no decision reads."""
 
     def __init__(self, world, name):
-        self.world, self.name, self.state, self.started, self.out_for = world, name, "up", -WARM, ""
-        self.version, self.starts, self.lies, self.gets = "1", 1, 0, {}
-        self.draws = random.Random(f"{world.seed}/{name}")
+        self.world, self.name, self.state, self.started, self.out_for = world, name, "up", -WARM_UP_TIME, ""
+        self.version, self.starts, self.false_reports, self.gets = "1", 1, 0, {}
+        self.rng = random.Random(f"{world.seed}/{name}")
 
     def warm(self):
-        return self.state == "up" and self.world.now - self.started >= WARM
+        return self.state == "up" and self.world.now - self.started >= WARM_UP_TIME
 
-    def stops(self, id):
+    def stop(self, id):
         self.state, self.out_for = "down", id
         self.world.note(self.name, "down", id)
 
@@ -249,17 +253,17 @@
         self.state, self.started, self.starts = "up", self.world.now, self.starts + 1
         self.version = version or self.version
         self.world.note(self.name, "up", self.out_for, self.version)
-        self.world.at(self.started + WARM, self._warmed, self.started)
+        self.world.at(self.started + WARM_UP_TIME, self._on_warm, self.started)
         if self.version == "bad-dies":
-            self.world.at(self.started + 3 * S, self._dies)
+            self.world.at(self.started + 3 * S, self._crash)
 
-    def _dies(self):
+    def _crash(self):
         if self.version == "bad-dies" and self.state == "up":
             self.state, self.out_for = "down", ""
             self.world.note(self.name, "fails")
             self.world.at(self.world.now + S, self.starts_again, "")
 
-    def _warmed(self, start):
+    def _on_warm(self, start):
         if self.started == start and self.state == "up":
             self.world.note(self.name, "warm")
 
@@ -273,43 +277,49 @@
             self.starts_again("")
 
     def served(self, front):
-        """GETs, errors, sheds, late, misses so far, by what the version does: 20 a second and front."""
+        """Returns the counts of GETs, errors, sheds, late answers and misses so far for one front.
+
+        Each front sends 20 GETs a second; RATES has the chances of a bad version.
+        """
         seen = self.gets.setdefault(front, [self.world.now, 0, 0, 0, 0, 0])
         fresh = int((self.world.now - seen[0]) / S * 20)
         if self.state == "up" and fresh:
-            # A day that is worse for all boxes alike, up and down by the minute; and chance at each.
+            # Noise common to all servers, a sine with a period of 44 s, besides the random noise of each.
             day = 1 + self.world.noise * math.sin(self.world.now / (7 * S))
             seen[1] += fresh
             for at, rate in enumerate(RATES.get(self.version, (0.002, 0.001, 0.02, 0.2)), 2):
-                seen[at] += happened(self.draws, fresh, rate * day)
+                seen[at] += binomial_sample(self.rng, fresh, rate * day)
         if fresh or self.state != "up":
             seen[0] = self.world.now
         return seen[1:]
 
 
-def happened(draws, count, rate):
-    """How many of so many GETs, each with that chance: drawn by the gaps between them. A draw for each GET was 70% of
-    what 200 fronts with 200 boxes took."""
+def binomial_sample(rng, count, rate):
+    """Returns a sample of the binomial distribution, drawn by the gaps between hits.
+
+    A draw for each GET took 70% of the run time with 200 fronts and 200 servers.
+    """
     if rate <= 0:
         return 0
     found, at, each = 0, 0, math.log1p(-min(rate, 0.999999))
     while True:
-        at += 1 + int(math.log(1 - draws.random()) / each)
+        at += 1 + int(math.log(1 - rng.random()) / each)
         if at > count:
             return found
         found += 1
 
 
 class Fleet(World):
-    made = KeeperBox
+    process_class = KeeperBox
 
     def __init__(self, size, fronts, caches, seed, loss=0.0, manners=(), noise=0.0, gate=None, apart=0.0):
         super().__init__(size, seed, loss, apart=apart)
         self.gate, self.noise = gate, noise
         self.keepers = list(self.boxes)
         self.caches = {f"c{at}": Cache(self, f"c{at}") for at in range(caches)}
-        self.listed = {
-            name: Listed(name, "cache", "abc"[at % 3], "std", "g", 1) for at, name in enumerate(self.caches)
+        self.managed_servers = {
+            name: ManagedServer(name, "cache", "abc"[at % 3], "std", "g", 1)
+            for at, name in enumerate(self.caches)
         }
         self.fronts = {f"n{at}": Front(self, f"n{at}") for at in range(fronts)}
         names = list(self.caches)
@@ -329,19 +339,20 @@
         return [
             b
             for n in self.keepers
-            if (b := self.boxes[n]).up and not b.paused and b.keeper.role.name == "LEADER"
+            if (b := self.boxes[n]).up and not b.paused and b.raft_node.role.name == "LEADER"
         ]
 
     def operator(self, front, *command):
-        """An operator's request at a front, under an id of its own."""
+        """Sends an operator's command through a front, under a new request id."""
         box, id = self.fronts[front], f"op-{next(self.numbers)}"
         self.note(front, "wants", id, list(command))
         box.event(lambda: box.follower.propose(["once", id, list(command)], id, box.clock(), 10 * S))
 
     def machine(self):
-        """The furthest state there is."""
+        """Returns the state machine of the voter that has applied the most entries."""
         return max(
-            (self.boxes[n].serving.machine for n in self.keepers if self.boxes[n].up), key=lambda m: m.index
+            (self.boxes[n].log_server.machine for n in self.keepers if self.boxes[n].up),
+            key=lambda m: m.index,
         )
 
 
@@ -351,7 +362,7 @@
 
 
 def played(seed, size=3, fronts=6, caches=12, loss=0.0, span=40 * S, ends=True, apart=0.0):
-    """A release and hand drains under up to eight troubles, then time to settle where it `ends`."""
+    """Plays a release and manual drains with two to eight faults, then time to settle if `ends`."""
     chance = random.Random(seed * 17 + size)
     manners = chance.choice([(), ("slow",), ("lying", "slow")])
     world = Fleet(size, fronts, caches, seed, loss, manners, apart=apart)
@@ -367,15 +378,15 @@
             when + 3 * S, world.operator, chance.choice(names), chance.choice(["resume", "back"]), "v2", "op"
         )
     for _ in range(chance.randrange(2, 9)):
-        _trouble(world, chance, span)
+        _schedule_fault(world, chance, span)
     world.run(span)
     if ends:
         settle(world)
     return world
 
 
-def _trouble(world, chance, span):
-    when, lasts = S + int(chance.random() * span * 0.8), int(chance.random() * 6 * S)
+def _schedule_fault(world, chance, span):
+    when, duration = S + int(chance.random() * span * 0.8), int(chance.random() * 6 * S)
     everyone = list(world.boxes)
     name = chance.choice(everyone)
     what = chance.choice(
@@ -383,41 +394,41 @@
     )
     if what == "kill":
         world.at(when, lambda: world.boxes[name].crash(chance) if world.boxes[name].up else None)
-        world.at(when + lasts, world.restart, name)
+        world.at(when + duration, world.restart, name)
     elif what == "kill-leader":
 
         def kill():
             for box in world.leaders()[:1]:
                 box.crash(chance)
-                world.at(world.now + lasts, world.restart, box.name)
+                world.at(world.now + duration, world.restart, box.name)
 
         world.at(when, kill)
     elif what == "pause":
         world.at(when, world.pause, name, True)
-        world.at(when + lasts, world.pause, name, False)
+        world.at(when + duration, world.pause, name, False)
     elif what == "pause-leader":
 
         def pause():
             for box in world.leaders()[:1]:
                 world.pause(box.name, True)
-                world.at(world.now + lasts, world.pause, box.name, False)
+                world.at(world.now + duration, world.pause, box.name, False)
 
         world.at(when, pause)
     elif what in ("split", "one-way"):
         side = set(chance.sample(everyone, chance.randrange(1, len(everyone))))
         cut = {(a, b) for a in side for b in everyone if b not in side}
         world.at(when, world.cut.update, cut | ({(b, a) for a, b in cut} if what == "split" else set()))
-        world.at(when + lasts, world.cut.clear)
+        world.at(when + duration, world.cut.clear)
     elif what == "fails":
         cache = chance.choice(list(world.caches.values()))
         world.at(when, cache.fails)
-        world.at(when + lasts, cache.recovers)
+        world.at(when + duration, cache.recovers)
     elif what == "full":
-        keeper = world.boxes[chance.choice(world.keepers)]
-        world.at(when, setattr, keeper, "full", True)
-        world.at(when + lasts, setattr, keeper, "full", False)
-        world.at(when + lasts + 1, lambda: keeper.up and keeper.crash(chance))
-        world.at(when + lasts + 2, world.restart, keeper.name)
+        voter = world.boxes[chance.choice(world.keepers)]
+        world.at(when, setattr, voter, "full", True)
+        world.at(when + duration, setattr, voter, "full", False)
+        world.at(when + duration + 1, lambda: voter.up and voter.crash(chance))
+        world.at(when + duration + 2, world.restart, voter.name)
 
 
 def settle(world, patience=240 * S):
@@ -427,12 +438,12 @@
         if isinstance(box, KeeperBox):
             box.full = False
         world.pause(name, False)
-        if isinstance(box, KeeperBox) and box.up and box.keeper.storage_failed:
+        if isinstance(box, KeeperBox) and box.up and box.raft_node.storage_failed:
             box.crash(world.chance)
         world.restart(name)
     for cache in world.caches.values():
         cache.recovers()
-    # A halted release goes on by an operator's word alone.
+    # A halted release continues only by an operator's command.
     until = world.now + patience
     while world.now < until:
         world.run(world.now + 5 * S)
@@ -452,16 +463,16 @@
             world.note(
                 name,
                 "dump-machine",
-                world.boxes[name].serving.machine.index,
-                repr(world.boxes[name].serving.machine.snapshot()[2:]),
+                world.boxes[name].log_server.machine.index,
+                repr(world.boxes[name].log_server.machine.snapshot()[2:]),
             )
 
 
-# Checkers: of a trace alone.
+# Checkers; each reads only the trace.
 
 
-def out_at(trace, place_of):
-    """Yields (when, box, boxes that are truly out by a permit) at each stop of a box."""
+def servers_out(trace, place_of):
+    """Yields (time, server, {server: permit} of all that are down or cold under a permit) at each stop of a server."""
     out = {}
     for at, name, what, *more in trace:
         if what == "down":
@@ -472,13 +483,13 @@
 
 
 def over_budget(trace, count=3, each=2, places="abc"):
-    """By the true state: never more than `count` out by permit in the fleet, nor `each` in a location."""
+    """By the true state, at most `count` servers are out under permits in the fleet, and `each` in a location."""
 
     def place(box):
         return places[int(box[1:]) % len(places)]
 
     found = []
-    for at, name, out in out_at(trace, place):
+    for at, name, out in servers_out(trace, place):
         there = [box for box in out if place(box) == place(name)]
         if len(out) > count or len(there) > each:
             found.append(f"{at} {name} goes down while {sorted(out)} are out")
@@ -486,19 +497,19 @@
 
 
 def last_gone(trace, caches, places="abc"):
-    """A location keeps one of its kind that no permit took."""
+    """In each location at least one server of the kind is not out under a permit."""
     found = []
-    for at, name, out in out_at(trace, None):
+    for at, name, out in servers_out(trace, None):
         there = [
             f"c{n}" for n in range(caches) if places[n % len(places)] == places[int(name[1:]) % len(places)]
         ]
         if all(box in out for box in there):
-            found.append(f"{at} {name} is the last of its location to go")
+            found.append(f"{at} {name} is the last server of its location to go down")
     return found
 
 
 def sent_to_drained(trace):
-    """A box goes down only once no front whose lease stands would send to it."""
+    """A server goes down only when no front with a valid lease would still send to it."""
     drains, until, found, gone = {}, {}, [], set()
     for at, name, what, *more in trace:
         if what == "lease":
@@ -510,7 +521,7 @@
             drains.setdefault(name, set()).discard(more[0])
         elif what == "down":
             found += [
-                f"{at} {name} goes down while {front} sends to it"
+                f"{at} {name} goes down while {front} still sends to it"
                 for front in drains
                 if until.get(front, 0) > at and name not in drains[front] and front not in gone
             ]
@@ -518,7 +529,7 @@
 
 
 def granted_halted(trace):
-    """From a halt's entry to the next resume or way back no permit of that release."""
+    """No permit of a release is granted between the entry of a halt and the next resume or rollback."""
     halted, found, seen, given, begun = {}, [], set(), set(), set()
     for at, _, what, *more in trace:
         if what == "applies" and more[2] and more[0] not in seen:
@@ -526,11 +537,11 @@
             seen.add(index)
             if command[0] == "once":
                 if command[1] in given:
-                    continue  # given again, perhaps after a later word: it has no second effect
+                    continue  # a repeated request, perhaps after a later command, has no second effect
                 given.add(command[1])
                 command = command[2]
             if command[0] == "release" and command[1][0] not in begun:
-                # A halt that came before it was refused: its operator was told that there is no such release.
+                # A halt before the start was refused: its operator got the answer that there is no such release.
                 begun.add(command[1][0])
                 halted.pop(command[1][0], None)
             elif command[0] in ("halt", "resume", "back"):
@@ -543,7 +554,7 @@
 
 
 def without_end(trace):
-    """At the end of it all no permit is open and no release under way."""
+    """At the end no permit is open and no release is in progress."""
     return [
         f"{more}"
         for _, _, what, *more in trace
@@ -552,10 +563,10 @@
 
 
 def machines_apart(trace):
-    """Keepers at the same index hold the same state."""
-    said, found = {}, []
+    """Voters that have applied up to the same index have the same state."""
+    state_at, found = {}, []
     for at, name, what, *more in trace:
-        if what == "dump-machine" and said.setdefault(more[0], more[1]) != more[1]:
+        if what == "dump-machine" and state_at.setdefault(more[0], more[1]) != more[1]:
             found.append(f"{at} {name} differs at {more[0]}")
     return found
 
