--- a/standins/soak/__init__.py
+++ b/standins/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of many real fronts: schedules, servers, clients, and a judge that knows nothing of the fronts' code."""
+"""Soak test of many real fronts: fault schedules, servers, clients, and a judge that shares no code with the fronts."""
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -1,8 +1,8 @@
-"""Clients of the fronts, and what each request came to: kept, patient or not, in all manners that are met.
+"""Clients of the fronts, well-behaved and misbehaving, and a record of how each request ended.
 
-A row has the front's number, the request's id and kind, when its last byte was written, and how it ended (`answered`,
-`closed` without an answer, `timeout`, `left`, `crossed` the end of a resting connection, `unsent` where that came
-before its last byte, `refused`: never connected).
+A record has the front's number, the request's id and kind, when its last byte was written, and how it ended:
+`answered`, `closed` without an answer, `timeout`, `left`, `crossed` the close of an idle connection, `unsent` if the
+connection ended before the request's last byte, `refused` if no connection was made.
 """
 
 import asyncio
@@ -10,12 +10,12 @@
 import time
 from dataclasses import dataclass, field
 
-RESENT = 0.05  # a request that crosses the end of a resting connection within this is sent once more
-LATE = 0.5  # how long over its patience a client waits, to see whether an answer comes at all
+RETRY_WINDOW_S = 0.05  # a request on a reused connection that closes within this time is sent once more
+LATE_S = 0.5  # how long a client waits past its time-out, to see whether an answer comes at all
 
 
 @dataclass
-class Row:
+class RequestRecord:
     front: int
     id: str
     order: bool
@@ -28,21 +28,22 @@
     status: int = 0
     body: bytes = b""
     left: float | None = None
-    fresh: bool = True  # the first on its connection
+    fresh: bool = True  # the first request on its connection
 
 
 @dataclass
 class Target:
-    """A front as its clients know it."""
+    """A front's address, and until when clients may use it."""
 
     number: int
     address: tuple
-    open_until: float = 0.0  # new connections until then; far off while it is in service
-    used_until: float = 0.0  # requests on open ones until then
+    # New connections are allowed until then; far in the future while the front is in service.
+    open_until: float = 0.0
+    used_until: float = 0.0  # requests on open connections are allowed until then
     rows: list = field(default_factory=list)
 
 
-def text_of(row, close=False):
+def request_bytes(row, close=False):
     path = f"/svc/{'order' if row.order else 'media'}/{row.thing}/slice-1"
     body = b"o" * 300 if row.order else b""
     return (
@@ -53,7 +54,7 @@
 
 
 class Client:
-    """One that asks one thing after another, of one front at a time."""
+    """A client that sends one request after another, to one front at a time."""
 
     def __init__(self, number, targets, seed):
         self.targets, self.chance = targets, random.Random(f"{seed} client {number}")
@@ -64,8 +65,8 @@
         self.count += 1
         chance = self.chance
         thing = int(chance.paretovariate(0.6)) % 4000 + 1
-        # An object is of one group: a purge of another one says nothing of its copies.
-        return Row(
+        # An object belongs to one group, so a purge of another group doesn't apply to its copies.
+        return RequestRecord(
             self.target.number,
             f"{self.number:06x}{self.count:010x}",
             chance.random() < 0.1,
@@ -78,38 +79,38 @@
         while time.monotonic() < until:
             now = time.monotonic()
             if self.writer is None or now > self.target.used_until or self.chance.random() < 0.05:
-                self.drop()
-                open_now = [one for one in self.targets if now < one.open_until]
+                self.close_connection()
+                open_now = [target for target in self.targets if now < target.open_until]
                 if not open_now:
                     await asyncio.sleep(0.1)
                     continue
                 self.target = self.chance.choice(open_now)
-            await self.one(self.row())
+            await self.perform(self.row())
             await asyncio.sleep(self.chance.expovariate(1 / 0.15))
-        self.drop()
+        self.close_connection()
 
-    def drop(self):
+    def close_connection(self):
         if self.writer is not None:
             self.writer.transport.abort() if self.chance.random() < 0.3 else self.writer.close()
         self.reader = self.writer = None
 
-    async def one(self, row):
-        """One request to its row's end; again once, where it crossed the end of a resting connection."""
+    async def perform(self, row):
+        """Sends a request and records its end; repeats it once if it crossed the close of an idle connection."""
         self.target.rows.append(row)
         row.fresh = self.writer is None
-        if row.fresh and not await self._connects(row):
+        if row.fresh and not await self._connect(row):
             return
-        await self._asks(row)
+        await self._exchange(row)
         if row.how == "crossed":
-            self.drop()
-            again = self.row()
-            again.order, again.thing, again.group = row.order, row.thing, row.group
+            self.close_connection()
+            repeated = self.row()
+            repeated.order, repeated.thing, repeated.group = row.order, row.thing, row.group
             if time.monotonic() < self.target.open_until:
-                await self.one(again)
+                await self.perform(repeated)
         elif row.how != "answered":
-            self.drop()
+            self.close_connection()
 
-    async def _connects(self, row):
+    async def _connect(self, row):
         try:
             async with asyncio.timeout(3):
                 self.reader, self.writer = await asyncio.open_connection(*self.target.address)
@@ -118,10 +119,10 @@
             return False
         return True
 
-    async def _asks(self, row):
-        leaves = self.manner == "leave" or self.chance.random() < 0.04
+    async def _exchange(self, row):
+        will_leave = self.manner == "leave" or self.chance.random() < 0.04
         try:
-            text = text_of(row)
+            text = request_bytes(row)
             if self.manner == "dribble":
                 for at in range(0, len(text), 60):
                     self.writer.write(text[at : at + 60])
@@ -129,34 +130,34 @@
             else:
                 self.writer.write(text)
             row.sent = time.monotonic()
-            wait = row.patience + LATE + 0.6
-            if leaves:
+            wait = row.patience + LATE_S + 0.6
+            if will_leave:
                 wait = self.chance.random() * min(0.4, row.patience)
             async with asyncio.timeout(wait):
-                await self._answer(row)
+                await self._read_response(row)
             row.how = "answered"
         except TimeoutError:
-            row.how = "left" if leaves else "timeout"
+            row.how = "left" if will_leave else "timeout"
             row.left = time.monotonic()
         except (OSError, RuntimeError, asyncio.IncompleteReadError, ValueError) as fault:
-            # RuntimeError is uvloop's word for a connection that had ended before it was written to.
-            crossed = not row.fresh and time.monotonic() - row.sent < RESENT
+            # uvloop raises RuntimeError for a write to a connection that has already ended.
+            crossed = not row.fresh and time.monotonic() - row.sent < RETRY_WINDOW_S
             crossed = crossed and not getattr(fault, "partial", b"")
             row.how = "unsent" if not row.sent else "crossed" if crossed else "closed"
         row.ended = time.monotonic()
 
-    async def _answer(self, row):
+    async def _read_response(self, row):
         head = await self.reader.readuntil(b"\r\n\r\n")
         row.status = int(head[9:12])
         lines = head.lower().split(b"\r\n")
         length = next((int(line[15:]) for line in lines if line.startswith(b"content-length:")), 0)
         row.body = await self.reader.readexactly(length)
         if b"connection: close" in lines:
-            self.drop()
+            self.close_connection()
 
 
 async def misbehaves(target, how, seconds, chance):
-    """A client of no good will; what it sends is not judged, only what it does to others."""
+    """Runs a misbehaving client; its own requests are not judged, only the effect on other clients."""
     end = time.monotonic() + seconds
     writers = []
     try:
@@ -166,8 +167,8 @@
             if how == "flood":
                 writer.write(b"GET / HTTP/1.1\r\n" + b"X-A: " + b"a" * 20_000 + b"\r\n\r\n")
             elif how == "pipeline":
-                row = Row(target.number, f"ff{chance.randrange(1 << 56):014x}", False, "1", 1, 1.0)
-                writer.write(text_of(row) * 5)
+                row = RequestRecord(target.number, f"ff{chance.randrange(1 << 56):014x}", False, "1", 1, 1.0)
+                writer.write(request_bytes(row) * 5)
             elif how == "burst":
                 writer.write(chance.randbytes(200))
             if how != "rest" and len(writers) > 20:
--- a/standins/soak/judge.py
+++ b/standins/soak/judge.py
@@ -1,26 +1,26 @@
-"""Whether a soak kept the rules, from the records of servers and clients alone.
+"""Checks a soak against the rules, only from the records of servers and clients.
 
-Each finding is (rule, text). A front that was killed owes nothing from then to its return, and one that stood still
-(SIGSTOP) no answer in that time; every other request that was sent whole is owed its one answer.
+Each finding is (rule, text). A request need not be answered while its front is killed and not yet back, or stopped by
+SIGSTOP; every other request that was sent whole must get exactly one answer.
 """
 
 from collections import defaultdict
 from typing import NamedTuple
 
-SLACK = 0.15  # for this machine, which runs all of it on a few cores
-GONE = 0.1  # an attempt that begins so long after its client went
-WAIT = 0.15  # by which `max` may be over what the client has left
-LATE = 0.5  # an answer so long after its time counts as none
-STILL_SENT = 0.6  # seconds after SIGTERM in which what comes on open connections is owed an answer
-TOLD = 0.5  # seconds from an event's going out to a front until it has to act by it
-ATTEMPTS = 6
+SLACK_S = 0.15  # for a machine that runs the whole soak on a few cores
+CLIENT_LEFT_S = 0.1  # an attempt that begins later than this after its client left is a finding
+MAX_EXCESS_S = 0.15  # by which an attempt's `max` may exceed the time that its client has left
+LATE_S = 0.5  # an answer later than this after the client's time-out is a finding
+TERM_GRACE_S = 0.6  # for this long after SIGTERM, requests on open connections must be answered
+EVENT_DELAY_S = 0.5  # from sending an event to a front until the front has to apply it
+ATTEMPTS_MAX = 6
 NEVER_RAN = ("overload", "missing")
 
 
 class Window(NamedTuple):
-    """`what` ("kill", "stop" or "term") held at a front from `begin` to `end` (monotonic seconds).
+    """A fault `what` ("kill", "stop" or "term") of a front lasted from `begin` to `end` (monotonic seconds).
 
-    "stall": the clients' own process stood still then, and can't say when an answer came.
+    "stall": the clients' own process was blocked, so the times of their answers are unknown.
     """
 
     front: int
@@ -40,19 +40,19 @@
             events[one["offset"]] = {**one["event"], "made_at": one["at"]}
     found = []
     for row in rows:
-        found += _answer(row, windows)
-        known = _known(row, told[row.front], windows)
-        found += _attempts(row, sorted(came.get(row.id, []), key=lambda one: one["at"]), known, events)
-        found += _body(row, known, events)
+        found += _check_answer(row, windows)
+        known = _known_events(row, told[row.front], windows)
+        found += _check_attempts(row, sorted(came.get(row.id, []), key=lambda one: one["at"]), known, events)
+        found += _check_body(row, known, events)
     return found
 
 
-def _known(row, told, windows):
-    """{offset: when} of what a front was told, in the life of its process that a request met, in the order of offsets.
+def _known_events(row, told, windows):
+    """Returns {offset: time} of the events sent to the process of the front that got the request, in order of offsets.
 
-    What is told while a front's connection to its bus is being ended may not have come: told again, it counts then.
+    An event sent while the front's bus connection was closing may not have arrived; sent again, it counts from then.
     """
-    begun = max(
+    process_start = max(
         (
             one.begin
             for one in windows
@@ -62,24 +62,24 @@
     )
     found = {}
     for at, offset in told:
-        if at >= begun:
+        if at >= process_start:
             found[offset] = at
     return found
 
 
-def _excused(row, windows):
-    end = row.sent + row.patience + LATE + SLACK
+def _is_excused(row, windows):
+    end = row.sent + row.patience + LATE_S + SLACK_S
     for one in windows:
         if one.front == row.front:
             if one.what in ("kill", "stop", "stall") and one.begin <= end and row.sent <= one.end:
                 return True
-            if one.what == "term" and one.begin + STILL_SENT <= row.sent <= one.end:
+            if one.what == "term" and one.begin + TERM_GRACE_S <= row.sent <= one.end:
                 return True
     return False
 
 
-def _answer(row, windows):
-    if row.how in ("left", "crossed", "refused", "unsent", "") or _excused(row, windows):
+def _check_answer(row, windows):
+    if row.how in ("left", "crossed", "refused", "unsent", "") or _is_excused(row, windows):
         return []
     if row.how != "answered":
         return [
@@ -89,30 +89,30 @@
                 f"{row.patience} s",
             )
         ]
-    if row.ended - row.sent > row.patience + LATE + SLACK:
+    if row.ended - row.sent > row.patience + LATE_S + SLACK_S:
         return [("late", f"{row.id} at front {row.front}: {row.ended - row.sent:.3f} s of {row.patience} s")]
     if row.status not in (200, 502, 503):
         return [("status", f"{row.id} at front {row.front}: {row.status}")]
     return []
 
 
-def _attempts(row, came, told, events):
+def _check_attempts(row, came, told, events):
     found = []
-    if len(came) > ATTEMPTS:
+    if len(came) > ATTEMPTS_MAX:
         found.append(("attempts", f"{row.id}: {len(came)}"))
     for one in came:
         where = f"{row.id} at {one['server']}"
         if one["deaf"]:
             continue
         left = row.sent + row.patience - one["at"]
-        if int(one["fields"]["max"]) / 1000 > left + WAIT + SLACK:
+        if int(one["fields"]["max"]) / 1000 > left + MAX_EXCESS_S + SLACK_S:
             found.append(("max", f"{where}: {one['fields']['max']} ms, {left:.3f} s left"))
-        if row.left is not None and one["at"] > row.left + GONE + SLACK:
+        if row.left is not None and one["at"] > row.left + CLIENT_LEFT_S + SLACK_S:
             found.append(("after_client_left", f"{where}: {one['at'] - row.left:.3f} s"))
-        if row.how == "answered" and one["at"] > row.ended + GONE + SLACK:
+        if row.how == "answered" and one["at"] > row.ended + CLIENT_LEFT_S + SLACK_S:
             found.append(("after_answer", f"{where}: {one['at'] - row.ended:.3f} s"))
         for name in (one["server"], one["fields"].get("src")):
-            if name and _drains(name, one["at"], told, events):
+            if name and _knows_draining(name, one["at"], told, events):
                 found.append(
                     (
                         "to_draining",
@@ -121,29 +121,29 @@
                     )
                 )
     if row.order:
-        maybe = [one for one in came[:-1] if one["mode"] not in NEVER_RAN]
-        if maybe:
+        may_have_run = [one for one in came[:-1] if one["mode"] not in NEVER_RAN]
+        if may_have_run:
             found.append(("ran_twice", f"{row.id}: {[one['mode'] for one in came]}"))
     return found
 
 
-def _drains(name, at, told, events):
-    """Whether a front was long told that a server drains, and not that it serves again."""
+def _knows_draining(name, at, told, events):
+    """Returns whether a front knew for long enough that a server drains, and not yet that it serves again."""
     state, since = "up", 0.0
     for offset in sorted(events):
         for host in events[offset].get("topology", {}).get("hosts", ()):
             if host["host"] == name and offset in told:
                 if told[offset] > at:
-                    # Written down after it was sent: that a server serves again may be known a moment before.
+                    # Recorded after it was sent, so the front may know slightly earlier that a server serves again.
                     known = host["health"] == "up" and events[offset]["made_at"] <= at
-                    return not known and state == "draining" and at > since + TOLD
+                    return not known and state == "draining" and at > since + EVENT_DELAY_S
                 state, since = host["health"], told[offset]
             elif host["host"] == name:
-                return False  # told of one that it has not heard of: nothing is known here
-    return state == "draining" and at > since + TOLD
+                return False  # an event that this front has not been sent: its knowledge is unknown
+    return state == "draining" and at > since + EVENT_DELAY_S
 
 
-def _body(row, told, events):
+def _check_body(row, told, events):
     if row.how != "answered" or row.status != 200 or row.order:
         return []
     try:
@@ -160,7 +160,7 @@
             ban
             and ban["tag"] == row.group
             and offset in told
-            and told[offset] + TOLD < row.sent
+            and told[offset] + EVENT_DELAY_S < row.sent
             and (int(made) < ban["ts"] - 50)
         ):
             return [
--- a/standins/soak/schedule.py
+++ b/standins/soak/schedule.py
@@ -1,14 +1,14 @@
-"""What happens in one soak, drawn from a seed: moments at which two or three troubles overlap within a second.
+"""Fault schedule of a soak, generated from a seed: at each moment two or three faults begin within a second.
 
-The same seed, fronts and length give the same schedule. A schedule is plain data, so that one that fails can be kept,
-shrunk and played again.
+The same seed, number of fronts and length give the same schedule. A schedule is plain data, so that a failing one can
+be saved, shrunk and replayed.
 """
 
 import random
 from typing import NamedTuple
 
-QUIET = 4.0  # seconds before the first trouble, and after the last one
-BETWEEN = (2.0, 5.0)  # seconds between two moments
+QUIET_S = 4.0  # before the first fault, and after the last one
+INTERVAL_S = (2.0, 5.0)  # between two moments, at least and at most
 
 SERVER_MODES = (
     "hang",
@@ -55,7 +55,7 @@
 
 
 class Trouble(NamedTuple):
-    """`at` and `seconds` from the soak's beginning; `what` says of which kind `where` and `how` are."""
+    """A fault of kind `what` that begins `at` seconds into the soak; `what` decides what `where` and `how` mean."""
 
     at: float
     what: str
@@ -64,7 +64,7 @@
     seconds: float
 
 
-def _front(chance, at, fronts):
+def _front_fault(chance, at, fronts):
     what = chance.choice(("term", "kill", "stop", "hup", "wall", "call"))
     how = {
         "wall": lambda: str(chance.choice((-3600, -3, 3, 3600))),
@@ -74,17 +74,17 @@
     return Trouble(at, what, chance.randrange(fronts), how, round(chance.uniform(0.2, 1.5), 3))
 
 
-def _server(chance, at, servers):
+def _server_fault(chance, at, servers):
     what = chance.choice(("server", "server", "drain", "restart", "purge"))
     how = chance.choice(SERVER_MODES) if what == "server" else ""
     return Trouble(at, what, chance.randrange(servers), how, round(chance.uniform(0.3, 3.0), 3))
 
 
-def _bus(chance, at):
+def _bus_fault(chance, at):
     return Trouble(at, "bus", 0, chance.choice(BUS_MODES), round(chance.uniform(0.5, 4.0), 3))
 
 
-def _clients(chance, at, fronts):
+def _client_fault(chance, at, fronts):
     return Trouble(
         at,
         "clients",
@@ -95,36 +95,36 @@
 
 
 def drawn(seed, seconds, fronts, servers):
-    chance, found, at = random.Random(f"soak {seed}"), [], QUIET
-    while at < seconds - QUIET:
+    chance, found, at = random.Random(f"soak {seed}"), [], QUIET_S
+    while at < seconds - QUIET_S:
         for _ in range(chance.choice((2, 2, 3))):
             when = round(at + chance.random(), 3)
             found.append(
                 chance.choice(
                     (
-                        lambda when=when: _front(chance, when, fronts),
-                        lambda when=when: _front(chance, when, fronts),
-                        lambda when=when: _server(chance, when, servers),
-                        lambda when=when: _server(chance, when, servers),
-                        lambda when=when: _bus(chance, when),
-                        lambda when=when: _clients(chance, when, fronts),
+                        lambda when=when: _front_fault(chance, when, fronts),
+                        lambda when=when: _front_fault(chance, when, fronts),
+                        lambda when=when: _server_fault(chance, when, servers),
+                        lambda when=when: _server_fault(chance, when, servers),
+                        lambda when=when: _bus_fault(chance, when),
+                        lambda when=when: _client_fault(chance, when, fronts),
                     )
                 )()
             )
-        at += chance.uniform(*BETWEEN)
+        at += chance.uniform(*INTERVAL_S)
     return sorted(found)
 
 
-def shrunk(troubles, fails):
-    """The troubles that a failure needs: halves, then single ones are left out as long as it still `fails`."""
-    size = len(troubles) // 2
+def shrunk(faults, fails):
+    """Returns a smaller schedule that still `fails`: leaves out halves, quarters and so on down to one fault."""
+    size = len(faults) // 2
     while size:
         at = 0
-        while at < len(troubles):
-            fewer = troubles[:at] + troubles[at + size :]
+        while at < len(faults):
+            fewer = faults[:at] + faults[at + size :]
             if fewer and fails(fewer):
-                troubles = fewer
+                faults = fewer
             else:
                 at += size
         size //= 2
-    return troubles
+    return faults
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -1,8 +1,8 @@
-"""Caches, parents, the origin and a bus for each front, in one process that writes down what reaches it.
+"""Stand-in caches, parents, an origin and a bus for each front, in one process that records what reaches it.
 
 `python -m standins.soak.servers --caches 6 --parents 2 --fronts 24 --records FILE` prints the addresses of caches,
-parents, origin, then of the buses, and takes commands as lines of JSON. A record is a line of JSON with the monotonic
-time: `came` (a whole request), `told` (an event to a front).
+parents, origin, then of the buses, and reads commands from stdin as lines of JSON. A record is a line of JSON with the
+monotonic time: `came` (a whole request), `told` (an event sent to a front), `event` (a new event of all buses).
 """
 
 import argparse
@@ -18,7 +18,7 @@
 
 
 def body_of(thing, nth, made):
-    """The bytes of a part: what it is and when this copy was made, so that a reader can tell."""
+    """Returns the body of a part, which names the object, the part and the time when this copy was made."""
     return b"%s %s %d." % (thing.encode(), nth.encode(), made) * (1 + hash_of(thing) % 40)
 
 
@@ -40,29 +40,33 @@
     def __init__(self, world, number, name, kind):
         self.world, self.number, self.name, self.kind = world, number, name, kind
         self.mode, self.until, self.listener, self.peers, self.address = "", 0.0, None, set(), None
-        self.away = asyncio.Lock()
-        self.deaf_until = 0.0  # what comes until then may have stood in the kernel
+        self.restart_lock = asyncio.Lock()
+        self.deaf_until = 0.0  # requests read before this time may have waited in the kernel's buffer
 
-    async def listens(self):
-        # Of ports that the system gives to nobody else: it listens there again after an end.
+    async def listen(self):
+        # A port that no other process is given, so that it can be bound again after a restart.
         host, port = self.address or ("127.0.0.1", free_port())
-        self.listener = await asyncio.get_running_loop().create_server(lambda: Peer(self), host, port)
+        self.listener = await asyncio.get_running_loop().create_server(
+            lambda: FrontConnection(self), host, port
+        )
         self.address = self.listener.sockets[0].getsockname()
 
-    def now(self):
-        """Its mode, as long as that lasts."""
+    def current_mode(self):
+        """Returns the fault mode, "" once it is over."""
         return self.mode if time.monotonic() < self.until else ""
 
-    async def meets(self, mode, seconds):
+    async def apply_fault(self, mode, seconds):
         self.mode, self.until = mode, time.monotonic() + seconds
         if mode in ("refuse", "dies"):
-            async with self.away:  # two such troubles of one server come one after the other
+            async with (
+                self.restart_lock
+            ):  # overlapping faults of this kind at one server run one after the other
                 self.listener.close()
                 for peer in list(self.peers):
                     peer.transport.abort()
                 await asyncio.sleep(seconds)
                 self.mode = ""
-                await self.listens()
+                await self.listen()
         elif mode == "deaf":
             paused = list(self.peers)
             self.deaf_until = self.until + 0.5
@@ -74,11 +78,11 @@
                     peer.transport.resume_reading()
 
 
-class Peer(asyncio.Protocol):
+class FrontConnection(asyncio.Protocol):
     """One connection of a front."""
 
     def __init__(self, server):
-        self.server, self.held, self.open = server, b"", set()
+        self.server, self.buffer, self.open = server, b"", set()
 
     def connection_made(self, transport):
         self.transport = transport
@@ -88,20 +92,20 @@
         self.server.peers.discard(self)
 
     def data_received(self, data):
-        self.held += data
-        while (at := self.held.find(b"\r\n")) >= 0:
-            words = self.held[:at].split(b" ")
+        self.buffer += data
+        while (at := self.buffer.find(b"\r\n")) >= 0:
+            words = self.buffer[:at].split(b" ")
             if words[0] != b"serve":
                 self.open.discard(words[1])
-                self.held = self.held[at + 2 :]
+                self.buffer = self.buffer[at + 2 :]
                 continue
             size = int(words[3])
-            if len(self.held) < at + 4 + size:
+            if len(self.buffer) < at + 4 + size:
                 return
-            self.held = self.held[at + 4 + size :]
+            self.buffer = self.buffer[at + 4 + size :]
             fields = dict(pair.split("=", 1) for pair in words[2].decode().split(","))
             self.open.add(words[1])
-            mode = self.server.now()
+            mode = self.server.current_mode()
             self.server.world.records(
                 "came",
                 server=self.server.name,
@@ -110,9 +114,9 @@
                 mode=mode,
                 deaf=time.monotonic() < self.server.deaf_until,
             )
-            asyncio.ensure_future(self._answers(words[1], fields, mode))
+            asyncio.ensure_future(self._respond(words[1], fields, mode))
 
-    async def _answers(self, call, fields, mode):
+    async def _respond(self, call, fields, mode):
         chance = self.server.world.chance
         if mode in ("hang", "deaf"):
             return
@@ -126,9 +130,9 @@
         if mode in words:
             return self.transport.write(b"%b %b - 0\r\n\r\n" % (call, words[mode]))
         if mode == "garbage":
-            spoilt = (b"\xff\xfe\r\n", b"a b c\r\n", b"%b served x 99999999\r\n" % call)
-            return self.transport.write(chance.choice(spoilt))
-        # As old as is let: a purge is kept only by what the front asks for.
+            malformed = (b"\xff\xfe\r\n", b"a b c\r\n", b"%b served x 99999999\r\n" % call)
+            return self.transport.write(chance.choice(malformed))
+        # As old as `maxage` allows: a purge takes effect only by the `maxage` that the front asks for.
         age = int(fields.get("maxage", 4000)) * chance.random()
         made = int(time.time() * 1000 - age)
         body = b"" if fields["profile"] == "order" else body_of(fields["thing"], fields["nth"], made)
@@ -140,9 +144,9 @@
             len(body),
             body,
         )
-        await self._sends(answer, mode, chance)
+        await self._send_response(answer, mode, chance)
 
-    async def _sends(self, answer, mode, chance):
+    async def _send_response(self, answer, mode, chance):
         if mode == "half":
             return self.transport.write(answer[: len(answer) // 2])
         if mode == "trickle":
@@ -161,34 +165,34 @@
 
 
 class Bus:
-    """What one front is told; all of them have the same events."""
+    """The event bus of one front; all buses have the same events."""
 
     def __init__(self, world, front):
         self.world, self.front, self.writers = world, front, set()
 
-    async def listens(self):
-        self.listener = await asyncio.start_server(self.serves, "127.0.0.1", 0)
+    async def listen(self):
+        self.listener = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = self.listener.sockets[0].getsockname()
 
-    async def serves(self, reader, writer):
+    async def serve(self, reader, writer):
         try:
             head = await reader.readuntil(b"\r\n\r\n")
             last = int(head.lower().split(b"last-event-id:")[1].split(b"\r\n")[0])
-            if self.world.bus_now() == "down":
+            if self.world.bus_mode() == "down":
                 return writer.transport.abort()
             self.writers.add(writer)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n")
             while not writer.is_closing():
-                last = await self._tells(writer, last)
+                last = await self._send_events(writer, last)
                 await asyncio.sleep(0.1)
         except (OSError, RuntimeError, asyncio.IncompleteReadError, asyncio.CancelledError, IndexError):
-            pass  # the end of either side, or of this process
+            pass  # either side or this process has ended
         finally:
             self.writers.discard(writer)
             writer.close()
 
-    async def _tells(self, writer, last):
-        mode, world = self.world.bus_now(), self.world
+    async def _send_events(self, writer, last):
+        mode, world = self.world.bus_mode(), self.world
         if mode == "silent":
             return last
         if mode == "down":
@@ -197,13 +201,13 @@
         if mode == "late":
             await asyncio.sleep(1.0)
         for offset, event in [one for one in world.events if one[0] > last]:
-            said = f"id: {offset}\ndata: {json.dumps(event)}\n\n".encode()
+            frame = f"id: {offset}\ndata: {json.dumps(event)}\n\n".encode()
             if mode == "pieces":
-                for at in range(0, len(said), 40):
-                    writer.write(said[at : at + 40])
+                for at in range(0, len(frame), 40):
+                    writer.write(frame[at : at + 40])
                     await asyncio.sleep(0.005)
             else:
-                writer.write(said)
+                writer.write(frame)
             await writer.drain()
             world.records("told", front=self.front, offset=offset)
             last = offset
@@ -220,7 +224,7 @@
         self.buses = [Bus(self, at) for at in range(given.fronts)]
         self.events, self.offset, self.mode, self.until, self.born = [], 1, "", 0.0, {}
 
-    def bus_now(self):
+    def bus_mode(self):
         return self.mode if time.monotonic() < self.until else ""
 
     def host(self, server, health="up"):
@@ -243,36 +247,36 @@
         self.events.append((self.offset, {"offset": self.offset, **event}))
         self.records("event", offset=self.offset, event=event)
 
-    async def does(self, said):
-        match said["do"]:
+    async def execute_command(self, command):
+        match command["do"]:
             case "server":
-                await self.servers[said["where"]].meets(said["how"], said["seconds"])
+                await self.servers[command["where"]].apply_fault(command["how"], command["seconds"])
             case "bus":
-                self.mode, self.until = said["how"], time.monotonic() + said["seconds"]
+                self.mode, self.until = command["how"], time.monotonic() + command["seconds"]
             case "drain":
-                server = self.servers[said["where"]]
+                server = self.servers[command["where"]]
                 self.tell(topology={"hosts": [self.host(server, "draining")]})
-                await asyncio.sleep(said["seconds"])
+                await asyncio.sleep(command["seconds"])
                 self.tell(topology={"hosts": [self.host(server)]})
             case "restart":
-                server = self.servers[said["where"]]
-                await server.meets("dies", said["seconds"])
+                server = self.servers[command["where"]]
+                await server.apply_fault("dies", command["seconds"])
                 self.born[server.name] = int(time.time() * 1000)
                 self.tell(topology={"hosts": [self.host(server)]})
             case "purge":
-                self.tell(ban={"tag": said["where"], "ts": int(time.time() * 1000)})
+                self.tell(ban={"tag": command["where"], "ts": int(time.time() * 1000)})
 
 
 async def main(given):
     world = World(given)
     for one in [*world.servers, *world.buses]:
-        await one.listens()
+        await one.listen()
         print("{}:{}".format(*one.address), flush=True)
     loop, lines = asyncio.get_running_loop(), asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     tasks = set()
     while line := await lines.readline():
-        task = asyncio.ensure_future(world.does(json.loads(line)))
+        task = asyncio.ensure_future(world.execute_command(json.loads(line)))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     world.records.file.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,14 +3,16 @@
 import pytest
 
 from standins.soak import judge, schedule
-from standins.soak.clients import Row
+from standins.soak.clients import RequestRecord
 from standins.soak.judge import Window
 
 BODY = b"1 1 90000."
 
 
 def row(how="answered", status=200, **changed):
-    made = Row(3, "a1", False, "1", 1, 1.0, sent=100.0, ended=100.2, how=how, status=status, body=BODY)
+    made = RequestRecord(
+        3, "a1", False, "1", 1, 1.0, sent=100.0, ended=100.2, how=how, status=status, body=BODY
+    )
     for name, value in changed.items():
         setattr(made, name, value)
     return made
