--- a/standins/fleet/__init__.py
+++ b/standins/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The rig for many fronts: a deterministic driver, real processes with relays in between, and checkers."""
+"""Test rigs for fleets of fronts: deterministic simulations, real processes with relays between them, and checkers."""
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -1,12 +1,16 @@
-"""All interleavings of a small instance of the replica, to a stated depth: `python -m standins.fleet.explore`.
+"""Explores all interleavings of a small instance of the replica to a depth: `python -m standins.fleet.explore`.
 
-Two or three fronts; one tells two purges of a key, a drain and its lifting, another a purge of the same key. A step is:
-the next of these is told, a write gets to disk, a message comes, or (so often as allowed) is lost, a front asks another
-what it lacks, a front is killed and comes back with what its disk had. In each state that is reached:
+There are two or three fronts. One records two purges of a key, a drain and its lifting, another a purge of the same
+key. A step is: the next record is made, a write reaches the disk, a message arrives or is lost, a front asks another
+for what it lacks, or a front is killed and restarts from its disk; losses and kills are limited. In each state that is
+reached:
 
-a. what a front has seen of what was told it holds, or something greater under that key (so nothing is claimed unheard);
-b. what it says to have seen, its disk has;
-c. from there, with all messages let through, all fronts come to hold the same, and what was on any disk.
+a. a front holds each record that it has marked as seen, or a greater value of its key;
+b. what a front reports as seen is on its disk.
+
+From each state at the final depth, once all messages are delivered:
+
+c. all fronts hold the same records, which include all that was on any disk.
 """
 
 import argparse
@@ -20,7 +24,7 @@
 from sprucegate.fleet.replica.replica import PersistRecords, Replica, SeenReport, SendMessage
 
 KEY, WORD = ("purge", "object", 1), ("word", 16, 0, "bus", "a")
-TELLS = {
+RECORDS = {
     "a": [(KEY, (1,)), (KEY, (3,)), (WORD, (int(SourceState.DRAINING),)), (WORD, (int(SourceState.LIFTED),))],
     "b": [(KEY, (2,))],
     "c": [],
@@ -29,95 +33,95 @@
 
 
 class Broken(Exception):
-    """Which of the three, in which state, after which steps."""
+    """An invariant is violated: which of a to c, at which front, in which state, after which steps."""
 
 
 class Instance:
     def __init__(self, names, losses, crashes):
-        self.names, self.losses, self.crashes, self.steps, self.told = names, losses, crashes, (), []
-        self.tells = {name: list(TELLS[name]) for name in names}
-        self.disks, self.flying, self.lives = {name: [] for name in names}, [], 0
+        self.names, self.losses, self.crashes, self.steps, self.made_records = names, losses, crashes, (), []
+        self.records = {name: list(RECORDS[name]) for name in names}
+        self.disks, self.in_flight, self.incarnations = {name: [] for name in names}, [], 0
         self.fronts, self.writes = {}, {}
         for name in names:
             self.start(name)
 
     def start(self, name):
-        self.lives += 1
-        made = self.fronts[name] = Replica(name, self.lives, RandomSource(name, 1), 0, rate=1 << 40)
-        made.neighbours, made.timers = [], {}
-        facts, lives = {}, []
+        self.incarnations += 1
+        replica = self.fronts[name] = Replica(name, self.incarnations, RandomSource(name, 1), 0, rate=1 << 40)
+        replica.neighbours, replica.timers = [], {}
+        facts, incarnations = {}, []
         for taken, spans, _ in self.disks[name]:
             for fact in taken:
                 facts[fact.key] = fact
-                lives.append((*fact.version[:2], [fact.version[2], fact.version[2] + 1]))
-            lives += [(owner, life, [first, past]) for owner, life, first, past in spans]
-        made.load(list(facts.values()), lives, 0)
+                incarnations.append((*fact.version[:2], [fact.version[2], fact.version[2] + 1]))
+            incarnations += [(owner, life, [first, past]) for owner, life, first, past in spans]
+        replica.load(list(facts.values()), incarnations, 0)
         self.writes[name] = []
         for other in self.names:
             if other != name:
-                made.on_peer_changed(other, True, 0)
-        made.neighbours = [n for n in self.names if n != name]
+                replica.on_peer_changed(other, True, 0)
+        replica.neighbours = [n for n in self.names if n != name]
 
-    def done(self, name, actions):
+    def execute(self, name, actions):
         for action in actions:
             if (
                 isinstance(action, SendMessage)
                 and isinstance(action.message, SeenReport)
-                and self.asked(name, action.to)
+                and self.has_report_in_flight(name, action.to)
             ):
-                continue  # the same once more leads nowhere new
+                continue  # a second identical report leads to no new state
             if isinstance(action, SendMessage):
-                self.flying.append((name, action.to, action.message))
+                self.in_flight.append((name, action.to, action.message))
             elif isinstance(action, PersistRecords):
                 self.writes[name].append(action)
 
-    def asked(self, name, to):
-        return any((a, b) == (name, to) and isinstance(m, SeenReport) for a, b, m in self.flying)
+    def has_report_in_flight(self, name, to):
+        return any((a, b) == (name, to) and isinstance(m, SeenReport) for a, b, m in self.in_flight)
 
     def possible(self):
-        found = [("tell", name) for name in self.names if self.tells[name]]
+        found = [("tell", name) for name in self.names if self.records[name]]
         found += [("sync", name) for name in self.names if self.writes[name]]
-        found += [("come", at) for at in range(len(self.flying))]
-        found += [("lose", at) for at in range(len(self.flying))] if self.losses else []
+        found += [("come", at) for at in range(len(self.in_flight))]
+        found += [("lose", at) for at in range(len(self.in_flight))] if self.losses else []
         found += [("kill", name) for name in self.names] if self.crashes else []
         return found + [
             ("ask", name, other)
             for name in self.names
             for other in self.names
-            if name != other and not self.asked(name, other)
+            if name != other and not self.has_report_in_flight(name, other)
         ]
 
-    def step(self, what, given, *more):
-        self.steps += ((what, given, *more),)
+    def step(self, what, argument, *more):
+        self.steps += ((what, argument, *more),)
         if what == "tell":
-            key, value = self.tells[given].pop(0)
-            self.done(given, self.fronts[given].on_own_record(key, value, 0))
-            fact = self.fronts[given].store.held.get(key)
-            if fact is not None and fact.version[0] == given:
-                self.told.append(fact)
+            key, value = self.records[argument].pop(0)
+            self.execute(argument, self.fronts[argument].on_own_record(key, value, 0))
+            fact = self.fronts[argument].store.held.get(key)
+            if fact is not None and fact.version[0] == argument:
+                self.made_records.append(fact)
         elif what == "sync":
-            action = self.writes[given].pop(0)
-            self.disks[given].append(action.record)
-            self.done(given, self.fronts[given].on_written(action.number, 0))
+            action = self.writes[argument].pop(0)
+            self.disks[argument].append(action.record)
+            self.execute(argument, self.fronts[argument].on_written(action.number, 0))
         elif what in ("come", "lose"):
-            sender, to, message = self.flying.pop(given)
+            sender, to, message = self.in_flight.pop(argument)
             if what == "lose":
                 self.losses -= 1
             else:
                 self.fronts[to].seen_report_sent_at.clear()
-                self.done(to, self.fronts[to].on_message(sender, message, S))
+                self.execute(to, self.fronts[to].on_message(sender, message, S))
         elif what == "kill":
             self.crashes -= 1
-            self.start(given)
+            self.start(argument)
         else:
-            self.flying.append((given, more[0], self.fronts[given]._seen_report()))
+            self.in_flight.append((argument, more[0], self.fronts[argument]._seen_report()))
 
     def holds(self, name):
         return self.fronts[name].store.held
 
     def check(self):
         for name, front in self.fronts.items():
-            for fact in self.told:
+            for fact in self.made_records:
                 held = front.store.held.get(fact.key)
                 if front.store.seen.contains(fact.version) and (held is None or held.value < fact.value):
                     raise Broken("a", name, fact, self.steps)
@@ -133,31 +137,31 @@
                         raise Broken("b", name, (owner, life, first, past), self.steps)
 
     def settle(self):
-        """Everything is let through, each asks each until nothing new comes."""
+        """Delivers all messages and writes, and lets each front ask each other, until nothing new arrives."""
         for _ in range(6):
             for name in self.names:
                 for other in self.names:
                     if name != other:
-                        self.flying.append((name, other, self.fronts[name]._seen_report()))
+                        self.in_flight.append((name, other, self.fronts[name]._seen_report()))
             for _ in range(400):
                 if busy := [name for name in self.names if self.writes[name]]:
                     self.step("sync", busy[0])
-                elif self.flying:
+                elif self.in_flight:
                     self.step("come", 0)
                 else:
                     break
-        wanted = {}
+        expected = {}
         for records in self.disks.values():
             for taken, _, _ in records:
                 for fact in taken:
-                    wanted[fact.key] = max(wanted.get(fact.key, fact.value), fact.value)
+                    expected[fact.key] = max(expected.get(fact.key, fact.value), fact.value)
         for name in self.names:
             held = {key: fact.value for key, fact in self.holds(name).items()}
-            if held != wanted:
-                raise Broken("c", name, (held, wanted), self.steps)
+            if held != expected:
+                raise Broken("c", name, (held, expected), self.steps)
 
     def state(self):
-        """What tells two states apart: the order in which they were reached does not."""
+        """Returns a key of the state that does not depend on the order of the steps that led to it."""
         return (
             tuple(
                 (
@@ -166,42 +170,47 @@
                     tuple((o, life, tuple(ends)) for o, life, ends in f.store.seen.as_ranges()),
                     tuple((o, life, tuple(ends)) for o, life, ends in f.on_disk.as_ranges()),
                     len(self.writes[name]),
-                    len(self.tells[name]),
+                    len(self.records[name]),
                     len(f.unpushed),
                     len(f.unsaved[0]),
                 )
                 for name, f in self.fronts.items()
             ),
-            tuple(sorted(map(repr, self.flying))),
+            tuple(sorted(map(repr, self.in_flight))),
             self.losses,
             self.crashes,
         )
 
 
 def explored(depth, names=("a", "b"), losses=1, crashes=1, seconds=None):
-    """(states, leaves settled): raises Broken at the first that breaks."""
-    begun, seen, edge, settled = time.monotonic(), set(), [pickle.dumps(Instance(names, losses, crashes))], 0
+    """Returns (count of states, count of final states settled); raises Broken at the first violation."""
+    started_at, seen, frontier, settled = (
+        time.monotonic(),
+        set(),
+        [pickle.dumps(Instance(names, losses, crashes))],
+        0,
+    )
     for _ in range(depth):
-        fresh = []
-        for packed in edge:
+        next_frontier = []
+        for packed in frontier:
             for step in pickle.loads(packed).possible():
-                if seconds is not None and time.monotonic() - begun > seconds:
+                if seconds is not None and time.monotonic() - started_at > seconds:
                     return len(seen), settled
-                one = pickle.loads(packed)
-                one.step(*step)
-                if (state := repr(one.state())) in seen:
+                successor = pickle.loads(packed)
+                successor.step(*step)
+                if (state := repr(successor.state())) in seen:
                     continue
                 seen.add(state)
-                one.check()  # a digest would do for less memory; the whole text can't collide
-                fresh.append(pickle.dumps(one))
-        edge = fresh
-    for packed in edge:
+                successor.check()  # `seen` keeps the whole text: a digest takes less memory but may collide
+                next_frontier.append(pickle.dumps(successor))
+        frontier = next_frontier
+    for packed in frontier:
         pickle.loads(packed).settle()
         settled += 1
     return len(seen), settled
 
 
-def main(given):
+def main(arguments):
     flags = argparse.ArgumentParser(
         prog="python -m standins.fleet.explore", description=__doc__.split("\n")[0]
     )
@@ -209,16 +218,18 @@
     flags.add_argument("--fronts", type=int, default=2)
     flags.add_argument("--losses", type=int, default=1)
     flags.add_argument("--crashes", type=int, default=1)
-    wanted = flags.parse_args(given)
-    begun = time.monotonic()
-    states, settled = explored(wanted.depth, ("a", "b", "c")[: wanted.fronts], wanted.losses, wanted.crashes)
+    options = flags.parse_args(arguments)
+    started_at = time.monotonic()
+    states, settled = explored(
+        options.depth, ("a", "b", "c")[: options.fronts], options.losses, options.crashes
+    )
     print(
         json.dumps(
             {
                 "states": states,
                 "settled": settled,
-                "depth": wanted.depth,
-                "seconds": round(time.monotonic() - begun, 1),
+                "depth": options.depth,
+                "seconds": round(time.monotonic() - started_at, 1),
             }
         )
     )
--- a/standins/fleet/explore_keepers.py
+++ b/standins/fleet/explore_keepers.py
@@ -1,8 +1,8 @@
-"""All interleavings of three keepers to a stated depth: `python -m standins.fleet.explore_keepers --depth 8`.
+"""Explores all interleavings of three voters to a depth: `python -m standins.fleet.explore_keepers --depth 8`.
 
-A step is: a keeper's time is up (so often as allowed), a message comes or, once, is lost, a write gets to disk, the
-leader is given one of two entries, a keeper is killed once and comes back with its disk. In each state: one leader a
-term, one vote a keeper and term, and what is applied at an index is one thing.
+A step is: a voter's timer expires (a limited number of times), a message arrives or, once, is lost, a write reaches the
+disk, one of two entries is proposed to a leader, or, once, a voter is killed and restarts from its disk. In each state
+a term has at most one leader, a voter grants at most one vote a term, and one entry is applied at an index.
 """
 
 import sys
@@ -18,85 +18,87 @@
 
 
 class Broken(Exception):
-    """What broke, where, and after which steps."""
+    """The violated invariant, its key, both values, and the steps that led to it."""
 
 
-def half(_text):
-    """Chance has no part in it: which timer ends first is a step."""
+def constant_random(_text):
+    """Replaces the random source: which timer expires first is a step of the exploration."""
     return 0.5
 
 
 class Instance:
-    def __init__(self, timeouts=3, losses=1, crashes=1, entries=2):
-        self.timeouts, self.losses, self.crashes, self.entries, self.steps = (
-            timeouts,
-            losses,
-            crashes,
+    def __init__(self, timeouts_left=3, losses_left=1, crashes_left=1, entries=2):
+        self.timeouts_left, self.losses_left, self.crashes_left, self.entries, self.steps = (
+            timeouts_left,
+            losses_left,
+            crashes_left,
             entries,
             (),
         )
         self.disks, self.writes = {n: [] for n in NAMES}, {n: [] for n in NAMES}
-        self.keepers = {n: RaftNode(n, ClusterConfiguration(NAMES, ()), half, 0) for n in NAMES}
-        self.flying, self.leads, self.votes, self.applied, self.now = [], {}, {}, {}, S
+        self.keepers = {n: RaftNode(n, ClusterConfiguration(NAMES, ()), constant_random, 0) for n in NAMES}
+        self.in_flight, self.leaders, self.votes, self.applied, self.now = [], {}, {}, {}, S
 
     def contested(self):
-        """Two of them stand for the same term, by the pre-votes of the third: where votes can go wrong."""
+        """Makes two voters stand for the same term, by the pre-votes of the third: a double vote is possible there."""
         for name in ("a", "b"):
             self.step("time", name)
         for name in ("a", "b"):
             for sender, to in ((name, "c"), ("c", name)):
-                at = next(at for at, (s, t, _) in enumerate(self.flying) if (s, t) == (sender, to))
+                at = next(at for at, (s, t, _) in enumerate(self.in_flight) if (s, t) == (sender, to))
                 self.step("come", at)
-        self.flying = [
-            one for one in self.flying if not isinstance(one[2], RequestVote) or not one[2].pre_vote
+        self.in_flight = [
+            one for one in self.in_flight if not isinstance(one[2], RequestVote) or not one[2].pre_vote
         ]
         return self
 
     def possible(self):
-        found = [("come", at) for at in range(len(self.flying))]
-        found += [("lose", at) for at in range(len(self.flying))] if self.losses else []
+        found = [("come", at) for at in range(len(self.in_flight))]
+        found += [("lose", at) for at in range(len(self.in_flight))] if self.losses_left else []
         found += [("sync", n) for n in NAMES if self.writes[n]]
-        found += [("time", n) for n in NAMES] if self.timeouts else []
-        found += [("kill", n) for n in NAMES] if self.crashes else []
+        found += [("time", n) for n in NAMES] if self.timeouts_left else []
+        found += [("kill", n) for n in NAMES] if self.crashes_left else []
         return found + [("give", n) for n in NAMES if self.entries and self.keepers[n].role.name == "LEADER"]
 
-    def step(self, what, given):
-        self.steps += ((what, given),)
-        self.now += S  # long after any leader was heard: nobody is content for that reason alone
+    def step(self, what, argument):
+        self.steps += ((what, argument),)
+        # Longer than any election time-out: no vote is refused for a recent contact with a leader.
+        self.now += S
         if what in ("come", "lose"):
-            sender, to, message = self.flying.pop(given)
-            self.losses -= what == "lose"
+            sender, to, message = self.in_flight.pop(argument)
+            self.losses_left -= what == "lose"
             return (
-                self.done(to, self.keepers[to].on_message(sender, message, self.now))
+                self.execute(to, self.keepers[to].on_message(sender, message, self.now))
                 if what == "come"
                 else None
             )
-        keeper = self.keepers[given]
+        raft_node = self.keepers[argument]
         if what == "sync":
-            write = self.writes[given].pop(0)
-            self.disks[given].append(write)
-            return self.done(given, keeper.on_persisted(write.number, self.now))
+            write = self.writes[argument].pop(0)
+            self.disks[argument].append(write)
+            return self.execute(argument, raft_node.on_persisted(write.number, self.now))
         if what == "time":
-            self.timeouts -= 1
-            keeper.last_contact = dict.fromkeys(
-                keeper.last_contact, self.now
-            )  # a leader stays one: to step down is safe
-            return self.done(given, keeper.on_timer(max(self.now, keeper.timer_deadline)))
+            self.timeouts_left -= 1
+            # Keeps a leader from stepping down, which is safe and need not be explored.
+            raft_node.last_contact = dict.fromkeys(raft_node.last_contact, self.now)
+            return self.execute(argument, raft_node.on_timer(max(self.now, raft_node.timer_deadline)))
         if what == "give":
             self.entries -= 1
-            return self.done(given, keeper.propose(self.entries, self.now)[1])
-        self.crashes -= 1
+            return self.execute(argument, raft_node.propose(self.entries, self.now)[1])
+        self.crashes_left -= 1
         term, vote, entries = 0, "", []
-        for record in self.disks[given]:
+        for record in self.disks[argument]:
             term, vote = record.term, record.voted_for
             entries = [
                 e for e in entries if not record.truncate_from or e.index < record.truncate_from
             ] + record.entries
-        self.writes[given] = []
-        self.keepers[given] = RaftNode(given, ClusterConfiguration(NAMES, ()), half, self.now)
-        self.keepers[given].load(term, vote, None, entries)
+        self.writes[argument] = []
+        self.keepers[argument] = RaftNode(
+            argument, ClusterConfiguration(NAMES, ()), constant_random, self.now
+        )
+        self.keepers[argument].load(term, vote, None, entries)
 
-    def done(self, name, actions):
+    def execute(self, name, actions):
         for action in actions:
             match action:
                 case SendMessage(to, message):
@@ -105,29 +107,29 @@
                         and message.vote_granted
                         and not message.pre_vote
                     ):
-                        self.once(self.votes, (name, message.term), to, "votes")
-                    if (name, to, message) not in self.flying:
-                        self.flying.append((name, to, message))
+                        self.check_unique(self.votes, (name, message.term), to, "votes")
+                    if (name, to, message) not in self.in_flight:
+                        self.in_flight.append((name, to, message))
                 case PersistState():
                     self.writes[name].append(action)
                 case LeadershipChanged(True, term):
-                    self.once(self.leads, term, name, "leaders")
-                    self.once(self.votes, (name, term), name, "votes")
+                    self.check_unique(self.leaders, term, name, "leaders")
+                    self.check_unique(self.votes, (name, term), name, "votes")
                 case ApplyEntries(entries):
                     for entry in entries:
-                        self.once(self.applied, entry.index, entry, "applied")
+                        self.check_unique(self.applied, entry.index, entry, "applied")
 
-    def once(self, table, key, value, what):
+    def check_unique(self, table, key, value, what):
         if table.setdefault(key, value) != value:
             raise Broken(what, key, value, table[key], self.steps)
 
     def state(self):
         return repr(
             (
-                sorted(map(repr, self.flying)),
-                self.timeouts,
-                self.losses,
-                self.crashes,
+                sorted(map(repr, self.in_flight)),
+                self.timeouts_left,
+                self.losses_left,
+                self.crashes_left,
                 self.entries,
                 [
                     (
@@ -157,7 +159,7 @@
 
 
 def explored(depth, contested=False):
-    """How many states were reached; raises Broken at the first that breaks."""
+    """Returns the number of distinct states; raises Broken at the first violation."""
     return exploring.explored(Instance().contested() if contested else Instance(), depth)
 
 
@@ -169,6 +171,6 @@
             __doc__,
             lambda wanted: Instance().contested() if wanted.contested else Instance(),
             7,
-            contested="from where two stand for one term",
+            contested="start where two voters stand for the same term",
         )
     )
--- a/standins/fleet/explore_shares.py
+++ b/standins/fleet/explore_shares.py
@@ -1,10 +1,11 @@
-"""Three fronts, two tenants, two places, one kill, one cut: all interleavings to a depth, from a fleet at work.
+"""Explores all interleavings of the quotas of three fronts with two tenants and two places to a depth.
 
     python -m standins.fleet.explore_shares --depth 6
 
-A step is: a GET at a front; a kill; a cut; a front's new view; a while in which all go on, or all but one that stands
-still, or in which no message comes. A while is half a lease, two leases, or as long as a floor may be lent. A fill ends
-at its source as late as the terms allow. Raises Broken where a source fills more than it has places.
+It starts from a settled fleet. A step is: GETs at a front; one kill; one partition; a front's new view; a period in
+which all fronts run, or all but one that is paused, or in which no message arrives. A period is half a lease, two
+leases, or as long as a floor may be lent. A fill takes the longest time that the settings allow. Raises Broken if a
+source has more concurrent fills than places.
 """
 
 import sys
@@ -16,70 +17,74 @@
 
 NAMES, SOURCE, PLACES = ("a", "b", "c"), 21, 2
 MS = 1_000_000
-LONGEST = 2400 * MS  # longer than a lease: what was started by one that is over goes on
-TERMS = QuotaSettings((Tenant(1, 0), Tenant(1, 0)), NAMES, {SOURCE: PLACES}, LONGEST)
-TURN = LEASE_DURATION // 4
-WHILES = (LEASE_DURATION // 2, 2 * LEASE_DURATION, TERMS.floor_waiver)
+LONGEST = 2400 * MS  # longer than a lease: a fill continues after the lease that it began under has ended
+SETTINGS = QuotaSettings((Tenant(1, 0), Tenant(1, 0)), NAMES, {SOURCE: PLACES}, LONGEST)
+TIMER_INTERVAL = LEASE_DURATION // 4
+WHILES = (LEASE_DURATION // 2, 2 * LEASE_DURATION, SETTINGS.floor_waiver)
 
 
 class Broken(Exception):
-    """How many fills, and the steps to there."""
+    """The count of concurrent fills, and the steps that led to it."""
 
 
 class Instance:
-    """`kills`, `cuts`, `gets`: how many may come."""
+    """`kills`, `cuts` and `gets` are the numbers of such steps that are left."""
 
     def __init__(self, gets=4):
         self.now, self.steps, self.sequences = 0, (), 0
         self.kills, self.cuts, self.gets = 1, 1, gets
-        self.flying, self.fills, self.dead, self.cut = [], [], set(), frozenset()
-        self.fronts = {name: QuotaCoordinator(name, 1, TERMS, 0) for name in NAMES}
+        self.in_flight, self.fills, self.dead, self.cut = [], [], set(), frozenset()
+        self.fronts = {name: QuotaCoordinator(name, 1, SETTINGS, 0) for name in NAMES}
         for name in NAMES:
-            self.sees(name)
-        self.goes_on(2 * TERMS.floor_waiver)  # what former lives may have lent is over by then
+            self.update_view(name)
+        self.run_for(2 * SETTINGS.floor_waiver)  # any floor lent by an earlier incarnation has ended by then
 
-    def goes_on(self, span, still="", silent=False):
-        """Time passes; `still`: stands still for it, and wakes to what lies there; `silent`: nothing comes."""
-        end, lying = self.now + span, []
+    def run_for(self, span, paused="", silent=False):
+        """Runs all fronts for `span`.
+
+        `paused`: a front that is paused and gets its messages at the end; `silent`: no message arrives.
+        """
+        end, deferred = self.now + span, []
         while self.now < end:
-            self.now = min(end, self.now + TURN)
-            over = [one for one in self.fills if one[0] <= self.now]
+            self.now = min(end, self.now + TIMER_INTERVAL)
+            ended = [one for one in self.fills if one[0] <= self.now]
             self.fills = [one for one in self.fills if one[0] > self.now]
-            for _, name, token in over:
-                if name not in self.dead and name != still:
-                    self.done(name, self.fronts[name].fill_ended(token, LONGEST, True, self.now))
-                elif name == still:
-                    lying.append(("ended", token))
+            for _, name, token in ended:
+                if name not in self.dead and name != paused:
+                    self.execute(name, self.fronts[name].fill_ended(token, LONGEST, True, self.now))
+                elif name == paused:
+                    deferred.append(("ended", token))
             for name in NAMES:
-                if name not in self.dead and name != still:
-                    self.done(name, self.fronts[name].on_timer(self.now))
-            while self.flying:
-                sender, to, message = self.flying.pop(0)
-                if to == still:
-                    lying.append((sender, message))
+                if name not in self.dead and name != paused:
+                    self.execute(name, self.fronts[name].on_timer(self.now))
+            while self.in_flight:
+                sender, to, message = self.in_flight.pop(0)
+                if to == paused:
+                    deferred.append((sender, message))
                 elif to not in self.dead and not silent:
-                    self.done(to, self.fronts[to].on_message(sender, message, self.now))
-        for what, given in lying:
-            front = self.fronts[still]
-            self.done(
-                still,
+                    self.execute(to, self.fronts[to].on_message(sender, message, self.now))
+        for what, given in deferred:
+            front = self.fronts[paused]
+            self.execute(
+                paused,
                 front.fill_ended(given, LONGEST, True, self.now)
                 if what == "ended"
                 else front.on_message(what, given, self.now),
             )
 
-    def sees(self, name):
-        there = [n for n in NAMES if n not in self.dead and (n == name or frozenset((n, name)) != self.cut)]
-        self.done(
-            name, self.fronts[name].on_view_changed([(n, 1) for n in there], len(there) > 1, True, self.now)
+    def update_view(self, name):
+        members = [n for n in NAMES if n not in self.dead and (n == name or frozenset((n, name)) != self.cut)]
+        self.execute(
+            name,
+            self.fronts[name].on_view_changed([(n, 1) for n in members], len(members) > 1, True, self.now),
         )
 
-    def done(self, name, actions):
+    def execute(self, name, actions):
         for action in actions:
             match action:
                 case Send(to, message):
                     if to not in self.dead and frozenset((name, to)) != self.cut:
-                        self.flying.append((name, to, message))
+                        self.in_flight.append((name, to, message))
                 case StartFill(token, _):
                     self.fills.append((self.now + LONGEST, name, token))
                     if len(self.fills) > PLACES:
@@ -87,7 +92,7 @@
 
     def possible(self):
         up = [name for name in NAMES if name not in self.dead]
-        found = [("goes-on", (span, still, False)) for span in WHILES for still in ("", *up)]
+        found = [("goes-on", (span, paused, False)) for span in WHILES for paused in ("", *up)]
         found += [("goes-on", (span, "", True)) for span in WHILES[:2]]
         found += [("get", (n, self.gets % 2)) for n in up] if self.gets else []
         found += [("kill", n) for n in up] if self.kills else []
@@ -97,12 +102,12 @@
     def step(self, what, given):
         self.steps += ((what, given),)
         if what == "goes-on":
-            self.goes_on(*given)
+            self.run_for(*given)
         elif what == "get":
-            # Two at once, so that places are taken.
+            # Two at a time, so that places are in use.
             for _ in range(2):
                 self.sequences += 1
-                self.done(
+                self.execute(
                     given[0],
                     self.fronts[given[0]].request_arrived(
                         self.sequences, SOURCE, given[1], self.now + 60 * LEASE_DURATION, self.now
@@ -111,11 +116,11 @@
             self.gets -= 1
         elif what == "kill":
             self.kills -= 1
-            self.dead |= {given}  # its fills go on
+            self.dead |= {given}  # its fills continue
         elif what == "cut":
             self.cuts, self.cut = 0, frozenset(given)
         else:
-            self.sees(given)
+            self.update_view(given)
 
     def state(self):
         fronts = [
@@ -150,7 +155,7 @@
         return repr(
             (
                 self.now,
-                self.flying,
+                self.in_flight,
                 self.fills,
                 sorted(self.dead),
                 sorted(self.cut),
@@ -163,7 +168,7 @@
 
 
 def explored(depth):
-    """How many states were reached; raises Broken at the first that breaks."""
+    """Returns the number of distinct states; raises Broken at the first violation."""
     return exploring.explored(Instance(), depth)
 
 
--- a/standins/fleet/exploring.py
+++ b/standins/fleet/exploring.py
@@ -1,7 +1,7 @@
-"""All interleavings of a small instance to a depth: one loop for all that are explored.
+"""Bounded exhaustive exploration: runs all interleavings of a small instance to a depth.
 
-An instance gives `possible()` steps, does one by `step(what, given)`, tells its `state()`, and raises where a promise
-breaks; it is copied by pickle.
+An instance lists its `possible()` steps, executes one by `step(what, given)`, returns its `state()` as text, and raises
+if an invariant is violated. It is copied by pickle.
 """
 
 import argparse
@@ -12,35 +12,38 @@
 
 
 def explored(first, depth):
-    """How many states were reached."""
-    seen, edge = set(), [pickle.dumps(first)]
+    """Returns the number of distinct states reached within `depth` steps."""
+    seen, frontier = set(), [pickle.dumps(first)]
     for _ in range(depth):
-        fresh = []
-        for packed in edge:
+        next_frontier = []
+        for packed in frontier:
             for step in pickle.loads(packed).possible():
-                one = pickle.loads(packed)
-                one.step(*step)
-                state = blake2b(one.state().encode(), digest_size=16).digest()
+                successor = pickle.loads(packed)
+                successor.step(*step)
+                state = blake2b(successor.state().encode(), digest_size=16).digest()
                 if state not in seen:
                     seen.add(state)
-                    fresh.append(pickle.dumps(one))
-        edge = fresh
+                    next_frontier.append(pickle.dumps(successor))
+        frontier = next_frontier
     return len(seen)
 
 
-def main(given, name, text, made, depth, **flags):
-    """The command of one explorer: `made(wanted)` gives the first instance; `flags`: name -> help of each switch."""
+def main(arguments, name, text, make_instance, depth, **flags):
+    """Runs an explorer from the command line.
+
+    `make_instance(options)` returns the initial instance; `flags`: name -> help text of each switch.
+    """
     parser = argparse.ArgumentParser(prog=f"python -m standins.fleet.{name}", description=text.split("\n")[0])
     parser.add_argument("--depth", type=int, default=depth)
-    for flag, told in flags.items():
-        parser.add_argument(f"--{flag}", action="store_true", help=told)
-    wanted, begun = parser.parse_args(given), time.monotonic()
+    for flag, help_text in flags.items():
+        parser.add_argument(f"--{flag}", action="store_true", help=help_text)
+    options, started_at = parser.parse_args(arguments), time.monotonic()
     print(
         json.dumps(
             {
-                "states": explored(made(wanted), wanted.depth),
-                "depth": wanted.depth,
-                "seconds": round(time.monotonic() - begun, 1),
+                "states": explored(make_instance(options), options.depth),
+                "depth": options.depth,
+                "seconds": round(time.monotonic() - started_at, 1),
             }
         )
     )
--- a/standins/fleet/filling.py
+++ b/standins/fleet/filling.py
@@ -1,9 +1,9 @@
-"""Caches of several paces and the sources that fill them, whose places are counted: `python -m standins.fleet.filling`.
+"""Stand-in caches of several speeds and the sources that fill them: `python -m standins.fleet.filling`.
 
-Each cache listens by itself; all live in one process, as the count of a source's fills must be the true one. A fill
-that begins while all places are taken fails and is written down as over; one that nobody waits for any more goes on. A
-fill's time is drawn from its object, and the object's first byte is whose it is. `--ran FILE` gets a line for each:
-`at-ns source object took-ns` or `over`.
+Each cache has its own listener, but all share one process, so that the count of a source's concurrent fills is exact.
+A fill that begins while all places of its source are in use fails and is recorded as `over`; a fill continues if no
+request waits for it any more. The duration of a fill follows from its object, and the object's first byte names the
+tenant. `--ran FILE` gets a line for each fill: `at-ns source object took-ns`, or `over` in place of the duration.
 """
 
 import argparse
@@ -19,23 +19,23 @@
 MS = 1_000_000
 
 
-class World:
+class FillCounter:
     def __init__(self, places, ran):
-        self.places, self.using = places, dict.fromkeys(places, 0)
+        self.places, self.fills_running = places, dict.fromkeys(places, 0)
         self.file = os.open(ran, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
 
-    def begins(self, source, thing, took):
-        """Whether there was a place."""
-        if self.using[source] >= self.places[source]:
+    def begin_fill(self, source, thing, took):
+        """Starts a fill if the source has a free place; returns whether it did."""
+        if self.fills_running[source] >= self.places[source]:
             os.write(self.file, b"%d %b %b over\n" % (time.time_ns(), source.encode(), thing.encode()))
             return False
-        self.using[source] += 1
+        self.fills_running[source] += 1
         os.write(self.file, b"%d %b %b %d\n" % (time.time_ns(), source.encode(), thing.encode(), took))
-        asyncio.get_running_loop().call_later(took / 1e9, self._ends, source)
+        asyncio.get_running_loop().call_later(took / 1e9, self._end_fill, source)
         return True
 
-    def _ends(self, source):
-        self.using[source] -= 1
+    def _end_fill(self, source):
+        self.fills_running[source] -= 1
 
 
 class Cache:
@@ -43,22 +43,22 @@
         self.world, self.pace, self.names, self.held = world, pace, names, {}
 
     async def serve(self, reader, writer):
-        waits = set()
+        tasks = set()
         try:
             while words := (await reader.readline()).split():
                 if words[0] != b"serve":
                     continue
                 await reader.readexactly(int(words[3]) + 2)
                 fields = dict(pair.split("=", 1) for pair in words[2].decode().split(","))
-                task = asyncio.ensure_future(self._answers(words[1], fields, writer))
-                waits.add(task)
-                task.add_done_callback(waits.discard)
+                task = asyncio.ensure_future(self._respond(words[1], fields, writer))
+                tasks.add(task)
+                task.add_done_callback(tasks.discard)
         except (OSError, asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
             writer.close()
 
-    async def _answers(self, call, fields, writer):
+    async def _respond(self, call, fields, writer):
         key, source = (fields["thing"], fields["nth"]), fields.get("src", "")
         remark, head = "cached", b"served"
         if key in self.held:
@@ -67,7 +67,7 @@
             head, remark = b"not_here", "up_empty"
         else:
             took = int((20 + crc32(key[0].encode()) % 180) * MS * self.pace)
-            if self.world.begins(source, key[0], took):
+            if self.world.begin_fill(source, key[0], took):
                 await asyncio.sleep(took / 1e9)
                 self.held[key], remark = True, "fetched"
             else:
@@ -79,24 +79,24 @@
                 % (call, head, int(time.time() * 1000), remark.encode(), len(body), body)
             )
         except (OSError, RuntimeError):
-            pass  # its front ended
+            pass  # the front has closed the connection
 
 
 async def main(paces, places, ran, first=0):
-    world, ports = World(places, ran), iter(range(first, first + 100) if first else [0] * 100)
+    world, ports = FillCounter(places, ran), iter(range(first, first + 100) if first else [0] * 100)
     for at, pace in enumerate(paces):
         server = await asyncio.start_server(
             Cache(world, pace, at).serve, "127.0.0.1", next(ports), backlog=512
         )
         print(f"listening 127.0.0.1:{server.sockets[0].getsockname()[1]}", flush=True)
-    for _ in places:  # sources are asked by caches alone; fronts know their addresses
+    for _ in places:  # fronts know the addresses of sources, but only caches send requests to them
         server = await asyncio.start_server(Cache(world, 1, 0).serve, "127.0.0.1", next(ports))
         print(f"listening 127.0.0.1:{server.sockets[0].getsockname()[1]}", flush=True)
     await asyncio.Event().wait()
 
 
 class Box:
-    """One cache or source as the rig knows boxes; the process goes with the last."""
+    """One cache or source with the interface of the rig's boxes; all share one process, which the first `stop` ends."""
 
     def __init__(self, process, address):
         self.process, self.address = process, address
@@ -109,7 +109,7 @@
 
 
 def boxes(paces, places, ran):
-    """Boxes of that many caches, then of the sources in their order."""
+    """Starts the process and returns the boxes of the caches, one for each pace, then those of the sources in order."""
     process = subprocess.Popen(
         [
             sys.executable,
@@ -129,12 +129,12 @@
 
 
 def counted(ran):
-    """([(at, source, object, took)], how many were over)."""
+    """Returns ([(at, source, object, took)], count of fills beyond the limit) from the file of `--ran`."""
     rows, over = [], 0
     with open(ran) as file:
         for line in file:
             if not line.endswith("\n"):
-                break  # being written: the next reading has it
+                break  # still being written; the next call reads it
             at, source, thing, took = line.split()
             if took == "over":
                 over += 1
--- a/standins/fleet/relay.py
+++ b/standins/fleet/relay.py
@@ -1,9 +1,10 @@
-"""Relays between fronts, one port before each: `python -m standins.fleet.relay NAME=HOST:PORT ...`.
+"""Relays that inject faults between fronts, a port for each: `python -m standins.fleet.relay NAME=HOST:PORT ...`.
 
-Who dials is read from its greeting, so that each pair of fronts and each direction has troubles of its own. A line of
-JSON on standard input sets them, {"do": "cut", "from": [..], "to": [..], "kind": 6}: `cut` (with `kind` that message
-alone), `heal`, `loss`, `delay` (seconds), `twice`, `swap` (with `share`), and `tear`, which breaks off in the middle of
-the next frame. It prints its addresses in the order given and ends with its input. A seed makes the chances.
+The connecting front is read from its greeting, so faults are set for each pair of fronts and each direction. Lines of
+JSON on standard input set them, {"do": "cut", "from": [..], "to": [..], "kind": 6}: `cut` (with `kind` only messages
+of that kind), `heal`, `loss`, `delay`, `twice`, `swap` (with `share`, for `delay` in seconds), and `tear`, which closes
+the connection in the middle of the next frame. The relay prints its addresses in the order of the arguments and ends
+at the end of its input. `--seed` seeds the random choices.
 """
 
 import argparse
@@ -18,21 +19,21 @@
 from sprucegate.storage.records import HEAD
 
 
-class Troubles:
+class Faults:
     def __init__(self, seed):
         self.chance, self.cuts, self.shares, self.tears = random.Random(seed), set(), {}, set()
 
-    def set(self, said):
-        pairs = [(a, b) for a in said.get("from", ()) for b in said.get("to", ()) if a != b]
-        match said["do"]:
+    def set(self, command):
+        pairs = [(a, b) for a in command.get("from", ()) for b in command.get("to", ()) if a != b]
+        match command["do"]:
             case "cut":
-                self.cuts |= {(a, b, said.get("kind")) for a, b in pairs}
+                self.cuts |= {(a, b, command.get("kind")) for a, b in pairs}
             case "heal":
                 self.cuts, self.shares, self.tears = set(), {}, set()
             case "tear":
                 self.tears |= set(pairs)
             case what:
-                self.shares.update({(a, b, what): said["share"] for a, b in pairs})
+                self.shares.update({(a, b, what): command["share"] for a, b in pairs})
 
     def share(self, pair, what):
         return self.shares.get((*pair, what), 0)
@@ -47,68 +48,69 @@
     return head + await reader.readexactly(HEAD.unpack(head)[0])
 
 
-async def _pump(troubles, pair, reader, writer):
+async def _pump(faults, pair, reader, writer):
     held = None
     while True:
         frame = await _frame(reader)
         try:
-            said = msgspec.msgpack.decode(frame[HEAD.size :])
-            kind = said[0] if isinstance(said, list) and len(said) == 2 else None
+            message = msgspec.msgpack.decode(frame[HEAD.size :])
+            kind = message[0] if isinstance(message, list) and len(message) == 2 else None
         except msgspec.MsgspecError:
             kind = None
-        if troubles.drops(pair, kind):
+        if faults.drops(pair, kind):
             continue
-        if delay := troubles.share(pair, "delay"):
+        if delay := faults.share(pair, "delay"):
             await asyncio.sleep(delay)
-        if pair in troubles.tears:
-            troubles.tears.discard(pair)
+        if pair in faults.tears:
+            faults.tears.discard(pair)
             writer.write(frame[: len(frame) // 2])
             return
-        if held is None and troubles.chance.random() < troubles.share(pair, "swap"):
+        if held is None and faults.chance.random() < faults.share(pair, "swap"):
             held = frame
             continue
         writer.write(frame)
         if held is not None:
             writer.write(held)
             held = None
-        if troubles.chance.random() < troubles.share(pair, "twice"):
+        if faults.chance.random() < faults.share(pair, "twice"):
             writer.write(frame)
         await writer.drain()
 
 
-async def _between(troubles, target, address, reader, writer):
-    tasks, there = [], None
+async def _relay_connection(faults, target, address, reader, writer):
+    tasks, target_writer = [], None
     try:
         greeting = await _frame(reader)
-        dialler = msgspec.msgpack.decode(greeting[HEAD.size :])[3]
-        if (dialler, target, None) in troubles.cuts or (target, dialler, None) in troubles.cuts:
-            await asyncio.sleep(3)  # as a network that lets nothing through: nothing is refused either
+        connecting_front = msgspec.msgpack.decode(greeting[HEAD.size :])[3]
+        if (connecting_front, target, None) in faults.cuts or (target, connecting_front, None) in faults.cuts:
+            # Like a network that drops all packets: the connection is not refused either.
+            await asyncio.sleep(3)
             return
         host, _, port = address.rpartition(":")
-        back, there = await asyncio.open_connection(host, int(port))
-        there.write(greeting)
-        writer.write(await _frame(back))
+        target_reader, target_writer = await asyncio.open_connection(host, int(port))
+        target_writer.write(greeting)
+        writer.write(await _frame(target_reader))
         tasks = [
-            asyncio.ensure_future(_pump(troubles, (dialler, target), reader, there)),
-            asyncio.ensure_future(_pump(troubles, (target, dialler), back, writer)),
+            asyncio.ensure_future(_pump(faults, (connecting_front, target), reader, target_writer)),
+            asyncio.ensure_future(_pump(faults, (target, connecting_front), target_reader, writer)),
         ]
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError, msgspec.MsgspecError, IndexError):
-        pass  # the end of either side, or of this process, ends the pair
+        pass  # either side or this process has ended: the relayed connection ends
     finally:
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        for one in (writer, there):
+        for one in (writer, target_writer):
             if one is not None:
                 one.close()
 
 
 async def main(targets, seed):
-    troubles = Troubles(seed)
+    faults = Faults(seed)
     for name, address in targets:
         server = await asyncio.start_server(
-            lambda r, w, name=name, address=address: _between(troubles, name, address, r, w),
+            lambda r, w, name=name, address=address: _relay_connection(faults, name, address, r, w),
             "127.0.0.1",
             0,
             limit=16 << 20,
@@ -117,7 +119,7 @@
     loop, lines = asyncio.get_running_loop(), asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     while line := await lines.readline():
-        troubles.set(json.loads(line))
+        faults.set(json.loads(line))
         print("set", flush=True)
 
 
@@ -125,5 +127,5 @@
     flags = argparse.ArgumentParser(prog="python -m standins.fleet.relay", description=__doc__.split("\n")[0])
     flags.add_argument("targets", nargs="+")
     flags.add_argument("--seed", type=int, default=0)
-    given = flags.parse_args()
-    uvloop.run(main([one.split("=", 1) for one in given.targets], given.seed))
+    options = flags.parse_args()
+    uvloop.run(main([one.split("=", 1) for one in options.targets], options.seed))
--- a/standins/fleet/schedules.py
+++ b/standins/fleet/schedules.py
@@ -1,4 +1,4 @@
-"""Fault schedules by seed for the deterministic driver: troubles for a while, then all is well and time to settle.
+"""Fault schedules by seed for the simulated fleet: a period with faults, then a period without to settle.
 
 python -m standins.fleet.schedules --seeds 100 --size 5 --loss 0.1
 """
@@ -22,7 +22,7 @@
 from standins.fleet import checkers
 from standins.fleet.simulated import MS, Fleet, S
 
-TROUBLES = ("kill", "pause", "split", "one-way", "kind", "disk-full", "crash-at", "put-back", "lift-gone")
+FAULTS = ("kill", "pause", "split", "one-way", "kind", "disk-full", "crash-at", "put-back", "lift-gone")
 KINDS = (
     SpreadRecords,
     TransferEnd,
@@ -37,9 +37,10 @@
 
 
 def played(seed, size, loss=0.0, span=12 * S, settle=25 * S, facts=30, quiet=False, make=Fleet):
-    """A fleet after one schedule, dumped. `quiet`: no trouble but loss."""
+    """Plays one schedule and returns the fleet with the final state in its trace; `quiet`: only message loss."""
     chance = random.Random(seed * 7919 + size)
-    life = 3 * S if seed % 4 == 0 else 600 * S  # in some, facts are let go while there is trouble
+    # In a quarter of the schedules facts expire while there are faults.
+    life = 3 * S if seed % 4 == 0 else 600 * S
     fleet = make(
         size, seed, loss, twice=loss / 3, slow=loss / 3, alone_after=2 * S, purge_life=life, word_life=life
     )
@@ -74,7 +75,7 @@
                     source,
                 )
     for _ in range(0 if quiet else chance.randrange(1, 6)):
-        _trouble(fleet, chance, names, 2 * S + int(chance.random() * span), span)
+        _schedule_fault(fleet, chance, names, 2 * S + int(chance.random() * span), span)
     fleet.run(2 * S + span + 6 * S)
     fleet.heal()
     fleet.network.loss = 0.0
@@ -89,8 +90,8 @@
     return fleet
 
 
-def _trouble(fleet, chance, names, when, span):
-    what, name, lasts = chance.choice(TROUBLES), chance.choice(names), int(chance.random() * span / 2)
+def _schedule_fault(fleet, chance, names, when, span):
+    what, name, duration = chance.choice(FAULTS), chance.choice(names), int(chance.random() * span / 2)
     front = fleet.fronts[name]
 
     def restart():
@@ -99,41 +100,41 @@
 
     if what == "kill":
         fleet.at(when, fleet.kill, name)
-        fleet.at(when + lasts, restart)
+        fleet.at(when + duration, restart)
     elif what == "pause":
         fleet.at(when, fleet.pause, name, True)
-        fleet.at(when + min(lasts, 6 * S), fleet.pause, name, False)
+        fleet.at(when + min(duration, 6 * S), fleet.pause, name, False)
     elif what in ("split", "one-way"):
         side = chance.sample(names, chance.randrange(1, len(names)))
         fleet.at(when, fleet.split, side, [n for n in names if n not in side], what == "split")
-        fleet.at(when + lasts, fleet.heal)
+        fleet.at(when + duration, fleet.heal)
     elif what == "kind":
         kind = chance.choice(KINDS)
         for other in names:
             fleet.at(when, fleet.network.cut.add, (name, other, kind))
-        fleet.at(when + lasts, fleet.heal)
+        fleet.at(when + duration, fleet.heal)
     elif what == "disk-full":
 
-        def full():
+        def fill_disk():
             calls = front.disk.calls
             front.disk.faults = {n: OSError(28, "no space left") for n in range(calls, calls + 40)}
 
-        fleet.at(when, full)
+        fleet.at(when, fill_disk)
     elif what == "crash-at":
 
         def crash():
             front.disk.crash_at = front.disk.calls + chance.randrange(1, 12)
 
         fleet.at(when, crash)
-        fleet.at(when + lasts, restart)
+        fleet.at(when + duration, restart)
     elif what == "put-back":
 
         def back():
             if front.up:
                 kept = front.disk.after_crash()
-                fleet.at(fleet.now + lasts, returned, kept)
+                fleet.at(fleet.now + duration, restore_disk, kept)
 
-        def returned(kept):
+        def restore_disk(kept):
             if front.up:
                 fleet.kill(name)
             fleet.note(name, "folder-put-back")
@@ -142,28 +143,30 @@
 
         fleet.at(when, back)
     elif what == "lift-gone":
-        # One that drained goes for long; another hears the same source lift it.
+        # The front that got a drain is down for long; meanwhile another gets the lifting from the same source.
         other = chance.choice(names)
         fleet.at(when, fleet.drained, name, 0x20, SourceState.DRAINING)
         fleet.at(when, fleet.drained, other, 0x20, SourceState.DRAINING)
         fleet.at(when + 200 * MS, fleet.kill, name)
         fleet.at(when + 8 * S, fleet.drained, other, 0x20, SourceState.LIFTED)
-        fleet.at(when + 8 * S + lasts, restart)
+        fleet.at(when + 8 * S + duration, restart)
 
 
-def reported(given, text, broken, **more):
-    """The schedules that the command line asks for, played and checked by `broken(seed, flags)`; whether any broke."""
+def reported(arguments, text, broken, **more):
+    """Runs `broken(seed, flags)` for the seeds of the command line; returns whether any schedule had violations."""
     flags = argparse.ArgumentParser(description=text.split("\n")[0])
     for name, default in {"seeds": 50, "first": 0, "size": 5, "loss": 0.0, **more}.items():
         flags.add_argument("--" + name, type=type(default), default=default)
-    wanted, begun, bad = flags.parse_args(given), time.monotonic(), 0
+    wanted, started_at, bad = flags.parse_args(arguments), time.monotonic(), 0
     for seed in range(wanted.first, wanted.first + wanted.seeds):
         found = broken(seed, wanted)
         bad += bool(found)
         if found:
             print(json.dumps({"seed": seed, "broken": len(found), "first": found[0]}))
     print(
-        json.dumps({"schedules": wanted.seeds, "broken": bad, "seconds": round(time.monotonic() - begun, 1)})
+        json.dumps(
+            {"schedules": wanted.seeds, "broken": bad, "seconds": round(time.monotonic() - started_at, 1)}
+        )
     )
     return bool(bad)
 
