--- a/standins/fleet/agent.py
+++ b/standins/fleet/agent.py
@@ -85,7 +85,7 @@
         self._kill_process(box)
 
     def _kill_process(self, box):
-        """Counts in `late` the GETs that the cache gets after all fronts reported it drained, then kills it.
+        """Count in `late` the GETs that the cache gets after all fronts reported it drained, then kill it.
 
         The first 50 ms are not counted, for GETs under way.
         """
--- a/standins/fleet/checkers.py
+++ b/standins/fleet/checkers.py
@@ -184,5 +184,5 @@
 
 
 def broken(trace):
-    """Returns (number of the guarantee, text) for each violation in the trace."""
+    """Return (number of the guarantee, text) for each violation in the trace."""
     return [(number, text) for number, check in ALL.items() for text in check(trace)]
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -1,4 +1,4 @@
-"""Explores all interleavings of a small instance of the replica to a depth: `python -m standins.fleet.explore`.
+"""Explore all interleavings of a small instance of the replica to a depth: `python -m standins.fleet.explore`.
 
 There are two or three fronts. One records two purges of a key, a drain and its lifting, another a purge of the same
 key. A step is: the next record is made, a write reaches the disk, a message arrives or is lost, a front asks another
@@ -137,7 +137,7 @@
                         raise Broken("b", name, (owner, life, first, past), self.steps)
 
     def settle(self):
-        """Delivers all messages and writes, and lets each front ask each other, until nothing new arrives."""
+        """Deliver all messages and writes, and let each front ask each other, until nothing new arrives."""
         for _ in range(6):
             for name in self.names:
                 for other in self.names:
@@ -161,7 +161,7 @@
                 raise Broken("c", name, (held, expected), self.steps)
 
     def state(self):
-        """Returns a key of the state that does not depend on the order of the steps that led to it."""
+        """Return a key of the state that does not depend on the order of the steps that led to it."""
         return (
             tuple(
                 (
@@ -183,7 +183,7 @@
 
 
 def explored(depth, names=("a", "b"), losses=1, crashes=1, seconds=None):
-    """Returns (count of states, count of final states settled); raises Broken at the first violation."""
+    """Return (count of states, count of final states settled); raises Broken at the first violation."""
     started_at, seen, frontier, settled = (
         time.monotonic(),
         set(),
--- a/standins/fleet/explore_fitness.py
+++ b/standins/fleet/explore_fitness.py
@@ -1,4 +1,4 @@
-"""Explores all interleavings of three voters' starts, with one folder restored from a copy, to a depth.
+"""Explore all interleavings of three voters' starts, with one folder restored from a copy, to a depth.
 
 Checks that a voter may not vote under a name while a peer that it can reach knows an equal or later start of that name.
 
@@ -149,7 +149,7 @@
 
 
 def explored(depth):
-    """Returns the number of distinct states; raises Broken at the first violation."""
+    """Return the number of distinct states; raises Broken at the first violation."""
     return exploring.explored(Instance(), depth)
 
 
--- a/standins/fleet/explore_keepers.py
+++ b/standins/fleet/explore_keepers.py
@@ -1,4 +1,4 @@
-"""Explores all interleavings of three voters to a depth: `python -m standins.fleet.explore_keepers --depth 8`.
+"""Explore all interleavings of three voters to a depth: `python -m standins.fleet.explore_keepers --depth 8`.
 
 A step is: a voter's timer expires (a limited number of times), a message arrives or, once, is lost, a write reaches the
 disk, one of two entries is proposed to a leader, or, once, a voter is killed and restarts from its disk. In each state
@@ -22,7 +22,7 @@
 
 
 def constant_random(_text):
-    """Replaces the random source: which timer expires first is a step of the exploration."""
+    """Replace the random source: which timer expires first is a step of the exploration."""
     return 0.5
 
 
@@ -40,7 +40,7 @@
         self.in_flight, self.leaders, self.votes, self.applied, self.now = [], {}, {}, {}, S
 
     def contested(self):
-        """Makes two voters stand for the same term, by the pre-votes of the third: a double vote is possible there."""
+        """Make two voters stand for the same term, by the pre-votes of the third: a double vote is possible there."""
         for name in ("a", "b"):
             self.step("time", name)
         for name in ("a", "b"):
@@ -159,7 +159,7 @@
 
 
 def explored(depth, contested=False):
-    """Returns the number of distinct states; raises Broken at the first violation."""
+    """Return the number of distinct states; raises Broken at the first violation."""
     return exploring.explored(Instance().contested() if contested else Instance(), depth)
 
 
--- a/standins/fleet/explore_shares.py
+++ b/standins/fleet/explore_shares.py
@@ -1,4 +1,4 @@
-"""Explores all interleavings of the quotas of three fronts with two tenants and two places to a depth.
+"""Explore all interleavings of the quotas of three fronts with two tenants and two places to a depth.
 
     python -m standins.fleet.explore_shares --depth 6
 
@@ -40,7 +40,7 @@
         self.run_for(2 * SETTINGS.floor_waiver)  # any floor lent by an earlier incarnation has ended by then
 
     def run_for(self, span, paused="", silent=False):
-        """Runs all fronts for `span`.
+        """Run all fronts for `span`.
 
         `paused`: a front that is paused and gets its messages at the end; `silent`: no message arrives.
         """
@@ -168,7 +168,7 @@
 
 
 def explored(depth):
-    """Returns the number of distinct states; raises Broken at the first violation."""
+    """Return the number of distinct states; raises Broken at the first violation."""
     return exploring.explored(Instance(), depth)
 
 
--- a/standins/fleet/exploring.py
+++ b/standins/fleet/exploring.py
@@ -12,7 +12,7 @@
 
 
 def explored(first, depth):
-    """Returns the number of distinct states reached within `depth` steps."""
+    """Return the number of distinct states reached within `depth` steps."""
     seen, frontier = set(), [pickle.dumps(first)]
     for _ in range(depth):
         next_frontier = []
@@ -29,7 +29,7 @@
 
 
 def main(arguments, name, text, make_instance, depth, **flags):
-    """Runs an explorer from the command line.
+    """Run an explorer from the command line.
 
     `make_instance(options)` returns the initial instance; `flags`: name -> help text of each switch.
     """
--- a/standins/fleet/filling.py
+++ b/standins/fleet/filling.py
@@ -25,7 +25,7 @@
         self.file = os.open(ran, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
 
     def begin_fill(self, source, thing, took):
-        """Starts a fill if the source has a free place; returns whether it did."""
+        """Start a fill if the source has a free place; return whether it did."""
         if self.fills_running[source] >= self.places[source]:
             os.write(self.file, b"%d %b %b over\n" % (time.time_ns(), source.encode(), thing.encode()))
             return False
@@ -109,7 +109,7 @@
 
 
 def boxes(paces, places, ran):
-    """Starts the process and returns the boxes of the caches, one for each pace, then those of the sources in order."""
+    """Start the process and return the boxes of the caches, one for each pace, then those of the sources in order."""
     process = subprocess.Popen(
         [
             sys.executable,
@@ -129,7 +129,7 @@
 
 
 def counted(ran):
-    """Returns ([(at, source, object, took)], count of fills beyond the limit) from the file of `--ran`."""
+    """Return ([(at, source, object, took)], count of fills beyond the limit) from the file of `--ran`."""
     rows, over = [], 0
     with open(ran) as file:
         for line in file:
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -1,4 +1,4 @@
-"""Simulates the voters of the replicated log with clocks, network and disks run by a seed; checkers of the trace.
+"""Simulate the voters of the replicated log with clocks, network and disks run by a seed; checkers of the trace.
 
 python -m standins.fleet.keepers --seeds 200 --size 3
 """
@@ -50,7 +50,7 @@
         return self.world.clock(self.name)
 
     def copy_folder(self):
-        """Returns a copy of the folder."""
+        """Return a copy of the folder."""
         return self.known_as, self.starts, dict(self.known), list(self.disk)
 
     def restore_folder(self, copy):
@@ -89,7 +89,7 @@
         self.execute([])
 
     def crash(self, chance):
-        """Ends the process; a random prefix of the pending writes, none of them acknowledged, reaches the disk."""
+        """End the process; a random prefix of the pending writes, none of them acknowledged, reaches the disk."""
         self.disk += self.pending[: chance.randrange(len(self.pending) + 1)]
         self.up, self.pending, self.raft_node = False, [], None
         self.generation += 1
@@ -194,7 +194,7 @@
         return self.durability.on_persisted(action.number, self.clock())
 
     def due(self):
-        """Runs the timers: the durability check, Raft, and as leader the replacement of voters that rejoin renamed."""
+        """Run the timers: the durability check, Raft, and as leader the replacement of voters that rejoin renamed."""
         now, raft_node = self.clock(), self.raft_node
         emitted = self.durability.on_timer(now, raft_node.name in raft_node.configuration().voters)
         if not self.durability.may_vote:
@@ -238,7 +238,7 @@
         self.numbers = count(1)
 
     def clock(self, name):
-        """Returns the reading of a process's clock; with `apart` each clock has a rate and an offset of its own."""
+        """Return the reading of a process's clock; with `apart` each clock has a rate and an offset of its own."""
         if not self.apart:
             return self.now
         rate, offset = self.clocks.setdefault(
@@ -248,7 +248,7 @@
         return int(self.now * rate) + offset
 
     def when(self, name, due):
-        """Returns the approximate true time at which that clock shows `due`."""
+        """Return the approximate true time at which that clock shows `due`."""
         return self.now + int((due - self.clock(name)) / self.clocks[name][0]) + 1 if self.apart else due
 
     def note(self, name, what, *more):
@@ -333,7 +333,7 @@
                 box.event(action, *given)
 
     def partition(self, pairs):
-        """Cuts off those (from, to) pairs in addition to the present ones; an empty argument heals all."""
+        """Cut off those (from, to) pairs in addition to the present ones; an empty argument heals all."""
         self.cut = self.cut | set(pairs) if pairs else set()
         self.note("", "cut", sorted(self.cut))
 
@@ -346,7 +346,7 @@
             self.boxes[name].start()
 
     def step_membership(self):
-        """Proposes the next step of a membership change: add a spare as learner, promote it, remove a voter."""
+        """Propose the next step of a membership change: add a spare as learner, promote it, remove a voter."""
         for box in self.leaders():
             config = box.raft_node.configuration()
             spare = [n for n in self.boxes if n not in config.voters]
@@ -367,7 +367,7 @@
 
 
 def played(seed, size=3, loss=0.0, span=12 * S, spare=0, back=0, apart=0.0):
-    """Plays a schedule of faults, then time to settle, and returns the world.
+    """Play a schedule of faults, then time to settle, and return the world.
 
     With `back` one voter's folder is restored from a copy, while another voter is down for a part of that time.
     """
@@ -455,7 +455,7 @@
 
 
 def _schedule_restore(world, name, when, duration):
-    """Copies a voter's folder, and later crashes the voter and restores its folder from the copy or empties it."""
+    """Copy a voter's folder, and later crash the voter and restore its folder from the copy or empty it."""
     box, copies = world.boxes[name], []
     world.at(when, lambda: copies.append(box.copy_folder()))
 
@@ -552,7 +552,7 @@
             self.full[name] = at if what == "room" else 1 << 62
 
     def connected_since(self, one, other):
-        """Returns since when both have been up, with free disk and connected both ways; None if they are not now."""
+        """Return since when both have been up, with free disk and connected both ways; None if they are not now."""
         ways = {(one, other), (other, one)}
         if self.cut & ways or one not in self.since or other not in self.since:
             return None
@@ -620,7 +620,7 @@
 
 
 def votes_put_back(trace):
-    """Returns whether a voter with a restored folder could vote under its old name, as no voter that knew a later start
+    """Return whether a voter with a restored folder could vote under its old name, as no voter that knew a later start
     was reachable."""
     back = set()
     for _, name, what, *_ in trace:
@@ -634,7 +634,7 @@
 
 
 def broken(trace):
-    """Returns (checker, text) for each violation.
+    """Return (checker, text) for each violation.
 
     If a voter with a restored folder could vote, Raft's own guarantees don't hold and are not checked.
     """
--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -1,4 +1,4 @@
-"""Runs real front processes with relays between them, stand-in caches, an origin and a bus; methods inject faults.
+"""Run real front processes with relays between them, stand-in caches, an origin and a bus; methods inject faults.
 
 with Rig(folder, 3) as rig:
     rig.start_all()
@@ -129,7 +129,7 @@
         ]
 
     def until(self, event, since=0, patience=20, **wanted):
-        """Waits for the first matching log line at or after index `since`; fails after `patience` seconds."""
+        """Wait for the first matching log line at or after index `since`; fail after `patience` seconds."""
         deadline = time.monotonic() + patience
         with self.line_added:
             while not (matches := self.seen(event, since, **wanted)):
@@ -147,7 +147,7 @@
         self.process.stdout.close()
 
     def ask(self, what, *given):
-        """Returns the answer to an operator's request, as the command line gets it; None without an answer."""
+        """Return the answer to an operator's request, as the command line gets it; None without an answer."""
         from sprucegate.fleet.links import codec
         from sprucegate.storage import records
 
@@ -166,7 +166,7 @@
             return None
 
     def holds(self):
-        """Returns {(kind, key...): value or state} of the facts that it reports, which are a thousand at most."""
+        """Return {(kind, key...): value or state} of the facts that it reports, which are a thousand at most."""
         answer = self.ask("facts")
         return (
             {(f["kind"], *f["key"]): f.get("state", f.get("value")) for f in answer["facts"]}
@@ -175,7 +175,7 @@
         )
 
     def live(self):
-        """Returns the status code of GET /status/live; 0 if the port does not answer."""
+        """Return the status code of GET /status/live; 0 if the port does not answer."""
         try:
             with socket.create_connection(("127.0.0.1", self.port), 2) as sock:
                 sock.sendall(b"GET /status/live HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -316,17 +316,17 @@
     # The replicated log.
 
     def agreed(self, name):
-        """Returns a front's copy of the log's state; {} if it does not answer."""
+        """Return a front's copy of the log's state; {} if it does not answer."""
         return self.fronts[name].ask("agreed") or {}
 
     def propose(self, name, *command, id=None):
-        """Sends an operator's command through a front and returns the answer; {} if the front does not answer."""
+        """Send an operator's command through a front and return the answer; {} if the front does not answer."""
         self.requests += 1
         id = id or f"q{self.requests}"
         return self.fronts[name].ask("propose", json.dumps(["once", id, list(command)])) or {}
 
     def leader(self):
-        """Returns the name of the voter that leads in the highest term; "" if none says that it leads."""
+        """Return the name of the voter that leads in the highest term; "" if none says that it leads."""
         votings = {
             name: (k.ask("agreed") or {}).get("voting") or {}
             for name, k in self.keepers.items()
@@ -336,21 +336,21 @@
         return max(leaders)[1] if leaders else ""
 
     def permit(self, name, id):
-        """Returns an open permit as the front has it; {} if it has ended or is unknown there."""
+        """Return an open permit as the front has it; {} if it has ended or is unknown there."""
         return next((p for p in self.agreed(name).get("permits", ()) if p["id"] == id), {})
 
     def step_of(self, name, id):
-        """Returns the step of an open or ended permit as the front has it; "" if it is unknown there."""
+        """Return the step of an open or ended permit as the front has it; "" if it is unknown there."""
         state = self.agreed(name)
         steps = {p["id"]: p["step"] for p in state.get("permits", ())} | state.get("ended", {})
         return steps.get(id, "")
 
     def step(self, id, step, names=None, patience=20):
-        """Waits until the permit is at `step` at each front of `names`, by default at all."""
+        """Wait until the permit is at `step` at each front of `names`, by default at all."""
         self.wait(lambda: all(self.step_of(name, id) == step for name in names or self.names), patience)
 
     def phase(self, release, phase, patience=60):
-        """Waits until the release is in `phase` at all fronts."""
+        """Wait until the release is in `phase` at all fronts."""
 
         def has_phase():
             return all(
@@ -361,7 +361,7 @@
         self.wait(has_phase, patience)
 
     def together(self, patience=30, names=None):
-        """Waits until each front of `names`, by default all, lists all of them as alive."""
+        """Wait until each front of `names`, by default all, lists all of them as alive."""
         names = list(names or self.names)
 
         def all_alive():
@@ -376,7 +376,7 @@
         self.wait(all_alive, patience)
 
     def wait(self, what, patience=20):
-        """Polls until `what()` is true: for conditions that no log event reports."""
+        """Poll until `what()` is true: for conditions that no log event reports."""
         deadline = time.monotonic() + patience
         while not what():
             assert time.monotonic() < deadline, what
@@ -386,18 +386,18 @@
         self.bus.send(to=[self.names.index(name) for name in names], event=event)
 
     def purge(self, names, obj, at):
-        """Sends a purge of `obj` to those fronts by their bus; `at`: Unix ms."""
+        """Send a purge of `obj` to those fronts by their bus; `at`: Unix ms."""
         self.tell(names, ban={"url": f"{obj:x}", "ts": at})
 
     def purge_at(self, front, obj, at):
-        """Sends a purge to one front, which may be a duplicate, by its bus."""
+        """Send a purge to one front, which may be a duplicate, by its bus."""
         (self.bus if front in self.fronts.values() else self.duplicate_bus).send(
             to=[front.number if front in self.fronts.values() else 0],
             event={"ban": {"url": f"{obj:x}", "ts": at}},
         )
 
     def duplicate(self, name):
-        """Returns a second front of that name, not yet started, with its own folder, ports, bus and relay."""
+        """Return a second front of that name, not yet started, with its own folder, ports, bus and relay."""
         (self.folder / "twin").mkdir()
         duplicate, self.folder = None, self.folder / "twin"
         try:
@@ -415,7 +415,7 @@
         return duplicate
 
     def ran(self, box):
-        """Returns the count of GETs that a cache has run so far."""
+        """Return the count of GETs that a cache has run so far."""
         with open(self.folder / f"ran-{box}") as file:
             return sum(1 for _ in file)
 
@@ -435,7 +435,7 @@
         self.trouble("cut", **{"from": other, "to": one})
 
     def all_hold(self, key, value, names=None, patience=20):
-        """Waits until each front of `names`, by default all, holds at least `value` of the fact `key`."""
+        """Wait until each front of `names`, by default all, holds at least `value` of the fact `key`."""
 
         def all_have_value():
             return all(_at_least(self.fronts[name].holds().get(key), value) for name in names or self.names)
@@ -443,7 +443,7 @@
         self.wait(all_have_value, patience)
 
     def get(self, name, obj, call_id, sock=None, extra=""):
-        """Sends one GET through a front and returns status and body; `extra`: header lines, each with its CRLF."""
+        """Send one GET through a front and return status and body; `extra`: header lines, each with its CRLF."""
         connection = sock or socket.create_connection(("127.0.0.1", self.fronts[name].port), timeout=5)
         connection.sendall(
             f"GET /svc/media/{obj:016x}/slice-1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: {call_id:016x}\r\n"
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -1,4 +1,4 @@
-"""Simulates rollouts: voters, fronts, caches and maintenance agents with clocks, network and faults run by a seed.
+"""Simulate rollouts: voters, fronts, caches and maintenance agents with clocks, network and faults run by a seed.
 
     python -m standins.fleet.rollouts --seeds 200 --size 3 --fronts 6 --caches 12
 
@@ -183,7 +183,7 @@
 
 
 class Agent(Process):
-    """Restarts its servers under permits.
+    """Restart its servers under permits.
 
     `manner`: "slow", "lying" (reports a server as started while it is down) or "" for a well-behaved one.
     """
@@ -277,7 +277,7 @@
             self.starts_again("")
 
     def served(self, front):
-        """Returns the counts of GETs, errors, sheds, late answers and misses so far for one front.
+        """Return the counts of GETs, errors, sheds, late answers and misses so far for one front.
 
         Each front sends 20 GETs a second; RATES has the chances of a bad version.
         """
@@ -295,7 +295,7 @@
 
 
 def binomial_sample(rng, count, rate):
-    """Returns a sample of the binomial distribution, drawn by the gaps between hits.
+    """Return a sample of the binomial distribution, drawn by the gaps between hits.
 
     A draw for each GET took 70% of the run time with 200 fronts and 200 servers.
     """
@@ -343,13 +343,13 @@
         ]
 
     def operator(self, front, *command):
-        """Sends an operator's command through a front, under a new request id."""
+        """Send an operator's command through a front, under a new request id."""
         box, id = self.fronts[front], f"op-{next(self.numbers)}"
         self.note(front, "wants", id, list(command))
         box.event(lambda: box.follower.propose(["once", id, list(command)], id, box.clock(), 10 * S))
 
     def machine(self):
-        """Returns the state machine of the voter that has applied the most entries."""
+        """Return the state machine of the voter that has applied the most entries."""
         return max(
             (self.boxes[n].log_server.machine for n in self.keepers if self.boxes[n].up),
             key=lambda m: m.index,
@@ -362,7 +362,7 @@
 
 
 def played(seed, size=3, fronts=6, caches=12, loss=0.0, span=40 * S, ends=True, apart=0.0):
-    """Plays a release and manual drains with two to eight faults, then time to settle if `ends`."""
+    """Play a release and manual drains with two to eight faults, then time to settle if `ends`."""
     chance = random.Random(seed * 17 + size)
     manners = chance.choice([(), ("slow",), ("lying", "slow")])
     world = Fleet(size, fronts, caches, seed, loss, manners, apart=apart)
@@ -472,7 +472,7 @@
 
 
 def servers_out(trace, place_of):
-    """Yields (time, server, {server: permit} of all that are down or cold under a permit) at each stop of a server."""
+    """Yield (time, server, {server: permit} of all that are down or cold under a permit) at each stop of a server."""
     out = {}
     for at, name, what, *more in trace:
         if what == "down":
--- a/standins/fleet/schedules.py
+++ b/standins/fleet/schedules.py
@@ -37,7 +37,7 @@
 
 
 def played(seed, size, loss=0.0, span=12 * S, settle=25 * S, facts=30, quiet=False, make=Fleet):
-    """Plays one schedule and returns the fleet with the final state in its trace; `quiet`: only message loss."""
+    """Play one schedule and return the fleet with the final state in its trace; `quiet`: only message loss."""
     chance = random.Random(seed * 7919 + size)
     # In a quarter of the schedules facts expire while there are faults.
     life = 3 * S if seed % 4 == 0 else 600 * S
@@ -153,7 +153,7 @@
 
 
 def reported(arguments, text, broken, **more):
-    """Runs `broken(seed, flags)` for the seeds of the command line; returns whether any schedule had violations."""
+    """Run `broken(seed, flags)` for the seeds of the command line; return whether any schedule had violations."""
     flags = argparse.ArgumentParser(description=text.split("\n")[0])
     for name, default in {"seeds": 50, "first": 0, "size": 5, "loss": 0.0, **more}.items():
         flags.add_argument("--" + name, type=type(default), default=default)
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -1,4 +1,4 @@
-"""Simulates whole fleets in one process: the fronts' decision modules with a clock, a network and disks run by a seed.
+"""Simulate whole fleets in one process: the fronts' decision modules with a clock, a network and disks run by a seed.
 
 Each event is appended to `trace` as a tuple (time, front, what, ...); the checkers read nothing else.
 """
@@ -37,7 +37,7 @@
 
 
 class Network:
-    """Delays, loses, duplicates and reorders messages and applies partitions, all by one random stream."""
+    """The network: delays, losses, duplicates, reordering and partitions, all by one random stream."""
 
     def __init__(self, chance, loss=0.0, twice=0.0, slow=0.0):
         self.chance, self.loss, self.twice, self.slow = chance, loss, twice, slow
@@ -49,7 +49,7 @@
         )
 
     def delays(self, sender, to, message):
-        """Returns the delay of each copy of a message in ns; no entry if it is lost."""
+        """Return the delay of each copy of a message in ns; no entry if it is lost."""
         self.frames += 1
         kind = type(message)
         if (sender, to) in self.cut or (sender, to, kind) in self.cut or self.chance.random() < self.loss:
@@ -112,7 +112,7 @@
         self.execute(actions)
 
     def event(self, action, *given):
-        """Runs one event of this process; a simulated crash at a disk call ends the event there."""
+        """Run one event of this process; a simulated crash at a disk call ends the event there."""
         if self.up:
             self.execute(action(*given))
 
@@ -193,7 +193,7 @@
         self.fleet.note(self.name, "life", self.peer.members.own.incarnation)
 
     def _on_port_checked(self, name, life):
-        """Simulates a check of a member's port: a connection is refused only if its process is down.
+        """Simulate a check of a member's port: a connection is refused only if its process is down.
 
         A paused process still has its port open; a partition gives no answer at all.
         """
@@ -261,7 +261,7 @@
             self.fronts[name].crash()
 
     def reset_links(self, ended):
-        """Resets the links of up to LINKS_MAX other fronts to a process that has ended."""
+        """Reset the links of up to LINKS_MAX other fronts to a process that has ended."""
         others = [
             f
             for f in self.fronts.values()
@@ -319,7 +319,7 @@
         self.now = max(self.now, until)
 
     def at(self, when, action, *given):
-        """Schedules a step at time `when`."""
+        """Schedule a step at time `when`."""
         heapq.heappush(self.events, (when, next(self.sequence), None, None, action, given))
 
     def dump(self):
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -95,7 +95,7 @@
         self.reader = self.writer = None
 
     async def perform(self, row):
-        """Sends a request and records its end; repeats it once if it crossed the close of an idle connection."""
+        """Send a request and record its end; repeat it once if it crossed the close of an idle connection."""
         self.target.rows.append(row)
         row.fresh = self.writer is None
         if row.fresh and not await self._connect(row):
@@ -157,7 +157,7 @@
 
 
 async def misbehaves(target, how, seconds, chance):
-    """Runs a misbehaving client; its own requests are not judged, only the effect on other clients."""
+    """Run a misbehaving client; its own requests are not judged, only the effect on other clients."""
     end = time.monotonic() + seconds
     writers = []
     try:
--- a/standins/soak/judge.py
+++ b/standins/soak/judge.py
@@ -1,4 +1,4 @@
-"""Checks a soak against the rules, only from the records of servers and clients.
+"""Check a soak against the rules, only from the records of servers and clients.
 
 Each finding is (rule, text). A request need not be answered while its front is killed and not yet back, or stopped by
 SIGSTOP; every other request that was sent whole must get exactly one answer.
@@ -48,7 +48,7 @@
 
 
 def _known_events(row, told, windows):
-    """Returns {offset: time} of the events sent to the process of the front that got the request, in order of offsets.
+    """Return {offset: time} of the events sent to the process of the front that got the request, in order of offsets.
 
     An event sent while the front's bus connection was closing may not have arrived; sent again, it counts from then.
     """
@@ -128,7 +128,7 @@
 
 
 def _knows_draining(name, at, told, events):
-    """Returns whether a front knew for long enough that a server drains, and not yet that it serves again."""
+    """Return whether a front knew for long enough that a server drains, and not yet that it serves again."""
     state, since = "up", 0.0
     for offset in sorted(events):
         for host in events[offset].get("topology", {}).get("hosts", ()):
--- a/standins/soak/schedule.py
+++ b/standins/soak/schedule.py
@@ -116,7 +116,7 @@
 
 
 def shrunk(faults, fails):
-    """Returns a smaller schedule that still `fails`: leaves out halves, quarters and so on down to one fault."""
+    """Return a smaller schedule that still `fails`: leaves out halves, quarters and so on down to one fault."""
     size = len(faults) // 2
     while size:
         at = 0
--- a/standins/soak/servers.py
+++ b/standins/soak/servers.py
@@ -18,7 +18,7 @@
 
 
 def body_of(thing, nth, made):
-    """Returns the body of a part, which names the object, the part and the time when this copy was made."""
+    """Return the body of a part, which names the object, the part and the time when this copy was made."""
     return b"%s %s %d." % (thing.encode(), nth.encode(), made) * (1 + hash_of(thing) % 40)
 
 
@@ -52,7 +52,7 @@
         self.address = self.listener.sockets[0].getsockname()
 
     def current_mode(self):
-        """Returns the fault mode, "" once it is over."""
+        """Return the fault mode, "" once it is over."""
         return self.mode if time.monotonic() < self.until else ""
 
     async def apply_fault(self, mode, seconds):
