--- a/tests/fleet/test_fleet_rig.py
+++ b/tests/fleet/test_fleet_rig.py
@@ -1,4 +1,7 @@
-"""Real fronts with relays between them: what was told to one holds at all, whoever is killed, cut off or lying."""
+"""Replication among real front processes, with relays between them that cut off, lose, reorder and tear messages.
+
+A purge, drain or held removal given to one front must take effect at all, also after kills, pauses and partitions.
+"""
 
 import os
 import shutil
@@ -14,7 +17,7 @@
 from sprucegate.storage import records
 from standins.fleet.rig import Rig
 
-THING = 0x7F3A9C21E0B4D655
+OBJECT = 0x7F3A9C21E0B4D655
 
 
 def write_list(folder, *boxes):
@@ -26,62 +29,65 @@
     os.rename(folder / "fresh", folder / "list.kdl")
 
 
-def stamp():
+def now_ms():
     return int(time.time() * 1000)
 
 
-def purged(at):
+def purge_value(at):
     return at * 1_000_000
 
 
 @pytest.fixture
-def three(tmp_path):
+def three_fronts(tmp_path):
     with Rig(tmp_path, 3) as rig:
         rig.start_all()
         yield rig
 
 
-@pytest.mark.parametrize("sent", [True, False])
-def test_a_purge_told_to_one_that_is_killed_holds_at_all(three, sent):
-    rig, at = three, stamp()
-    if not sent:
+@pytest.mark.parametrize("is_spread", [True, False])
+def test_a_purge_given_to_a_front_that_is_then_killed_reaches_all_fronts(three_fronts, is_spread):
+    rig, at = three_fronts, now_ms()
+    if not is_spread:
         rig.split(["n0"], ["n1", "n2"])
     rig.purge(["n0"], 5, at)
-    rig.all_hold(("purge", "object", 5), purged(at), ["n0"])
-    if sent:
+    rig.all_hold(("purge", "object", 5), purge_value(at), ["n0"])
+    if is_spread:
         rig.fronts["n1"].until("fleet_told")
     rig.fronts["n0"].kill()
-    if not sent:
+    if not is_spread:
         assert not rig.fronts["n1"].holds() and not rig.fronts["n2"].holds()
         rig.trouble("heal")
-        rig.fronts["n0"].start()  # it was on its disk before it could be told
-    rig.all_hold(("purge", "object", 5), purged(at), None if not sent else ["n1", "n2"])
+        rig.fronts["n0"].start()  # the purge was on its disk before it could be sent
+    rig.all_hold(("purge", "object", 5), purge_value(at), None if not is_spread else ["n1", "n2"])
 
 
-def test_own_copies_older_than_a_purge_told_elsewhere_answer_no_more(three):
-    rig, sock = three, socket.create_connection(("127.0.0.1", three.fronts["n1"].port), timeout=5)
+def test_own_copies_older_than_a_purge_given_to_another_front_are_not_served(three_fronts):
+    rig, sock = (
+        three_fronts,
+        socket.create_connection(("127.0.0.1", three_fronts.fronts["n1"].port), timeout=5),
+    )
 
-    def own():
+    def own_copies():
         line = len(rig.fronts["n1"].lines)
         for n in range(5):
-            assert rig.get("n1", THING, own.calls + n, sock)[0] == 200
-        own.calls += 5
+            assert rig.get("n1", OBJECT, own_copies.calls + n, sock)[0] == 200
+        own_copies.calls += 5
         return rig.fronts["n1"].until("second", line).get("gets_own", 0)
 
-    own.calls = 1
-    rig.wait(lambda: own() > 0)
-    line, at = len(rig.fronts["n1"].lines), stamp()
-    rig.purge(["n0"], THING, at)
+    own_copies.calls = 1
+    rig.wait(lambda: own_copies() > 0)
+    line, at = len(rig.fronts["n1"].lines), now_ms()
+    rig.purge(["n0"], OBJECT, at)
     rig.fronts["n1"].until("fleet_told", line, kind="purge")
     ran = rig.fronts["n1"].until("second", len(rig.fronts["n1"].lines))["at"]
     line = len(rig.fronts["n1"].lines)
-    assert rig.get("n1", THING, 90_001, sock)[0] == 200
+    assert rig.get("n1", OBJECT, 90_001, sock)[0] == 200
     second = rig.fronts["n1"].until("second", line)
     assert second["at"] > ran and second["gets_returned"] == 1 and "gets_own" not in second
 
 
-def test_one_that_was_cut_off_gets_what_came_meanwhile_and_tells_what_it_heard(three):
-    rig, at = three, stamp()
+def test_a_front_that_was_cut_off_exchanges_missed_records_after_the_partition(three_fronts):
+    rig, at = three_fronts, now_ms()
     rig.split(["n2"], ["n0", "n1"])
     rig.purge(["n0"], 5, at)
     rig.health(["n1"], 0, "draining")
@@ -91,28 +97,28 @@
     assert set(rig.fronts["n2"].holds()) == {("purge", "object", 6)}
     rig.trouble("heal")
     for key, value in (
-        (("purge", "object", 5), purged(at)),
-        (("purge", "object", 6), purged(at)),
+        (("purge", "object", 5), purge_value(at)),
+        (("purge", "object", 6), purge_value(at)),
         (("word", 16, 0, "bus", "n1"), "draining"),
     ):
         rig.all_hold(key, value)
     rig.together()
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_cut_one_way_only(three, heard):
-    rig, at = three, stamp()
-    pair = {"from": ["n2"], "to": ["n0", "n1"]} if heard else {"from": ["n0", "n1"], "to": ["n2"]}
+@pytest.mark.parametrize("n2_receives", [True, False])
+def test_records_spread_over_a_one_way_partition(three_fronts, n2_receives):
+    rig, at = three_fronts, now_ms()
+    pair = {"from": ["n2"], "to": ["n0", "n1"]} if n2_receives else {"from": ["n0", "n1"], "to": ["n2"]}
     rig.trouble("cut", **pair)
-    teller, hearers = ("n0", ["n0", "n1", "n2"]) if heard else ("n2", ["n0", "n1", "n2"])
-    rig.purge([teller], 5, at)
-    rig.all_hold(("purge", "object", 5), purged(at), hearers)
+    source, receivers = ("n0", ["n0", "n1", "n2"]) if n2_receives else ("n2", ["n0", "n1", "n2"])
+    rig.purge([source], 5, at)
+    rig.all_hold(("purge", "object", 5), purge_value(at), receivers)
     rig.trouble("heal")
     rig.together()
 
 
-def test_drains_of_both_halves_hold_after_they_join_and_are_lifted_by_their_own(three):
-    rig = three
+def test_drains_from_both_sides_of_a_partition_hold_until_each_source_lifts_its_own(three_fronts):
+    rig = three_fronts
     rig.split(["n2"], ["n0", "n1"])
     rig.health(["n0"], 0, "draining")
     rig.health(["n2"], 0, "draining")
@@ -124,15 +130,15 @@
     rig.health(["n0"], 0, "up")
     rig.all_hold(("word", 16, 0, "bus", "n0"), "lifted")
     assert all(f.holds()[("word", 16, 0, "bus", "n2")] == "draining" for f in rig.fronts.values())
-    # n1 heard of neither by its own bus, and sends the server nothing until the second is lifted as well.
-    assert sent_to(rig, "n1", 0, 100) == 0
+    # n1 got neither drain by its own bus, and sends nothing to the server until the second is lifted as well.
+    assert gets_run_at(rig, "n1", 0, 100) == 0
     rig.health(["n2"], 0, "up")
     rig.all_hold(("word", 16, 0, "bus", "n2"), "lifted")
-    assert sent_to(rig, "n1", 0, 1000) > 0
+    assert gets_run_at(rig, "n1", 0, 1000) > 0
 
 
-def sent_to(rig, name, box, first):
-    """How many of 60 GETs of other objects through that front are run at one of the caches."""
+def gets_run_at(rig, name, box, first):
+    """Return how many of 60 GETs of other objects through that front are run at one of the caches."""
     before = rig.ran(box)
     with socket.create_connection(("127.0.0.1", rig.fronts[name].port), timeout=5) as sock:
         for n in range(first, first + 60):
@@ -140,8 +146,8 @@
     return rig.ran(box) - before
 
 
-def test_a_front_with_last_weeks_folder_gets_a_new_life_and_brings_nothing_back(three):
-    rig, at, front = three, stamp(), three.fronts["n2"]
+def test_a_front_with_a_restored_folder_takes_a_new_incarnation_and_restores_no_old_state(three_fronts):
+    rig, at, front = three_fronts, now_ms(), three_fronts.fronts["n2"]
     rig.health(["n2"], 0, "draining")
     rig.all_hold(("word", 16, 0, "bus", "n2"), "draining")
     front.kill()
@@ -149,48 +155,48 @@
     front.start()
     front.until("ready", len(front.lines))
     rig.together()
-    rig.health(["n2"], 0, "up")  # offset 3 of its bus: it hears 2 and 3 anew at each start
+    rig.health(["n2"], 0, "up")  # offset 3 of its bus, which sends offsets 2 and 3 again at each start
     rig.all_hold(("word", 16, 0, "bus", "n2"), "lifted")
     rig.purge(["n2"], 6, at)
-    rig.all_hold(("purge", "object", 6), purged(at))
+    rig.all_hold(("purge", "object", 6), purge_value(at))
     front.kill()
     shutil.rmtree(front.folder / "state")
     shutil.move(front.folder / "old", front.folder / "state")
     since = len(front.lines)
     front.start()
     front.until("ready", since)
-    rig.all_hold(("purge", "object", 6), purged(at))
+    rig.all_hold(("purge", "object", 6), purge_value(at))
     rig.all_hold(("word", 16, 0, "bus", "n2"), "lifted")
-    assert sent_to(rig, "n1", 0, 100) > 0
+    assert gets_run_at(rig, "n1", 0, 100) > 0
 
 
-def test_two_processes_of_one_name_are_told_apart(three):
-    rig, duplicate = three, three.duplicate("n2")
+def test_two_processes_of_one_name_are_distinguished(three_fronts):
+    rig, duplicate = three_fronts, three_fronts.duplicate("n2")
     duplicate.start()
     duplicate.until("ready")
     rig.wait(lambda: rig.fronts["n2"].seen("fleet_name_twice") or duplicate.seen("fleet_name_twice"), 30)
     seen = [line for f in (rig.fronts["n2"], duplicate) for line in f.seen("fleet_name_twice")]
     assert seen and all(line["own"] != line["other"] for line in seen)
-    at = stamp()
-    for number, teller in enumerate((duplicate, rig.fronts["n2"]), 70):
-        rig.purge_at(teller, number, at)
-        rig.all_hold(("purge", "object", number), purged(at))
+    at = now_ms()
+    for number, source in enumerate((duplicate, rig.fronts["n2"]), 70):
+        rig.purge_at(source, number, at)
+        rig.all_hold(("purge", "object", number), purge_value(at))
         rig.wait(lambda key=("purge", "object", number): key in duplicate.holds())
 
 
-def test_one_that_stood_still_takes_no_other_down_and_is_back(three):
-    rig, at, still = three, stamp(), three.fronts["n1"]
+def test_a_front_resumed_after_sigstop_rejoins_and_counts_no_other_as_gone(three_fronts):
+    rig, at, paused = three_fronts, now_ms(), three_fronts.fronts["n1"]
     rig.purge(["n1"], 4, at)
-    still.signal(signal.SIGSTOP)
+    paused.signal(signal.SIGSTOP)
     rig.purge(["n0"], 5, at)
-    rig.all_hold(("purge", "object", 5), purged(at), ["n0", "n2"])
+    rig.all_hold(("purge", "object", 5), purge_value(at), ["n0", "n2"])
     rig.fronts["n0"].until("fleet_member", member="n1", standing="suspect", patience=20)
-    time.sleep(5)  # what is looked at is a process that stands still for seconds
-    still.signal(signal.SIGCONT)
+    time.sleep(5)  # the test is of a process that is stopped for seconds
+    paused.signal(signal.SIGCONT)
     for number in (4, 5):
-        rig.all_hold(("purge", "object", number), purged(at))
+        rig.all_hold(("purge", "object", number), purge_value(at))
     rig.together()
-    assert not still.seen("fleet_member", standing="gone")
+    assert not paused.seen("fleet_member", standing="gone")
 
 
 def greeting(version, fleet):
@@ -216,7 +222,7 @@
         ),
     ],
 )
-def test_a_peer_that_misbehaves_loses_its_own_connection_alone(one_front, data, why):
+def test_a_malformed_message_closes_only_its_own_connection(one_front, data, why):
     rig, front = one_front, one_front.fronts["n0"]
     since = len(front.lines)
     with socket.create_connection(("127.0.0.1", front.fleet_port), timeout=5) as sock:
@@ -224,7 +230,7 @@
         while sock.recv(4096):
             pass
     assert why in front.until("fleet_peer_refused", since)["error"]
-    assert front.ask("status")["ok"] and rig.get("n0", THING, since + 1)[0] == 200
+    assert front.ask("status")["ok"] and rig.get("n0", OBJECT, since + 1)[0] == 200
 
 
 @pytest.fixture(scope="module")
@@ -236,8 +242,8 @@
         yield rig
 
 
-def test_a_fifth_of_the_frames_lost_doubled_turned_round_and_torn(three):
-    rig, at = three, stamp()
+def test_purges_reach_all_fronts_with_lost_duplicated_reordered_and_torn_frames(three_fronts):
+    rig, at = three_fronts, now_ms()
     everyone = {"from": rig.names, "to": rig.names}
     rig.trouble("loss", share=0.2, **everyone)
     rig.trouble("twice", share=0.1, **everyone)
@@ -247,10 +253,10 @@
         if number % 10 == 5:
             rig.trouble("tear", **everyone)
     for number in range(40):
-        rig.all_hold(("purge", "object", number), purged(at))
+        rig.all_hold(("purge", "object", number), purge_value(at))
 
 
-def test_what_was_let_go_while_one_was_away_does_not_come_back(tmp_path):
+def test_records_discarded_while_a_front_was_away_are_not_restored_by_it(tmp_path):
     with Rig(tmp_path, 3, kdl="    purge-life (s)1\n") as rig:
         rig.start_all()
         rig.health(["n0"], 0, "draining")
@@ -264,10 +270,10 @@
         rig.trouble("heal")
         rig.wait(lambda: not rig.fronts["n2"].holds(), 40)
         assert not rig.fronts["n0"].holds() and not rig.fronts["n1"].holds()
-        assert sent_to(rig, "n2", 0, 100) > 0
+        assert gets_run_at(rig, "n2", 0, 100) > 0
 
 
-def test_a_removal_held_at_one_front_is_held_at_all_and_let_through_by_one_word(tmp_path):
+def test_a_removal_held_at_one_front_is_held_at_all_and_confirmed_by_one_command(tmp_path):
     more = (
         f'membership {{{{\n    file "{tmp_path}/list.kdl"\n    state "{tmp_path}/{{name}}/servers"\n'
         "    most-removed 0.6\n    hold (min)10\n}}\n"
@@ -301,7 +307,7 @@
         rig.all_hold(next(iter(kinds)), 1)
 
 
-def test_a_removal_held_at_one_front_is_held_by_one_that_returns(tmp_path):
+def test_a_removal_held_at_one_front_is_held_by_a_restarted_front(tmp_path):
     more = (
         f'membership {{{{\n    file "{tmp_path}/list.kdl"\n    state "{tmp_path}/{{name}}/servers"\n'
         "    most-removed 0.6\n    hold (min)10\n}}\n"
@@ -312,7 +318,7 @@
         front = rig.fronts["n1"]
         rig.wait(lambda: any((front.folder / "servers").glob("servers-*.snap")))
         front.kill()
-        # By its own gate it would let it through.
+        # Its own safety gate would accept the removal.
         file = front.folder / "front.kdl"
         file.write_text(file.read_text().replace("most-removed 0.6", "most-removed 0.9"))
         write_list(tmp_path, 0)
@@ -323,64 +329,66 @@
         assert front.seen("servers_held", since)
 
 
-def test_beliefs_go_to_the_neighbours(three):
-    # Evidence of a front that just came is not taken: what makes bold has to have held for a while.
-    three.wait(
+def test_beliefs_are_sent_to_the_neighbours(three_fronts):
+    # Evidence is taken only from fronts that have been live for a while.
+    three_fronts.wait(
         lambda: all(
             one["standing"] == "live"
-            for name in three.names
-            for one in three.fronts[name].ask("status")["view"]["fronts"]
+            for name in three_fronts.names
+            for one in three_fronts.fronts[name].ask("status")["view"]["fronts"]
         )
     )
-    with socket.create_connection(("127.0.0.1", three.fronts["n0"].port), timeout=5) as sock:
+    with socket.create_connection(("127.0.0.1", three_fronts.fronts["n0"].port), timeout=5) as sock:
         for n in range(40):
-            assert three.get("n0", THING + n % 10, n + 1, sock)[0] == 200
-    three.wait(lambda: all(three.fronts[name].ask("status")["evidence_in"] >= 10 for name in ("n1", "n2")))
-    assert not three.fronts["n1"].holds()  # evidence is no fact
+            assert three_fronts.get("n0", OBJECT + n % 10, n + 1, sock)[0] == 200
+    three_fronts.wait(
+        lambda: all(three_fronts.fronts[name].ask("status")["evidence_in"] >= 10 for name in ("n1", "n2"))
+    )
+    assert not three_fronts.fronts["n1"].holds()  # evidence is not a replicated fact
 
 
-def test_seven_of_ten_killed_and_returned_at_once_under_gets(tmp_path):
+def test_seven_of_ten_fronts_restart_at_once_under_gets_and_have_all_purges(tmp_path):
     with Rig(tmp_path, 10) as rig:
         rig.start_all()
-        at, calls, answers = stamp(), iter(range(1, 1 << 30)), []
+        at, calls, answers = now_ms(), iter(range(1, 1 << 30)), []
         for number in range(100):
             rig.purge([rig.names[number % 10]], number, at)
-        # Every one of them: a front that is killed before its bus told it has nothing to lose.
+        # At every front: one that is killed before its bus sent the purge would have nothing to lose.
         rig.wait(lambda: all(len(front.holds()) == 100 for front in rig.fronts.values()))
         away = rig.names[3:]
         for name in away:
             rig.fronts[name].kill()
         rig.purge(["n0"], 500, at)
-        rig.all_hold(("purge", "object", 500), purged(at), rig.names[:3])
+        rig.all_hold(("purge", "object", 500), purge_value(at), rig.names[:3])
         since = {name: len(rig.fronts[name].lines) for name in away}
         for name in away:
             rig.fronts[name].start()
         for name in away:
-            answers += [rig.get(one, THING + n, next(calls))[0] for one in rig.names[:3] for n in range(5)]
+            answers += [rig.get(one, OBJECT + n, next(calls))[0] for one in rig.names[:3] for n in range(5)]
             rig.fronts[name].until("ready", since[name], patience=40)
             held = rig.fronts[name].holds()
-            assert len(held) == 101 and held[("purge", "object", 500)] == purged(at)
+            assert len(held) == 101 and held[("purge", "object", 500)] == purge_value(at)
             assert rig.fronts[name].live() == 200
         assert set(answers) == {200}
         rig.together()
 
 
-def test_a_front_alone_serves_and_joins_who_comes_later(tmp_path):
+def test_a_front_alone_serves_and_syncs_with_one_that_starts_later(tmp_path):
     with Rig(tmp_path, 2) as rig:
         one, other = rig.fronts.values()
         one.start()
         one.until("fleet_alone")
         one.until("ready")
-        at = stamp()
+        at = now_ms()
         rig.purge(["n0"], 5, at)
-        rig.all_hold(("purge", "object", 5), purged(at), ["n0"])
+        rig.all_hold(("purge", "object", 5), purge_value(at), ["n0"])
         other.start()
         other.until("fleet_caught_up")
-        assert other.holds() == {("purge", "object", 5): purged(at)}
+        assert other.holds() == {("purge", "object", 5): purge_value(at)}
         one.until("fleet_caught_up")
 
 
-def test_a_front_without_fleet_imports_nothing_of_it(tmp_path):
+def test_a_front_without_a_fleet_block_imports_nothing_of_the_fleet(tmp_path):
     (tmp_path / "empty.kdl").write_text("servers {\n}\n")
     for command in ([], ["front", "--file", str(tmp_path / "empty.kdl")]):
         done = subprocess.run(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's judge finds each broken rule in records; schedules are alike by seed, and shrunk to their cause."""
+"""The soak's judge finds each violated rule in the records; schedules are reproducible and shrink to their cause."""
 
 import pytest
 
@@ -10,12 +10,12 @@
 
 
 def row(how="answered", status=200, **changed):
-    made = RequestRecord(
+    client_request = RequestRecord(
         3, "a1", False, "1", 1, 1.0, sent=100.0, ended=100.2, how=how, status=status, body=BODY
     )
     for name, value in changed.items():
-        setattr(made, name, value)
-    return made
+        setattr(client_request, name, value)
+    return client_request
 
 
 def came(at=100.1, server="s-1", mode="", deaf=False, **fields):
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    "rule, made, records",
+    "rule, client_request, records",
     [
         ("lost", row(how="closed"), []),
         ("lost", row(how="timeout", ended=102.0), []),
@@ -63,12 +63,12 @@
         ("purged", row(), PURGE),
     ],
 )
-def test_each_broken_rule_is_found(rule, made, records):
-    assert [name for name, _ in judge.judged([made], records, [])] == [rule]
+def test_each_violated_rule_is_found(rule, client_request, records):
+    assert [name for name, _ in judge.judged([client_request], records, [])] == [rule]
 
 
 @pytest.mark.parametrize(
-    "made, records",
+    "client_request, records",
     [
         (row(), [came()]),
         (row(how="left"), []),
@@ -84,8 +84,8 @@
         (row(group=2), PURGE),
     ],
 )
-def test_what_is_as_it_should_be_is_no_finding(made, records):
-    assert judge.judged([made], records, []) == []
+def test_correct_behaviour_is_no_finding(client_request, records):
+    assert judge.judged([client_request], records, []) == []
 
 
 @pytest.mark.parametrize(
@@ -100,22 +100,22 @@
         (Window(3, "term", 99.0, 101.0), True),
     ],
 )
-def test_only_a_front_that_was_gone_or_stood_still_is_excused(window, excused):
+def test_only_a_front_that_was_down_or_paused_is_excused(window, excused):
     assert (judge.judged([row(how="closed")], [], [window]) == []) is excused
 
 
-def test_what_a_former_process_was_told_binds_not_the_next_one():
+def test_an_event_sent_to_an_earlier_process_does_not_bind_the_next_one():
     found = judge.judged([row()], [came(), *drain(at=90.0)], [Window(3, "kill", 95.0, 96.0)])
     assert found == []
 
 
-def test_a_schedule_follows_from_its_seed_and_overlaps():
+def test_a_schedule_is_reproducible_by_its_seed_and_has_overlapping_faults():
     one, again, other = (schedule.drawn(seed, 60, 24, 9) for seed in (1, 1, 2))
     assert one == again != other
     assert sum(b.at - a.at < 1 for a, b in zip(one, one[1:], strict=False)) > len(one) // 3
 
 
-def test_a_failing_schedule_is_shrunk_to_what_it_needs():
-    troubles = schedule.drawn(3, 60, 24, 9)
-    needed = {troubles[3], troubles[17]}
-    assert set(schedule.shrunk(troubles, lambda fewer: needed <= set(fewer))) == needed
+def test_a_failing_schedule_is_shrunk_to_the_faults_that_it_needs():
+    faults = schedule.drawn(3, 60, 24, 9)
+    needed = {faults[3], faults[17]}
+    assert set(schedule.shrunk(faults, lambda fewer: needed <= set(fewer))) == needed
