--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -130,7 +130,7 @@
 def spread_real(size, count):
     """ms from a purge, or a drain, heard by one front to the last front acting; own copies served late."""
     with tempfile.TemporaryDirectory() as folder, Rig(pathlib.Path(folder), size) as rig:
-        rig.start_all(patience=120)
+        rig.start_all(timeout_s=120)
         times, chance, old, lost, drainer = [], random.Random(size), 0, 0, ""
         for number in range(count):
             name = (
@@ -217,8 +217,8 @@
         for name in rig.names[: size - away]:
             rig.fronts[name].start()
         for name in rig.names[: size - away]:
-            rig.fronts[name].until("ready", patience=60)
-        rig.together(60, rig.names[: size - away])
+            rig.fronts[name].until("ready", timeout_s=60)
+        rig.wait_until_all_alive(60, rig.names[: size - away])
         time.sleep(1)
         sent = sum(rig.fronts[n].ask("status")["bytes_out"] for n in rig.names[: size - away])
         stalls, begun = Stalls(rig.fronts["n0"]), time.monotonic()
@@ -227,7 +227,7 @@
         for name in rig.names[size - away :]:
             rig.fronts[name].start()
         for name in rig.names[size - away :]:
-            rig.fronts[name].until("ready", patience=240)
+            rig.fronts[name].until("ready", timeout_s=240)
             took.append(time.monotonic() - begun)
             assert rig.fronts[name].ask("status")["facts"].get("purge") == count
         stalls.stopped = True
@@ -245,7 +245,7 @@
         for at, name in enumerate(("n0", "n1")):
             filled(rig.fronts[name].folder / "state", count, now, later=at)
         rig.fronts["n0"].start()
-        rig.fronts["n0"].until("ready", patience=60)
+        rig.fronts["n0"].until("ready", timeout_s=60)
         stalls, begun = Stalls(rig.fronts["n0"]), time.monotonic()
         stalls.start()
         for name in ("n1", "n2"):
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -242,7 +242,7 @@
             # A front of this load is cut off, never killed: a GET on its way through it would be lost with it.
             rig.split([name], [n for n in [*rig.keepers, *rig.names] if n != name])
             stop.wait(1)
-            rig.trouble("heal")
+            rig.inject_fault("heal")
         elif what == "kill":
             process.kill()
             stop.wait(1)
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -248,17 +248,17 @@
             elif what == "cut":
                 made.split([steward], others)
             else:
-                made.trouble("cut", **{"from": others, "to": [steward]})
+                made.inject_fault("cut", **{"from": others, "to": [steward]})
             time.sleep(lasts)
             if what == "kill":
                 since = len(front.lines)
                 front.start()
-                front.until("ready", since, patience=40)
+                front.until("ready", since, timeout_s=40)
                 recover.append((begun, time.time_ns()))
             elif what == "stop":
                 front.signal(signal.SIGCONT)
             else:
-                made.trouble("heal")
+                made.inject_fault("heal")
             time.sleep(size.recover)
             hit.append((steward, begun, time.time_ns()))
             spans.append((what, time.time_ns() - 3 * S, time.time_ns()))
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -105,7 +105,7 @@
                 rig.split(names[: size // 2], names[size // 2 :])
                 seen = [rig.fronts[n].until("fleet_view", since[n], state="part")["at"] for n in names]
                 split.append(max(seen) - begun)
-                rig.trouble("heal")
+                rig.inject_fault("heal")
                 _live(rig)
     return killed, silent, split, wrong
 
--- a/standins/fleet/mixed_builds.py
+++ b/standins/fleet/mixed_builds.py
@@ -26,7 +26,7 @@
 FRONTS = 3
 VOTERS = 3
 BUDGETS = '"fleet cache 1 1.0"'
-DEFAULT_PATIENCE_S = 40
+DEFAULT_TIMEOUT_S = 40
 LEADER_CHANGES_MAX = 12
 LEASE_HOLDER_CHANGES_MAX = 3
 NANOSECONDS_PER_MS = 1_000_000
@@ -69,13 +69,13 @@
     :ivar purges: {object: Unix ms} of the purges so far
     """
 
-    def __init__(self, folder, checkouts, patience):
+    def __init__(self, folder, checkouts, timeout_s):
         """`checkouts`: the folder of its build by the name of a front or voter; this build where there is none.
 
-        `patience`: seconds for which a state is waited for.
+        `timeout_s`: seconds for which a state is waited for.
         """
         self.folder = folder
-        self.patience = patience
+        self.timeout_s = timeout_s
         self.purges = {}
         self.calls = 0
         fronts = " ".join(f'"n{number}"' for number in range(FRONTS))
@@ -128,9 +128,9 @@
         for process in self.processes().values():
             process.start()
         for name, front in self.rig.fronts.items():
-            front.until("ready", since[name], patience=self.patience)
-        self.rig.together(self.patience)
-        self.rig.wait(self.follows_log, self.patience)
+            front.until("ready", since[name], timeout_s=self.timeout_s)
+        self.rig.wait_until_all_alive(self.timeout_s)
+        self.rig.wait(self.follows_log, self.timeout_s)
 
     def follows_log(self):
         """Whether each front has the fronts and servers of the replicated log."""
@@ -146,7 +146,7 @@
         for process in self.processes().values():
             process.signal(signal.SIGTERM)
         for name, process in self.processes().items():
-            status = process.process.wait(self.patience)
+            status = process.process.wait(self.timeout_s)
             if status != 0:
                 raise StepFailed(f"{name} exited with {status} on SIGTERM, expected 0")
 
@@ -173,7 +173,9 @@
     def check_purges(self):
         """Wait until all fronts hold all purges."""
         for number, at in self.purges.items():
-            self.rig.all_hold(("purge", "object", number), at * NANOSECONDS_PER_MS, patience=self.patience)
+            self.rig.wait_for_fact(
+                ("purge", "object", number), at * NANOSECONDS_PER_MS, timeout_s=self.timeout_s
+            )
 
     def propose(self, front, *command, expected):
         """Send an operator's command to a front; its result has to be one of those expected."""
@@ -184,12 +186,12 @@
     def drain(self, front, permit, server):
         """Ask for a maintenance permit and wait until all fronts have drained the server."""
         self.propose(front, "ask", permit, server, "operator", "mixed builds", expected=("asked", "granted"))
-        self.rig.step(permit, "drained", patience=self.patience)
+        self.rig.step(permit, "drained", timeout_s=self.timeout_s)
 
     def withdraw(self, front, permit):
         """Withdraw a permit and wait until all fronts know it."""
         self.propose(front, "withdraw", permit, expected=("withdrawn",))
-        self.rig.step(permit, "withdrawn", patience=self.patience)
+        self.rig.step(permit, "withdrawn", timeout_s=self.timeout_s)
 
     def serve(self):
         """Send a GET through each front; each has to be answered with 200."""
@@ -216,27 +218,27 @@
         self.rig.wait(
             lambda: self.lease_holder()
             and sum(self.share(front).get("all_here", 0) for front in self.rig.names) == PARENT_SLOTS,
-            self.patience,
+            self.timeout_s,
         )
 
     # Changes of the leader and of the lease holder.
 
     def leader(self):
         """Return the name of the leading voter, once there is one."""
-        self.rig.wait(self.rig.leader, self.patience)
+        self.rig.wait(self.rig.leader, self.timeout_s)
         return self.rig.leader()
 
     def restart(self, process, event):
         """Start a killed process again and wait for the log event that it is back."""
         since = len(process.lines)
         process.start()
-        process.until(event, since, self.patience)
+        process.until(event, since, self.timeout_s)
 
     def change_leader(self):
         """Kill the leader, wait for another one, start the killed voter again; return the new leader's name."""
         former = self.leader()
         self.rig.keepers[former].kill()
-        self.rig.wait(lambda: self.rig.leader() not in ("", former), self.patience)
+        self.rig.wait(lambda: self.rig.leader() not in ("", former), self.timeout_s)
         self.restart(self.rig.keepers[former], "keeper_fit")
         return self.leader()
 
@@ -247,10 +249,10 @@
         self.rig.fronts[former].kill()
         self.rig.wait(
             lambda: all(self.share(name).get("steward") in others for name in others),
-            self.patience,
+            self.timeout_s,
         )
         self.restart(self.rig.fronts[former], "ready")
-        self.rig.together(self.patience)
+        self.rig.wait_until_all_alive(self.timeout_s)
         self.check_leases()
         return self.lease_holder()
 
@@ -260,11 +262,11 @@
     print(f"passed: {step}", flush=True)
 
 
-def handover(folder, other, patience):
+def handover(folder, other, timeout_s):
     """Hand the folders of a fleet from the other build to this one and back."""
     everything = {f"n{number}": other for number in range(FRONTS)}
     everything |= {f"k{number}": other for number in range(VOTERS)}
-    with Fleet(folder, everything, patience) as fleet:
+    with Fleet(folder, everything, timeout_s) as fleet:
         rig = fleet.rig
         fleet.start()
         fleet.purge("n0")
@@ -272,7 +274,7 @@
         waves = [["s-11"], ["s-12", "s-13"]]
         release = ["v2", "std", "2", "1", waves, 600_000]
         fleet.propose("n0", "release", release, "operator", expected=("started",))
-        rig.phase("v2", "running", fleet.patience)
+        rig.phase("v2", "running", fleet.timeout_s)
         fleet.check_leases()
         rig.wait(lambda: all(any((f.folder / "servers").glob("*.snap")) for f in rig.fronts.values()))
         fleet.stop()
@@ -284,7 +286,7 @@
         fleet.purge("n1")
         fleet.withdraw("n2", "first")
         fleet.propose("n1", "halt", "v2", "operator", "mixed builds", expected=("halted",))
-        rig.phase("v2", "halted", fleet.patience)
+        rig.phase("v2", "halted", fleet.timeout_s)
         fleet.serve()
         fleet.stop()
 
@@ -306,19 +308,19 @@
         front.until("fleet_loaded", since[name])
         front.until("snapshot_read", since[name])
     fleet.check_purges()
-    fleet.rig.step(permit, step, patience=fleet.patience)
-    fleet.rig.phase("v2", phase, fleet.patience)
+    fleet.rig.step(permit, step, timeout_s=fleet.timeout_s)
+    fleet.rig.phase("v2", phase, fleet.timeout_s)
     fleet.check_leases()
 
 
-def mixed(folder, other, patience):
+def mixed(folder, other, timeout_s):
     """Run fronts and voters of both builds in one fleet.
 
     The lease holder is the front whose name has the lowest hash, and the next one while it is away: those two, n2 and
     n0, are of different builds.
     """
     checkouts = {"n0": other, "n1": other, "k0": other, "k2": other}
-    with Fleet(folder, checkouts, patience) as fleet:
+    with Fleet(folder, checkouts, timeout_s) as fleet:
         fleet.start()
         fleet.purge("n0")
         fleet.purge("n2")
@@ -358,9 +360,9 @@
     agent.start()
     server = f"s-{16 + cache:02x}"
     fleet.propose(front, "ask", permit, server, "operator", "mixed builds", expected=("asked", "granted"))
-    fleet.rig.step(permit, "back", patience=fleet.patience)
+    fleet.rig.step(permit, "back", timeout_s=fleet.timeout_s)
     agent.stopped = True
-    agent.join(fleet.patience)
+    agent.join(fleet.timeout_s)
     if agent.fault is not None:
         raise StepFailed(f"the agent failed: {agent.fault!r}")
 
@@ -376,7 +378,7 @@
     flags.add_argument("--other", type=pathlib.Path, required=True, help="a checkout of the other build")
     flags.add_argument("--stage", choices=STAGES, action="append", help="run only this one; may be repeated")
     flags.add_argument(
-        "--patience", type=float, default=DEFAULT_PATIENCE_S, help="seconds for which a state is waited for"
+        "--patience", type=float, default=DEFAULT_TIMEOUT_S, help="seconds for which a state is waited for"
     )
     given = flags.parse_args()
     other = given.other.resolve()
--- a/standins/fleet/rig.py
+++ b/standins/fleet/rig.py
@@ -128,9 +128,9 @@
             if line["event"] == event and all(line.get(k) == v for k, v in wanted.items())
         ]
 
-    def until(self, event, since=0, patience=20, **wanted):
-        """Wait for the first matching log line at or after index `since`; fail after `patience` seconds."""
-        deadline = time.monotonic() + patience
+    def until(self, event, since=0, timeout_s=20, **wanted):
+        """Wait for the first matching log line at or after index `since`; fail after `timeout_s`."""
+        deadline = time.monotonic() + timeout_s
         with self.line_added:
             while not (matches := self.seen(event, since, **wanted)):
                 left = deadline - time.monotonic()
@@ -296,12 +296,12 @@
 
     # Schedule steps and waits.
 
-    def start_all(self, patience=30):
+    def start_all(self, timeout_s=30):
         for front in [*self.keepers.values(), *self.fronts.values()]:
             front.start()
         for front in self.fronts.values():
-            front.until("ready", patience=patience)
-        self.together(patience)
+            front.until("ready", timeout_s=timeout_s)
+        self.wait_until_all_alive(timeout_s)
         if self.keepers:
             count = len(self.boxes) - 1 + len(self.names)
             self.wait(
@@ -310,7 +310,7 @@
                     and state["boxes"] == count
                     for name in self.names
                 ),
-                patience,
+                timeout_s,
             )
 
     # The replicated log.
@@ -345,11 +345,11 @@
         steps = {p["id"]: p["step"] for p in state.get("permits", ())} | state.get("ended", {})
         return steps.get(id, "")
 
-    def step(self, id, step, names=None, patience=20):
+    def step(self, id, step, names=None, timeout_s=20):
         """Wait until the permit is at `step` at each front of `names`, by default at all."""
-        self.wait(lambda: all(self.step_of(name, id) == step for name in names or self.names), patience)
+        self.wait(lambda: all(self.step_of(name, id) == step for name in names or self.names), timeout_s)
 
-    def phase(self, release, phase, patience=60):
+    def phase(self, release, phase, timeout_s=60):
         """Wait until the release is in `phase` at all fronts."""
 
         def has_phase():
@@ -358,9 +358,9 @@
                 for name in self.names
             )
 
-        self.wait(has_phase, patience)
+        self.wait(has_phase, timeout_s)
 
-    def together(self, patience=30, names=None):
+    def wait_until_all_alive(self, timeout_s=30, names=None):
         """Wait until each front of `names`, by default all, lists all of them as alive."""
         names = list(names or self.names)
 
@@ -373,11 +373,11 @@
                     return False
             return True
 
-        self.wait(all_alive, patience)
+        self.wait(all_alive, timeout_s)
 
-    def wait(self, what, patience=20):
+    def wait(self, what, timeout_s=20):
         """Poll until `what()` is true: for conditions that no log event reports."""
-        deadline = time.monotonic() + patience
+        deadline = time.monotonic() + timeout_s
         while not what():
             assert time.monotonic() < deadline, what
             time.sleep(0.01)
@@ -426,21 +426,21 @@
             names, topology={"seq": self.offset, "whole": False, "hosts": [self.host(box, kind, health)]}
         )
 
-    def trouble(self, do, **parameters):
+    def inject_fault(self, do, **parameters):
         self.relay.send(do=do, **parameters)
         assert self.relay.process.stdout.readline() == "set\n"
 
     def split(self, one, other):
-        self.trouble("cut", **{"from": one, "to": other})
-        self.trouble("cut", **{"from": other, "to": one})
+        self.inject_fault("cut", **{"from": one, "to": other})
+        self.inject_fault("cut", **{"from": other, "to": one})
 
-    def all_hold(self, key, value, names=None, patience=20):
+    def wait_for_fact(self, key, value, names=None, timeout_s=20):
         """Wait until each front of `names`, by default all, holds at least `value` of the fact `key`."""
 
         def all_have_value():
             return all(_at_least(self.fronts[name].holds().get(key), value) for name in names or self.names)
 
-        self.wait(all_have_value, patience)
+        self.wait(all_have_value, timeout_s)
 
     def get(self, name, obj, call_id, sock=None, extra=""):
         """Send one GET through a front and return status and body; `extra`: header lines, each with its CRLF."""
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -431,7 +431,7 @@
         world.at(when + duration + 2, world.restart, voter.name)
 
 
-def settle(world, patience=240 * S):
+def settle(world, timeout=240 * S):
     world.cut.clear()
     world.loss = 0.0
     for name, box in world.boxes.items():
@@ -444,7 +444,7 @@
     for cache in world.caches.values():
         cache.recovers()
     # A halted release continues only by an operator's command.
-    until = world.now + patience
+    until = world.now + timeout
     while world.now < until:
         world.run(world.now + 5 * S)
         machine = world.machine()
--- a/standins/fleet/sharing.py
+++ b/standins/fleet/sharing.py
@@ -196,13 +196,13 @@
 
     # Steps of a schedule.
 
-    def get(self, name, source, tenant, patience, fill_time):
+    def get(self, name, source, tenant, time_limit, fill_time):
         front, number = self.fronts[name], next(self.numbers)
         if front.up:
-            self.note(name, "asks", source, tenant, number, self.now + patience)
+            self.note(name, "asks", source, tenant, number, self.now + time_limit)
             front.event(
                 lambda: front.quotas.request_arrived(
-                    (number, tenant, fill_time), source, tenant, front.clock() + patience, front.clock()
+                    (number, tenant, fill_time), source, tenant, front.clock() + time_limit, front.clock()
                 )
             )
 
@@ -240,7 +240,7 @@
         return max(sorted(set(said)), key=said.count) if said else ""
 
 
-def load(world, span, per_s, tenants, patience=3 * S, begin=0, source=21):
+def load(world, span, per_s, tenants, time_limit=3 * S, begin=0, source=21):
     """Schedule GETs of those tenants at each front, spread evenly; the fill time is around 20, 60 or 200 ms."""
     chance = random.Random(world.seed * 13 + sum(tenants))
     for name in world.fronts:
@@ -248,7 +248,7 @@
             at = begin + int(chance.random() * S / per_s)
             while at < begin + span:
                 fill_time = int(chance.choice((20, 60, 200)) * MS * chance.uniform(0.5, 1.5))
-                world.at(at, world.get, name, source, tenant, patience, fill_time)
+                world.at(at, world.get, name, source, tenant, time_limit, fill_time)
                 at += int(S / per_s * chance.uniform(0.5, 1.5))
 
 
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -268,7 +268,7 @@
     drained_at = int(time.time() * 1000)
     assert drained_at >= lost_at  # its own lease ended before the leader stopped waiting for it
     assert rig.agreed("n1")["fronts"] == ["n1"] and rig.agreed("n0")["fenced"]
-    rig.trouble("heal")
+    rig.inject_fault("heal")
     rig.wait(lambda: rig.agreed("n1")["fronts"] == ["n0", "n1"])
 
 
--- a/tests/fleet/test_fleet_rig.py
+++ b/tests/fleet/test_fleet_rig.py
@@ -50,15 +50,15 @@
     if not is_spread:
         rig.split(["n0"], ["n1", "n2"])
     rig.purge(["n0"], 5, at)
-    rig.all_hold(("purge", "object", 5), purge_value(at), ["n0"])
+    rig.wait_for_fact(("purge", "object", 5), purge_value(at), ["n0"])
     if is_spread:
         rig.fronts["n1"].until("fleet_told")
     rig.fronts["n0"].kill()
     if not is_spread:
         assert not rig.fronts["n1"].holds() and not rig.fronts["n2"].holds()
-        rig.trouble("heal")
+        rig.inject_fault("heal")
         rig.fronts["n0"].start()  # the purge was on its disk before it could be sent
-    rig.all_hold(("purge", "object", 5), purge_value(at), None if not is_spread else ["n1", "n2"])
+    rig.wait_for_fact(("purge", "object", 5), purge_value(at), None if not is_spread else ["n1", "n2"])
 
 
 def test_own_copies_older_than_a_purge_given_to_another_front_are_not_served(three_fronts):
@@ -92,29 +92,29 @@
     rig.purge(["n0"], 5, at)
     rig.health(["n1"], 0, "draining")
     rig.purge(["n2"], 6, at)
-    rig.all_hold(("word", 16, 0, "bus", "n1"), "draining", ["n0", "n1"])
-    rig.fronts["n0"].until("fleet_member", member="n2", standing="gone", patience=40)
+    rig.wait_for_fact(("word", 16, 0, "bus", "n1"), "draining", ["n0", "n1"])
+    rig.fronts["n0"].until("fleet_member", member="n2", standing="gone", timeout_s=40)
     assert set(rig.fronts["n2"].holds()) == {("purge", "object", 6)}
-    rig.trouble("heal")
+    rig.inject_fault("heal")
     for key, value in (
         (("purge", "object", 5), purge_value(at)),
         (("purge", "object", 6), purge_value(at)),
         (("word", 16, 0, "bus", "n1"), "draining"),
     ):
-        rig.all_hold(key, value)
-    rig.together()
+        rig.wait_for_fact(key, value)
+    rig.wait_until_all_alive()
 
 
 @pytest.mark.parametrize("n2_receives", [True, False])
 def test_records_spread_over_a_one_way_partition(three_fronts, n2_receives):
     rig, at = three_fronts, now_ms()
     pair = {"from": ["n2"], "to": ["n0", "n1"]} if n2_receives else {"from": ["n0", "n1"], "to": ["n2"]}
-    rig.trouble("cut", **pair)
+    rig.inject_fault("cut", **pair)
     source, receivers = ("n0", ["n0", "n1", "n2"]) if n2_receives else ("n2", ["n0", "n1", "n2"])
     rig.purge([source], 5, at)
-    rig.all_hold(("purge", "object", 5), purge_value(at), receivers)
-    rig.trouble("heal")
-    rig.together()
+    rig.wait_for_fact(("purge", "object", 5), purge_value(at), receivers)
+    rig.inject_fault("heal")
+    rig.wait_until_all_alive()
 
 
 def test_drains_from_both_sides_of_a_partition_hold_until_each_source_lifts_its_own(three_fronts):
@@ -122,18 +122,18 @@
     rig.split(["n2"], ["n0", "n1"])
     rig.health(["n0"], 0, "draining")
     rig.health(["n2"], 0, "draining")
-    rig.all_hold(("word", 16, 0, "bus", "n0"), "draining", ["n0", "n1"])
-    rig.all_hold(("word", 16, 0, "bus", "n2"), "draining", ["n2"])
-    rig.trouble("heal")
+    rig.wait_for_fact(("word", 16, 0, "bus", "n0"), "draining", ["n0", "n1"])
+    rig.wait_for_fact(("word", 16, 0, "bus", "n2"), "draining", ["n2"])
+    rig.inject_fault("heal")
     for owner in ("n0", "n2"):
-        rig.all_hold(("word", 16, 0, "bus", owner), "draining")
+        rig.wait_for_fact(("word", 16, 0, "bus", owner), "draining")
     rig.health(["n0"], 0, "up")
-    rig.all_hold(("word", 16, 0, "bus", "n0"), "lifted")
+    rig.wait_for_fact(("word", 16, 0, "bus", "n0"), "lifted")
     assert all(f.holds()[("word", 16, 0, "bus", "n2")] == "draining" for f in rig.fronts.values())
     # n1 got neither drain by its own bus, and sends nothing to the server until the second is lifted as well.
     assert gets_run_at(rig, "n1", 0, 100) == 0
     rig.health(["n2"], 0, "up")
-    rig.all_hold(("word", 16, 0, "bus", "n2"), "lifted")
+    rig.wait_for_fact(("word", 16, 0, "bus", "n2"), "lifted")
     assert gets_run_at(rig, "n1", 0, 1000) > 0
 
 
@@ -149,24 +149,24 @@
 def test_a_front_with_a_restored_folder_takes_a_new_incarnation_and_restores_no_old_state(three_fronts):
     rig, at, front = three_fronts, now_ms(), three_fronts.fronts["n2"]
     rig.health(["n2"], 0, "draining")
-    rig.all_hold(("word", 16, 0, "bus", "n2"), "draining")
+    rig.wait_for_fact(("word", 16, 0, "bus", "n2"), "draining")
     front.kill()
     shutil.copytree(front.folder / "state", front.folder / "old")
     front.start()
     front.until("ready", len(front.lines))
-    rig.together()
+    rig.wait_until_all_alive()
     rig.health(["n2"], 0, "up")  # offset 3 of its bus, which sends offsets 2 and 3 again at each start
-    rig.all_hold(("word", 16, 0, "bus", "n2"), "lifted")
+    rig.wait_for_fact(("word", 16, 0, "bus", "n2"), "lifted")
     rig.purge(["n2"], 6, at)
-    rig.all_hold(("purge", "object", 6), purge_value(at))
+    rig.wait_for_fact(("purge", "object", 6), purge_value(at))
     front.kill()
     shutil.rmtree(front.folder / "state")
     shutil.move(front.folder / "old", front.folder / "state")
     since = len(front.lines)
     front.start()
     front.until("ready", since)
-    rig.all_hold(("purge", "object", 6), purge_value(at))
-    rig.all_hold(("word", 16, 0, "bus", "n2"), "lifted")
+    rig.wait_for_fact(("purge", "object", 6), purge_value(at))
+    rig.wait_for_fact(("word", 16, 0, "bus", "n2"), "lifted")
     assert gets_run_at(rig, "n1", 0, 100) > 0
 
 
@@ -180,7 +180,7 @@
     at = now_ms()
     for number, source in enumerate((duplicate, rig.fronts["n2"]), 70):
         rig.purge_at(source, number, at)
-        rig.all_hold(("purge", "object", number), purge_value(at))
+        rig.wait_for_fact(("purge", "object", number), purge_value(at))
         rig.wait(lambda key=("purge", "object", number): key in duplicate.holds())
 
 
@@ -189,13 +189,13 @@
     rig.purge(["n1"], 4, at)
     paused.signal(signal.SIGSTOP)
     rig.purge(["n0"], 5, at)
-    rig.all_hold(("purge", "object", 5), purge_value(at), ["n0", "n2"])
-    rig.fronts["n0"].until("fleet_member", member="n1", standing="suspect", patience=20)
+    rig.wait_for_fact(("purge", "object", 5), purge_value(at), ["n0", "n2"])
+    rig.fronts["n0"].until("fleet_member", member="n1", standing="suspect", timeout_s=20)
     time.sleep(5)  # the test is of a process that is stopped for seconds
     paused.signal(signal.SIGCONT)
     for number in (4, 5):
-        rig.all_hold(("purge", "object", number), purge_value(at))
-    rig.together()
+        rig.wait_for_fact(("purge", "object", number), purge_value(at))
+    rig.wait_until_all_alive()
     assert not paused.seen("fleet_member", standing="gone")
 
 
@@ -245,29 +245,29 @@
 def test_purges_reach_all_fronts_with_lost_duplicated_reordered_and_torn_frames(three_fronts):
     rig, at = three_fronts, now_ms()
     everyone = {"from": rig.names, "to": rig.names}
-    rig.trouble("loss", share=0.2, **everyone)
-    rig.trouble("twice", share=0.1, **everyone)
-    rig.trouble("swap", share=0.1, **everyone)
+    rig.inject_fault("loss", share=0.2, **everyone)
+    rig.inject_fault("twice", share=0.1, **everyone)
+    rig.inject_fault("swap", share=0.1, **everyone)
     for number in range(40):
         rig.purge([rig.names[number % 3]], number, at)
         if number % 10 == 5:
-            rig.trouble("tear", **everyone)
+            rig.inject_fault("tear", **everyone)
     for number in range(40):
-        rig.all_hold(("purge", "object", number), purge_value(at))
+        rig.wait_for_fact(("purge", "object", number), purge_value(at))
 
 
 def test_records_discarded_while_a_front_was_away_are_not_restored_by_it(tmp_path):
     with Rig(tmp_path, 3, kdl="    purge-life (s)1\n") as rig:
         rig.start_all()
         rig.health(["n0"], 0, "draining")
-        rig.all_hold(("word", 16, 0, "bus", "n0"), "draining")
+        rig.wait_for_fact(("word", 16, 0, "bus", "n0"), "draining")
         rig.split(["n2"], ["n0", "n1"])
-        rig.fronts["n0"].until("fleet_member", member="n2", standing="gone", patience=40)
-        rig.fronts["n1"].until("fleet_member", member="n2", standing="gone", patience=40)
+        rig.fronts["n0"].until("fleet_member", member="n2", standing="gone", timeout_s=40)
+        rig.fronts["n1"].until("fleet_member", member="n2", standing="gone", timeout_s=40)
         rig.health(["n0"], 0, "up")
         rig.wait(lambda: not rig.fronts["n0"].holds() and not rig.fronts["n1"].holds(), 40)
         assert rig.fronts["n2"].holds() == {("word", 16, 0, "bus", "n0"): "draining"}
-        rig.trouble("heal")
+        rig.inject_fault("heal")
         rig.wait(lambda: not rig.fronts["n2"].holds(), 40)
         assert not rig.fronts["n0"].holds() and not rig.fronts["n1"].holds()
         assert gets_run_at(rig, "n2", 0, 100) > 0
@@ -304,7 +304,7 @@
         assert done.returncode == 0
         for front in rig.fronts.values():
             front.until("servers_confirmed")
-        rig.all_hold(next(iter(kinds)), 1)
+        rig.wait_for_fact(next(iter(kinds)), 1)
 
 
 def test_a_removal_held_at_one_front_is_held_by_a_restarted_front(tmp_path):
@@ -359,18 +359,18 @@
         for name in away:
             rig.fronts[name].kill()
         rig.purge(["n0"], 500, at)
-        rig.all_hold(("purge", "object", 500), purge_value(at), rig.names[:3])
+        rig.wait_for_fact(("purge", "object", 500), purge_value(at), rig.names[:3])
         since = {name: len(rig.fronts[name].lines) for name in away}
         for name in away:
             rig.fronts[name].start()
         for name in away:
             answers += [rig.get(one, OBJECT + n, next(calls))[0] for one in rig.names[:3] for n in range(5)]
-            rig.fronts[name].until("ready", since[name], patience=40)
+            rig.fronts[name].until("ready", since[name], timeout_s=40)
             held = rig.fronts[name].holds()
             assert len(held) == 101 and held[("purge", "object", 500)] == purge_value(at)
             assert rig.fronts[name].live() == 200
         assert set(answers) == {200}
-        rig.together()
+        rig.wait_until_all_alive()
 
 
 def test_a_front_alone_serves_and_syncs_with_one_that_starts_later(tmp_path):
@@ -381,7 +381,7 @@
         one.until("ready")
         at = now_ms()
         rig.purge(["n0"], 5, at)
-        rig.all_hold(("purge", "object", 5), purge_value(at), ["n0"])
+        rig.wait_for_fact(("purge", "object", 5), purge_value(at), ["n0"])
         other.start()
         other.until("fleet_caught_up")
         assert other.holds() == {("purge", "object", 5): purge_value(at)}
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -776,7 +776,7 @@
         for at, command in enumerate(commands):
             world.at(3 * S + at * S // 2, world.operator, "n1", *command)
         world.run(until * S)
-        rollouts.settle(world, patience=10 * S)
+        rollouts.settle(world, timeout=10 * S)
         return world
 
     return made
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -608,7 +608,7 @@
     elif how == "stopped":
         front.signal(signal.SIGCONT)
     else:
-        shared.trouble("heal")
+        shared.inject_fault("heal")
     shared.wait(
         lambda: all(
             share(shared, name).get("steward") == share(shared, "n0").get("steward") != ""
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -309,14 +309,14 @@
 def test_a_link_cut_one_way_and_a_cut_of_two_that_both_reach_others(five):
     for name in five.names:
         all_see(five, name, "live")
-    five.trouble("cut", **{"from": [n for n in five.names if n != "n1"], "to": ["n1"]})
+    five.inject_fault("cut", **{"from": [n for n in five.names if n != "n1"], "to": ["n1"]})
     five.wait(lambda: stands(five, "n0", "n1") == "one-way", 30)  # it speaks, and hears nobody
-    five.trouble("heal")
+    five.inject_fault("heal")
     all_see(five, "n1", "live", patience=40)
     five.split(["n0"], ["n2"])
     five.wait(lambda: stands(five, "n0", "n2") == "cut-off" and stands(five, "n2", "n0") == "cut-off", 40)
     assert stands(five, "n1", "n0") == stands(five, "n1", "n2") == "live"
-    five.trouble("heal")
+    five.inject_fault("heal")
     for name in ("n0", "n2"):
         all_see(five, name, "live", patience=40)
 
@@ -342,7 +342,7 @@
     kept.wait(lambda: all(view(kept, name)["agreed"] == 0 for name in kept.names))
     assert {stands(kept, "n0", other) for other in ("n1", "n2")} == {"live"}  # by the members' word alone
     assert view(kept, "n0")["state"] == "whole" and kept.get("n0", 5, 5)[0] == 200
-    kept.trouble("heal")
+    kept.inject_fault("heal")
     kept.wait(lambda: all(view(kept, name)["agreed"] for name in kept.names))
 
 
@@ -352,7 +352,7 @@
     said = kept.fronts["n1"].ask("why", "view", "n0")["facts"][0]
     assert said["by"] == "keepers" and view(kept, "n0")["agreed"] == 0
     assert kept.get("n0", 6, 6)[0] == 200
-    kept.trouble("heal")
+    kept.inject_fault("heal")
     all_see(kept, "n0", "live", patience=40)
 
 
@@ -364,7 +364,7 @@
             since = len(front.lines)
             front.kill()
             front.start()
-            front.until("ready", since, patience=40)
+            front.until("ready", since, timeout_s=40)
         rig.wait(lambda: stands(rig, "n0", "n2") == stands(rig, "n1", "n2") == "flapping", 30)
         assert rig.get("n2", 7, 7)[0] == 200
         all_see(rig, "n0", "live", ["n2"])
