--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -210,7 +210,7 @@
             sum(o.count for o in loads),
             sum(o.lost for o in loads),
             sum(o.late for o in loads),
-            sum(a.late for a in agents),
+            sum(a.late_gets for a in agents),
             most,
             twice,
         )
@@ -293,7 +293,7 @@
             f"at rest: a keeper {max(rest[:3]):.1%} of a core at most, a front {max(rest[3:]):.1%}",
             flush=True,
         )
-        agents = [Agent(rig, "a0", range(6), down=0.0)]
+        agents = [Agent(rig, "a0", range(6), downtime=0.0)]
         agents[0].start()
         longest = 0
         for number in range(times):
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -221,10 +221,10 @@
     async def _clients(self, front, one):
         if one.how in ("leave", "dribble"):
             for client in self.all[::4]:
-                client.manner = one.how
+                client.misbehaviour = one.how
             await asyncio.sleep(one.seconds)
             for client in self.all[::4]:
-                client.manner = ""
+                client.misbehaviour = ""
             return
         await clients.misbehaves(front.target, one.how, one.seconds, self.chance)
 
--- a/standins/fleet/agent.py
+++ b/standins/fleet/agent.py
@@ -1,7 +1,7 @@
 """A maintenance agent for the rig: restarts servers under a permit, using the first front that answers.
 
-`manner` makes it misbehave: "lying" reports a server as started while it is down, "dying" exits after stopping the
-server, "failing" fails the first two starts, "idle" ignores permits. A front is stopped by SIGTERM and started again;
+`misbehaviour`: "lying" reports a server as started while it is down, "dying" exits after stopping the server, "failing"
+fails the first two starts, "idle" ignores permits, "" none. A front is stopped by SIGTERM and started again;
 a stand-in cache is killed and replaced by a new process. `versions`: version -> flags of the stand-in that runs it.
 """
 
@@ -15,13 +15,19 @@
 
 
 class Agent(threading.Thread):
-    def __init__(self, rig, name, boxes, manner="", versions=None, down=0.1):
-        """`boxes`: numbers of the rig's caches, or names of fronts; `down`: seconds from stop to start of a server."""
+    def __init__(self, rig, name, boxes, misbehaviour="", versions=None, downtime=0.1):
+        """`boxes`: numbers of the rig's caches, or names of fronts; `downtime`: seconds that a server is stopped."""
         super().__init__(daemon=True)
-        self.rig, self.name, self.manner, self.versions, self.down = rig, name, manner, versions or {}, down
+        self.rig, self.name, self.misbehaviour, self.versions, self.downtime = (
+            rig,
+            name,
+            misbehaviour,
+            versions or {},
+            downtime,
+        )
         self.boxes = {at if isinstance(at, str) else f"s-{at + 16:02x}": at for at in boxes}
-        self.vain, self.stop_begun = 0, {}
-        self.stopped, self.renewed, self.started, self.counted, self.late, self.replaced = (
+        self.failed_starts, self.stop_begun = 0, {}
+        self.stopped, self.renewed, self.started, self.counted, self.late_gets, self.replaced = (
             False,
             {},
             {},
@@ -45,7 +51,7 @@
     def _process_permits(self, front, permits):
         for permit in permits:
             id, box, step = permit["id"], self.boxes[permit["box"]], permit["step"]
-            if self.manner == "idle":
+            if self.misbehaviour == "idle":
                 continue
             if (
                 step in ("drained", "out", "cold")
@@ -60,10 +66,10 @@
                     if id not in self.stop_begun:
                         self.stop_begun[id] = True
                         self._stop_server(id, box)
-                    if self.manner == "dying":
+                    if self.misbehaviour == "dying":
                         self.stopped = True
                         return
-                    if self.manner == "lying":
+                    if self.misbehaviour == "lying":
                         self.rig.propose(front, "started", id, "not so")
                         continue
                     self._start_server(id, box, permit["version"])
@@ -71,7 +77,7 @@
                     self.rig.propose(front, "started", id, self.started[id])
             elif step == "cold" and not isinstance(box, str):
                 if id not in self.started or self.rig.boxes[box].process.poll() is not None:
-                    if self.manner != "lying":
+                    if self.misbehaviour != "lying":
                         self._start_server(id, box, permit["version"])
                 if id in self.started and self.started[id] != permit["start"]:
                     self.rig.propose(front, "started", id, self.started[id])
@@ -85,21 +91,21 @@
         self._kill_process(box)
 
     def _kill_process(self, box):
-        """Count in `late` the GETs that the cache gets after all fronts reported it drained, then kill it.
+        """Count in `late_gets` the GETs that the cache gets after all fronts reported it drained, then kill it.
 
         The first 50 ms are not counted, for GETs under way.
         """
         time.sleep(0.05)
         before = self.rig.ran(box)
         time.sleep(0.1)
-        self.late += self.rig.ran(box) - before
+        self.late_gets += self.rig.ran(box) - before
         process = self.rig.boxes[box].process
         if process.poll() is None:
             process.kill()
             process.wait()
 
     def _start_server(self, id, box, version):
-        time.sleep(self.down)
+        time.sleep(self.downtime)
         if isinstance(box, str):
             front = self.rig.fronts[box]
             since = len(front.lines)
@@ -108,8 +114,8 @@
             self.started[id] = str(time.time_ns())
             self.replaced.append((box, version))
             return
-        if self.manner == "failing" and self.vain < 2:
-            self.vain += 1
+        if self.misbehaviour == "failing" and self.failed_starts < 2:
+            self.failed_starts += 1
             return
         old = self.rig.boxes[box]
         old.process.stdout.close()
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -185,12 +185,12 @@
 class Agent(Process):
     """Restart its servers under permits.
 
-    `manner`: "slow", "lying" (reports a server as started while it is down) or "" for a well-behaved one.
+    `misbehaviour`: "slow", "lying" (reports a server as started while it is down) or "" for a well-behaved one.
     """
 
-    def __init__(self, world, name, boxes, manner=""):
+    def __init__(self, world, name, boxes, misbehaviour=""):
         super().__init__(world, name)
-        self.boxes, self.manner, self.busy_until = boxes, manner, {}
+        self.boxes, self.misbehaviour, self.busy_until = boxes, misbehaviour, {}
 
     def on_started(self):
         self.busy_until, self.renewed = {}, {}
@@ -215,8 +215,8 @@
                 self.busy_until[id] = now + 500 * MS
                 if cache.out_for != id:
                     cache.stop(id)
-                    self.busy_until[id] = now + (3 * S if self.manner == "slow" else S)
-                    if self.manner == "lying" and cache.false_reports < 2:
+                    self.busy_until[id] = now + (3 * S if self.misbehaviour == "slow" else S)
+                    if self.misbehaviour == "lying" and cache.false_reports < 2:
                         cache.false_reports += 1
                         found.append(["started", id, "never"])
                 elif cache.state == "down":
@@ -312,7 +312,9 @@
 class Fleet(World):
     process_class = KeeperBox
 
-    def __init__(self, size, fronts, caches, seed, loss=0.0, manners=(), noise=0.0, gate=None, apart=0.0):
+    def __init__(
+        self, size, fronts, caches, seed, loss=0.0, misbehaviours=(), noise=0.0, gate=None, apart=0.0
+    ):
         super().__init__(size, seed, loss, apart=apart)
         self.gate, self.noise = gate, noise
         self.keepers = list(self.boxes)
@@ -324,7 +326,8 @@
         self.fronts = {f"n{at}": Front(self, f"n{at}") for at in range(fronts)}
         names = list(self.caches)
         self.agents = {
-            f"a{at}": Agent(self, f"a{at}", set(names[at::3]), (*manners, "", "", "")[at]) for at in range(3)
+            f"a{at}": Agent(self, f"a{at}", set(names[at::3]), (*misbehaviours, "", "", "")[at])
+            for at in range(3)
         }
         self.boxes.update(self.fronts)
         self.boxes.update(self.agents)
@@ -364,8 +367,8 @@
 def played(seed, size=3, fronts=6, caches=12, loss=0.0, span=40 * S, ends=True, apart=0.0):
     """Play a release and manual drains with two to eight faults, then time to settle if `ends`."""
     chance = random.Random(seed * 17 + size)
-    manners = chance.choice([(), ("slow",), ("lying", "slow")])
-    world = Fleet(size, fronts, caches, seed, loss, manners, apart=apart)
+    misbehaviours = chance.choice([(), ("slow",), ("lying", "slow")])
+    world = Fleet(size, fronts, caches, seed, loss, misbehaviours, apart=apart)
     names = list(world.fronts)
     world.at(2 * S, world.operator, chance.choice(names), "release", plan(world.caches), "op")
     for _ in range(chance.randrange(1, 5)):
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -58,7 +58,7 @@
 
     def __init__(self, number, targets, seed):
         self.targets, self.chance = targets, random.Random(f"{seed} client {number}")
-        self.number, self.count, self.manner = number, 0, ""
+        self.number, self.count, self.misbehaviour = number, 0, ""
         self.reader = self.writer = self.target = None
 
     def row(self):
@@ -120,10 +120,10 @@
         return True
 
     async def _exchange(self, row):
-        will_leave = self.manner == "leave" or self.chance.random() < 0.04
+        will_leave = self.misbehaviour == "leave" or self.chance.random() < 0.04
         try:
             text = request_bytes(row)
-            if self.manner == "dribble":
+            if self.misbehaviour == "dribble":
                 for at in range(0, len(text), 60):
                     self.writer.write(text[at : at + 60])
                     await asyncio.sleep(0.02)
--- a/tests/fleet/test_fleet_agreed.py
+++ b/tests/fleet/test_fleet_agreed.py
@@ -64,7 +64,7 @@
     assert ask_permit(rig, "n0", "s-10", "h")["word"] == "asked"
     rig.step("h", "back")
     stop_agent(agent)
-    assert agent.replaced == [(0, "")] and agent.late == 0
+    assert agent.replaced == [(0, "")] and agent.late_gets == 0
     assert all(
         rig.get(name, OBJECT_ID + n, next(request_numbers))[0] == 200 for name in rig.names for n in range(10)
     )
@@ -221,7 +221,7 @@
 
 
 def test_an_agents_false_report_of_a_restart_ends_no_permit(rig):
-    agent = start_agent(rig, manner="lying")
+    agent = start_agent(rig, misbehaviour="lying")
     ask_permit(rig, "n0", "s-10", "h")
     rig.step("h", "cold")
     ask_permit(rig, "n0", "s-11", "i")
@@ -246,7 +246,7 @@
 
 
 def test_another_agent_continues_after_one_that_crashed_with_its_server_down(rig):
-    agent = start_agent(rig, manner="dying")
+    agent = start_agent(rig, misbehaviour="dying")
     ask_permit(rig, "n0", "s-10", "h")
     ask_permit(rig, "n0", "s-11", "i")
     agent.join(20)
@@ -328,7 +328,7 @@
     load.stopped = True
     load.join(10)
     stop_agent(agent)
-    assert sorted(agent.replaced) == [(at, "2") for at in range(4)] and agent.late == 0
+    assert sorted(agent.replaced) == [(at, "2") for at in range(4)] and agent.late_gets == 0
     assert load.count > 200 and load.failed == []
 
 
@@ -414,11 +414,11 @@
 
 
 def test_a_server_whose_first_starts_fail_keeps_its_permit(rig):
-    agent = start_agent(rig, manner="failing")
+    agent = start_agent(rig, misbehaviour="failing")
     ask_permit(rig, "n0", "s-10", "h")
     rig.step("h", "back")
     stop_agent(agent)
-    assert agent.vain == 2 and agent.replaced == [(0, "")]
+    assert agent.failed_starts == 2 and agent.replaced == [(0, "")]
 
 
 class FullableDisk(Disk):
--- a/tests/fleet/test_fleet_wall_clock.py
+++ b/tests/fleet/test_fleet_wall_clock.py
@@ -51,7 +51,7 @@
     rig.step("h", "back")
     agent.stopped = True
     agent.join(20)
-    assert agent.fault is None and agent.late == 0 and agent.replaced == [(0, "")]
+    assert agent.fault is None and agent.late_gets == 0 and agent.replaced == [(0, "")]
     step_clocks(rig, names, 0)  # back to the true time
     time.sleep(0.5)
     assert_all_serve(rig, 50)
@@ -72,7 +72,7 @@
     rig.step("i", "back")
     agent.stopped = True
     agent.join(20)
-    assert agent.fault is None and agent.late == 0 and sorted(agent.replaced) == [(0, ""), (1, "")]
+    assert agent.fault is None and agent.late_gets == 0 and sorted(agent.replaced) == [(0, ""), (1, "")]
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
