--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -27,7 +27,7 @@
 from standins.faults import SHORT, Faults
 from standins.ports import free_port
 from standins.soak import clients, judge, schedule
-from standins.soak.schedule import Trouble
+from standins.soak.schedule import Fault
 
 CACHES, PARENTS = 6, 2
 SETTINGS = {
@@ -151,7 +151,7 @@
             self.servers.wait(20)
         rows = [row for front in self.fronts for row in front.target.rows]
         records = [json.loads(line) for line in self.records.read_text().splitlines()]
-        self.found += judge.judged(rows, records, self.windows)
+        self.found += judge.find_violations(rows, records, self.windows)
         self.found += self._fronts()
         return rows
 
@@ -226,7 +226,7 @@
             for client in self.all[::4]:
                 client.misbehaviour = ""
             return
-        await clients.misbehaves(front.target, one.how, one.seconds, self.chance)
+        await clients.run_misbehaving_client(front.target, one.how, one.seconds, self.chance)
 
     async def _term(self, front, one):
         await self._stops(front)
@@ -304,7 +304,7 @@
     `keep` is a folder for the schedule, records, fronts' logs and findings of one that failed.
     """
     if troubles is None:
-        troubles = schedule.drawn(seed, seconds, count, CACHES + PARENTS + 1)
+        troubles = schedule.generate_schedule(seed, seconds, count, CACHES + PARENTS + 1)
     with tempfile.TemporaryDirectory() as folder:
         made = Soak(seed, seconds, count, troubles, Path(folder))
         rows = uvloop.run(made.run())
@@ -333,13 +333,13 @@
         seconds, fronts = 9, 3
     troubles = None
     if replay:
-        troubles = [Trouble(*one) for one in json.loads(Path(replay).read_text())]
+        troubles = [Fault(*one) for one in json.loads(Path(replay).read_text())]
     troubles, found, figures = played(seed, seconds, fronts, troubles, keep)
     for rule, text in found[:40]:
         print(f"{rule}: {text}", flush=True)
     if found and shrink:
         rules = {rule for rule, _ in found}
-        troubles = schedule.shrunk(
+        troubles = schedule.shrink_schedule(
             troubles, lambda fewer: any(rule in rules for rule, _ in played(seed, seconds, fronts, fewer)[1])
         )
         print(json.dumps(troubles), flush=True)
--- a/standins/soak/clients.py
+++ b/standins/soak/clients.py
@@ -156,7 +156,7 @@
             self.close_connection()
 
 
-async def misbehaves(target, how, seconds, chance):
+async def run_misbehaving_client(target, how, seconds, chance):
     """Run a misbehaving client; its own requests are not judged, only the effect on other clients."""
     end = time.monotonic() + seconds
     writers = []
--- a/standins/soak/judge.py
+++ b/standins/soak/judge.py
@@ -29,7 +29,7 @@
     end: float
 
 
-def judged(rows, records, windows):
+def find_violations(rows, records, windows):
     came, told, events = defaultdict(list), defaultdict(list), {}
     for one in records:
         if one["what"] == "came":
--- a/standins/soak/schedule.py
+++ b/standins/soak/schedule.py
@@ -54,7 +54,7 @@
 CLIENT_MODES = ("leave", "flood", "pipeline", "dribble", "rest", "burst")
 
 
-class Trouble(NamedTuple):
+class Fault(NamedTuple):
     """A fault of kind `what` that begins `at` seconds into the soak; `what` decides what `where` and `how` mean."""
 
     at: float
@@ -71,21 +71,21 @@
         "call": lambda: ":".join(chance.choice(CALLS)),
         "hup": lambda: str(chance.randrange(1, 6)),
     }.get(what, lambda: "")()
-    return Trouble(at, what, chance.randrange(fronts), how, round(chance.uniform(0.2, 1.5), 3))
+    return Fault(at, what, chance.randrange(fronts), how, round(chance.uniform(0.2, 1.5), 3))
 
 
 def _server_fault(chance, at, servers):
     what = chance.choice(("server", "server", "drain", "restart", "purge"))
     how = chance.choice(SERVER_MODES) if what == "server" else ""
-    return Trouble(at, what, chance.randrange(servers), how, round(chance.uniform(0.3, 3.0), 3))
+    return Fault(at, what, chance.randrange(servers), how, round(chance.uniform(0.3, 3.0), 3))
 
 
 def _bus_fault(chance, at):
-    return Trouble(at, "bus", 0, chance.choice(BUS_MODES), round(chance.uniform(0.5, 4.0), 3))
+    return Fault(at, "bus", 0, chance.choice(BUS_MODES), round(chance.uniform(0.5, 4.0), 3))
 
 
 def _client_fault(chance, at, fronts):
-    return Trouble(
+    return Fault(
         at,
         "clients",
         chance.randrange(fronts),
@@ -94,7 +94,7 @@
     )
 
 
-def drawn(seed, seconds, fronts, servers):
+def generate_schedule(seed, seconds, fronts, servers):
     chance, found, at = random.Random(f"soak {seed}"), [], QUIET_S
     while at < seconds - QUIET_S:
         for _ in range(chance.choice((2, 2, 3))):
@@ -115,7 +115,7 @@
     return sorted(found)
 
 
-def shrunk(faults, fails):
+def shrink_schedule(faults, fails):
     """Return a smaller schedule that still `fails`: leaves out halves, quarters and so on down to one fault."""
     size = len(faults) // 2
     while size:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -64,7 +64,7 @@
     ],
 )
 def test_each_violated_rule_is_found(rule, client_request, records):
-    assert [name for name, _ in judge.judged([client_request], records, [])] == [rule]
+    assert [name for name, _ in judge.find_violations([client_request], records, [])] == [rule]
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
     ],
 )
 def test_correct_behaviour_is_no_finding(client_request, records):
-    assert judge.judged([client_request], records, []) == []
+    assert judge.find_violations([client_request], records, []) == []
 
 
 @pytest.mark.parametrize(
@@ -101,21 +101,21 @@
     ],
 )
 def test_only_a_front_that_was_down_or_paused_is_excused(window, excused):
-    assert (judge.judged([row(how="closed")], [], [window]) == []) is excused
+    assert (judge.find_violations([row(how="closed")], [], [window]) == []) is excused
 
 
 def test_an_event_sent_to_an_earlier_process_does_not_bind_the_next_one():
-    found = judge.judged([row()], [came(), *drain(at=90.0)], [Window(3, "kill", 95.0, 96.0)])
+    found = judge.find_violations([row()], [came(), *drain(at=90.0)], [Window(3, "kill", 95.0, 96.0)])
     assert found == []
 
 
 def test_a_schedule_is_reproducible_by_its_seed_and_has_overlapping_faults():
-    one, again, other = (schedule.drawn(seed, 60, 24, 9) for seed in (1, 1, 2))
+    one, again, other = (schedule.generate_schedule(seed, 60, 24, 9) for seed in (1, 1, 2))
     assert one == again != other
     assert sum(b.at - a.at < 1 for a, b in zip(one, one[1:], strict=False)) > len(one) // 3
 
 
 def test_a_failing_schedule_is_shrunk_to_the_faults_that_it_needs():
-    faults = schedule.drawn(3, 60, 24, 9)
+    faults = schedule.generate_schedule(3, 60, 24, 9)
     needed = {faults[3], faults[17]}
-    assert set(schedule.shrunk(faults, lambda fewer: needed <= set(fewer))) == needed
+    assert set(schedule.shrink_schedule(faults, lambda fewer: needed <= set(fewer))) == needed
