--- a/benchmarks/replication.py
+++ b/benchmarks/replication.py
@@ -28,7 +28,7 @@
 from sprucegate.storage.disk import Disk
 from standins.fleet import checkers
 from standins.fleet.rig import Rig
-from standins.fleet.schedules import played
+from standins.fleet.schedules import play_schedule
 from standins.fleet.simulated import MS, Fleet, S
 
 
@@ -84,7 +84,7 @@
 def _one(given):
     """One schedule: (broken promises, ms from telling to the last front acting, of each purge told in quiet)."""
     seed, size, loss = given
-    return len(checkers.broken(played(seed, size, loss).trace))
+    return len(checkers.find_violations(play_schedule(seed, size, loss).trace))
 
 
 def schedules(count, pool):
@@ -107,7 +107,7 @@
     for number in range(5):
         begun = len(fleet.trace)
         at, name = fleet.now, fleet.chance.choice(list(fleet.fronts))
-        fleet.purged(name, number, 1)
+        fleet.purge(name, number, 1)
         acted = []
         while len(acted) < size - 1 and fleet.now < at + 10 * S:
             fleet.run(fleet.now + S // 5)
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -96,17 +96,17 @@
     """(which promises broke, by name) of one schedule."""
     seed, size, fronts, caches, span = given
     # With two hundred boxes a release takes an hour of this machine to its end: there it is looked at for a while.
-    world = rollouts.played(
+    world = rollouts.play_schedule(
         seed, size, fronts, caches, loss=(0, 0.1, 0.3)[seed % 3], span=span * S, ends=fronts < 200
     )
-    return Counter(name for name, _ in rollouts.broken(world.trace, caches))
+    return Counter(name for name, _ in rollouts.find_violations(world.trace, caches))
 
 
 def _log(seed):
     """Which promises of the log broke in one schedule of keepers alone, folders put back among its troubles."""
     spare = 2 if seed % 4 == 0 else 0
-    world = keepers.played(seed, (3, 5)[seed % 2], (0, 0.1, 0.3)[seed % 3], spare=spare)
-    return Counter(name for name, _ in keepers.broken(world.trace))
+    world = keepers.play_schedule(seed, (3, 5)[seed % 2], (0, 0.1, 0.3)[seed % 3], spare=spare)
+    return Counter(name for name, _ in keepers.find_violations(world.trace))
 
 
 def _release(given):
@@ -115,7 +115,7 @@
     world = rollouts.Fleet(3, 4, 20, seed, noise=noise)
     if version == "never":
         for cache in world.caches.values():
-            cache.starts_again = _stays_down(cache)
+            cache.start_again = _stays_down(cache)
     world.at(2 * S, world.operator, "n0", "release", rollouts.plan(world.caches, version), "op")
     # Two versions of one name: what is out for it, or has it.
     worst, halted = 0, False
@@ -132,7 +132,7 @@
     return halted, worst
 
 
-def _stays_down(cache, real=rollouts.Cache.starts_again):
+def _stays_down(cache, real=rollouts.Cache.start_again):
     def starts(version):
         if version != "never":
             real(cache, version)
@@ -381,7 +381,7 @@
             "false_halts": false,
             "good_releases": len(good),
         }
-    states = explore_keepers.explored(size.depth)
+    states = explore_keepers.explore_to_depth(size.depth)
     print(f"explored: {states}", flush=True)
     figures["explored"] = states[0] if isinstance(states, tuple) else states
     with ThreadPoolExecutor(size.at_once) as fleets:
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -85,7 +85,7 @@
 
 def one(given):
     seed, size, loss, quiet = given
-    return sharing.broken(sharing.played(seed, size, loss, span=8 * S, quiet=quiet).trace)
+    return sharing.find_violations(sharing.play_schedule(seed, size, loss, span=8 * S, quiet=quiet).trace)
 
 
 class Load:
@@ -127,7 +127,7 @@
 
 
 def rig(folder, on, fronts):
-    boxes = filling.boxes([1, 1, 1.5, 2], {"s-14": PLACES, "s-15": 5}, folder / "fills")
+    boxes = filling.start_boxes([1, 1, 1.5, 2], {"s-14": PLACES, "s-15": 5}, folder / "fills")
     more = shares_of(fronts) if on else ""
     return Rig(folder, fronts, boxes=boxes, kinds=("std",) * 4 + ("parent", "origin"), more=more)
 
@@ -150,7 +150,7 @@
 
 def got(folder, begin, end):
     """({tenant: place seconds at the parent between}, fills over)."""
-    rows, over = filling.counted(folder / "fills")
+    rows, over = filling.read_fills(folder / "fills")
     used = dict.fromkeys(OF, 0.0)
     names = {first: name for name, first in OF.items()}
     for at, source, thing, took in rows:
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -31,12 +31,12 @@
 
 
 def _schedules(seed):
-    return digest_of(schedules.played(seed, 5, 0.1).trace)
+    return digest_of(schedules.play_schedule(seed, 5, 0.1).trace)
 
 
 def _viewing(seed):
-    trace = schedules.played(seed, 4).trace
-    return digest_of(trace, viewing.detected(trace), len(viewing.broken(trace)))
+    trace = schedules.play_schedule(seed, 4).trace
+    return digest_of(trace, viewing.detection_times(trace), len(viewing.find_violations(trace)))
 
 
 def _late_starts(seed):
@@ -45,33 +45,33 @@
     for at, name in ((0, "n3"), (1, "n4"), (3, "n0"), (8, "n5"), (14, "n1"), (40, "n2")):
         fleet.at(at * S + 1, fleet.start, name)
     for at in range(2, 42, 4):
-        fleet.at(at * S, fleet.purged, "n3", at, at)
-        fleet.at(at * S, fleet.drained, "n4", at)
+        fleet.at(at * S, fleet.purge, "n3", at, at)
+        fleet.at(at * S, fleet.drain, "n4", at)
     fleet.run(45 * S)
     fleet.dump()
     return digest_of(fleet.trace)
 
 
 def _keepers(seed):
-    return digest_of(keepers.played(seed, 3, 0.1, spare=2).trace)
+    return digest_of(keepers.play_schedule(seed, 3, 0.1, spare=2).trace)
 
 
 def _keepers_put_back(seed):
-    return digest_of(keepers.played(seed, 3, 0.1, back=1, apart=0.01).trace)
+    return digest_of(keepers.play_schedule(seed, 3, 0.1, back=1, apart=0.01).trace)
 
 
 def _rollouts(seed):
-    return digest_of(rollouts.played(seed, 3, 4, 9, loss=0.1, span=20 * S).trace)
+    return digest_of(rollouts.play_schedule(seed, 3, 4, 9, loss=0.1, span=20 * S).trace)
 
 
 def _rollouts_bound(seed):
     """With so many caches that the fleet's own limit binds, and not only those of locations."""
-    return digest_of(rollouts.played(seed, 3, 4, 15, loss=0.1, span=20 * S).trace)
+    return digest_of(rollouts.play_schedule(seed, 3, 4, 15, loss=0.1, span=20 * S).trace)
 
 
 def _sharing(seed):
-    trace = sharing.played(seed, 3, 0.1, span=8 * S, quiet=False).trace
-    return digest_of(trace, sharing.used(trace))
+    trace = sharing.play_schedule(seed, 3, 0.1, span=8 * S, quiet=False).trace
+    return digest_of(trace, sharing.place_time_used(trace))
 
 
 SCHEDULES = {
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -13,7 +13,7 @@
 from sprucegate.fleet.membership_view.tracker import ViewTracker
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
-from standins.fleet.schedules import played
+from standins.fleet.schedules import play_schedule
 from standins.fleet.simulated import Fleet
 
 MS, S = 1_000_000, 1_000_000_000
@@ -52,8 +52,8 @@
 def one(given):
     """(cries, times to detect) of one schedule; large fleets are played for a while and not to their end."""
     seed, size, loss, span = given
-    trace = played(seed, size, loss, span=span * S, settle=25 * S).trace
-    return viewing.broken(trace), viewing.detected(trace)
+    trace = play_schedule(seed, size, loss, span=span * S, settle=25 * S).trace
+    return viewing.find_violations(trace), viewing.detection_times(trace)
 
 
 def quantile(times, share):
--- a/standins/fleet/checkers.py
+++ b/standins/fleet/checkers.py
@@ -183,6 +183,6 @@
 }
 
 
-def broken(trace):
+def find_violations(trace):
     """Return (number of the guarantee, text) for each violation in the trace."""
     return [(number, text) for number, check in ALL.items() for text in check(trace)]
--- a/standins/fleet/explore.py
+++ b/standins/fleet/explore.py
@@ -182,7 +182,7 @@
         )
 
 
-def explored(depth, names=("a", "b"), losses=1, crashes=1, seconds=None):
+def explore_to_depth(depth, names=("a", "b"), losses=1, crashes=1, seconds=None):
     """Return (count of states, count of final states settled); raises Broken at the first violation."""
     started_at, seen, frontier, settled = (
         time.monotonic(),
@@ -220,7 +220,7 @@
     flags.add_argument("--crashes", type=int, default=1)
     options = flags.parse_args(arguments)
     started_at = time.monotonic()
-    states, settled = explored(
+    states, settled = explore_to_depth(
         options.depth, ("a", "b", "c")[: options.fronts], options.losses, options.crashes
     )
     print(
--- a/standins/fleet/explore_fitness.py
+++ b/standins/fleet/explore_fitness.py
@@ -148,9 +148,9 @@
         )
 
 
-def explored(depth):
+def explore_to_depth(depth):
     """Return the number of distinct states; raises Broken at the first violation."""
-    return exploring.explored(Instance(), depth)
+    return exploring.explore_to_depth(Instance(), depth)
 
 
 if __name__ == "__main__":
--- a/standins/fleet/explore_keepers.py
+++ b/standins/fleet/explore_keepers.py
@@ -158,9 +158,9 @@
         )
 
 
-def explored(depth, contested=False):
+def explore_to_depth(depth, contested=False):
     """Return the number of distinct states; raises Broken at the first violation."""
-    return exploring.explored(Instance().contested() if contested else Instance(), depth)
+    return exploring.explore_to_depth(Instance().contested() if contested else Instance(), depth)
 
 
 if __name__ == "__main__":
--- a/standins/fleet/explore_shares.py
+++ b/standins/fleet/explore_shares.py
@@ -20,7 +20,7 @@
 LONGEST = 2400 * MS  # longer than a lease: a fill continues after the lease that it began under has ended
 SETTINGS = QuotaSettings((Tenant(1, 0), Tenant(1, 0)), NAMES, {SOURCE: PLACES}, LONGEST)
 TIMER_INTERVAL = LEASE_DURATION // 4
-WHILES = (LEASE_DURATION // 2, 2 * LEASE_DURATION, SETTINGS.floor_waiver)
+PERIODS = (LEASE_DURATION // 2, 2 * LEASE_DURATION, SETTINGS.floor_waiver)
 
 
 class Broken(Exception):
@@ -92,8 +92,8 @@
 
     def possible(self):
         up = [name for name in NAMES if name not in self.dead]
-        found = [("goes-on", (span, paused, False)) for span in WHILES for paused in ("", *up)]
-        found += [("goes-on", (span, "", True)) for span in WHILES[:2]]
+        found = [("goes-on", (span, paused, False)) for span in PERIODS for paused in ("", *up)]
+        found += [("goes-on", (span, "", True)) for span in PERIODS[:2]]
         found += [("get", (n, self.gets % 2)) for n in up] if self.gets else []
         found += [("kill", n) for n in up] if self.kills else []
         found += [("cut", pair) for pair in (("a", "b"), ("a", "c"), ("b", "c"))] if self.cuts else []
@@ -167,9 +167,9 @@
         )
 
 
-def explored(depth):
+def explore_to_depth(depth):
     """Return the number of distinct states; raises Broken at the first violation."""
-    return exploring.explored(Instance(), depth)
+    return exploring.explore_to_depth(Instance(), depth)
 
 
 if __name__ == "__main__":
--- a/standins/fleet/exploring.py
+++ b/standins/fleet/exploring.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 
 
-def explored(first, depth):
+def explore_to_depth(first, depth):
     """Return the number of distinct states reached within `depth` steps."""
     seen, frontier = set(), [pickle.dumps(first)]
     for _ in range(depth):
@@ -41,7 +41,7 @@
     print(
         json.dumps(
             {
-                "states": explored(make_instance(options), options.depth),
+                "states": explore_to_depth(make_instance(options), options.depth),
                 "depth": options.depth,
                 "seconds": round(time.monotonic() - started_at, 1),
             }
--- a/standins/fleet/filling.py
+++ b/standins/fleet/filling.py
@@ -108,7 +108,7 @@
             self.process.stdout.close()
 
 
-def boxes(paces, places, ran):
+def start_boxes(paces, places, ran):
     """Start the process and return the boxes of the caches, one for each pace, then those of the sources in order."""
     process = subprocess.Popen(
         [
@@ -128,7 +128,7 @@
     return [Box(process, process.stdout.readline().split()[1]) for _ in range(len(paces) + len(places))]
 
 
-def counted(ran):
+def read_fills(ran):
     """Return ([(at, source, object, took)], count of fills beyond the limit) from the file of `--ran`."""
     rows, over = [], 0
     with open(ran) as file:
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -30,13 +30,13 @@
 from sprucegate.fleet.consensus.messages import RequestVoteResponse
 from sprucegate.fleet.consensus.raft_node import RaftNode
 from sprucegate.fleet.random_source import RandomSource
-from standins.fleet.schedules import reported
+from standins.fleet.schedules import run_seeds
 
 MS, S = 1_000_000, 1_000_000_000
 COMPACT = 30  # applied entries between snapshots: small, so that short schedules include some
 
 
-class Box:
+class SimulatedVoter:
     """One voter's process and its disk: `disk` holds the synced records, `pending` those being written."""
 
     def __init__(self, world, name, config):
@@ -222,7 +222,7 @@
 
 
 class World:
-    process_class = Box
+    process_class = SimulatedVoter
 
     def __init__(self, size, seed, loss=0.0, spare=0, apart=0.0):
         # `apart`: largest relative drift of a process's clock from true time.
@@ -366,7 +366,7 @@
             box.execute(actions)
 
 
-def played(seed, size=3, loss=0.0, span=12 * S, spare=0, back=0, apart=0.0):
+def play_schedule(seed, size=3, loss=0.0, span=12 * S, spare=0, back=0, apart=0.0):
     """Play a schedule of faults, then time to settle, and return the world.
 
     With `back` one voter's folder is restored from a copy, while another voter is down for a part of that time.
@@ -633,7 +633,7 @@
     return False
 
 
-def broken(trace):
+def find_violations(trace):
     """Return (checker, text) for each violation.
 
     If a voter with a restored folder could vote, Raft's own guarantees don't hold and are not checked.
@@ -644,11 +644,11 @@
 
 if __name__ == "__main__":
     sys.exit(
-        reported(
+        run_seeds(
             sys.argv[1:],
             __doc__,
-            lambda seed, wanted: broken(
-                played(
+            lambda seed, wanted: find_violations(
+                play_schedule(
                     seed, wanted.size, wanted.loss, spare=wanted.spare, back=wanted.back, apart=wanted.apart
                 ).trace
             ),
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -23,7 +23,7 @@
 from sprucegate.fleet.rollout.rollout import RolloutStateMachine
 from standins.fleet import keepers
 from standins.fleet.keepers import MS, S, World
-from standins.fleet.schedules import reported
+from standins.fleet.schedules import run_seeds
 
 WARM_UP_TIME = 2 * S  # time from the start of a cache until it is warm
 PROPOSAL_TIMEOUT = 4 * S
@@ -34,7 +34,7 @@
 LIMITS = [[["fleet", "", "cache", 3, 500], ["location", "", "cache", 2, 500]], [100, 1000]]
 
 
-class KeeperBox(keepers.Box):
+class RolloutVoter(keepers.SimulatedVoter):
     def install_state(self, index, state):
         machine = RolloutStateMachine()
         if state:
@@ -220,12 +220,12 @@
                         cache.false_reports += 1
                         found.append(["started", id, "never"])
                 elif cache.state == "down":
-                    cache.starts_again(permit.version)
+                    cache.start_again(permit.version)
                     found.append(["started", id, str(cache.started)])
                 else:
                     found.append(["started", id, str(cache.started)])
             elif permit.step is PermitStep.COLD and cache.state == "down":
-                cache.starts_again(permit.version)
+                cache.start_again(permit.version)
                 found.append(["started", id, str(cache.started)])
                 self.busy_until[id] = now + 500 * MS
             elif permit.step is PermitStep.COLD and str(cache.started) != permit.start:
@@ -249,7 +249,7 @@
         self.state, self.out_for = "down", id
         self.world.note(self.name, "down", id)
 
-    def starts_again(self, version):
+    def start_again(self, version):
         self.state, self.started, self.starts = "up", self.world.now, self.starts + 1
         self.version = version or self.version
         self.world.note(self.name, "up", self.out_for, self.version)
@@ -261,7 +261,7 @@
         if self.version == "bad-dies" and self.state == "up":
             self.state, self.out_for = "down", ""
             self.world.note(self.name, "fails")
-            self.world.at(self.world.now + S, self.starts_again, "")
+            self.world.at(self.world.now + S, self.start_again, "")
 
     def _on_warm(self, start):
         if self.started == start and self.state == "up":
@@ -274,7 +274,7 @@
 
     def recovers(self):
         if self.state == "down" and not self.out_for:
-            self.starts_again("")
+            self.start_again("")
 
     def served(self, front):
         """Return the counts of GETs, errors, sheds, late answers and misses so far for one front.
@@ -310,7 +310,7 @@
 
 
 class Fleet(World):
-    process_class = KeeperBox
+    process_class = RolloutVoter
 
     def __init__(
         self, size, fronts, caches, seed, loss=0.0, misbehaviours=(), noise=0.0, gate=None, apart=0.0
@@ -335,7 +335,7 @@
             box.start()
 
     def wake(self, box):
-        if isinstance(box, KeeperBox):
+        if isinstance(box, RolloutVoter):
             super().wake(box)
 
     def leaders(self):
@@ -364,7 +364,7 @@
     return [name, "std", version, "1", [names[:1], names[1:4], names[4:]], 3 * S]
 
 
-def played(seed, size=3, fronts=6, caches=12, loss=0.0, span=40 * S, ends=True, apart=0.0):
+def play_schedule(seed, size=3, fronts=6, caches=12, loss=0.0, span=40 * S, ends=True, apart=0.0):
     """Play a release and manual drains with two to eight faults, then time to settle if `ends`."""
     chance = random.Random(seed * 17 + size)
     misbehaviours = chance.choice([(), ("slow",), ("lying", "slow")])
@@ -438,10 +438,10 @@
     world.cut.clear()
     world.loss = 0.0
     for name, box in world.boxes.items():
-        if isinstance(box, KeeperBox):
+        if isinstance(box, RolloutVoter):
             box.full = False
         world.pause(name, False)
-        if isinstance(box, KeeperBox) and box.up and box.raft_node.storage_failed:
+        if isinstance(box, RolloutVoter) and box.up and box.raft_node.storage_failed:
             box.crash(world.chance)
         world.restart(name)
     for cache in world.caches.values():
@@ -585,7 +585,7 @@
 )
 
 
-def broken(trace, caches=12):
+def find_violations(trace, caches=12):
     return [(check.__name__, text) for check in ALL for text in check(trace)] + [
         ("last_gone", text) for text in last_gone(trace, caches)
     ]
@@ -593,11 +593,11 @@
 
 if __name__ == "__main__":
     sys.exit(
-        reported(
+        run_seeds(
             sys.argv[1:],
             __doc__,
-            lambda seed, wanted: broken(
-                played(
+            lambda seed, wanted: find_violations(
+                play_schedule(
                     seed, wanted.size, wanted.fronts, wanted.caches, wanted.loss, apart=wanted.apart
                 ).trace,
                 wanted.caches,
--- a/standins/fleet/schedules.py
+++ b/standins/fleet/schedules.py
@@ -36,7 +36,7 @@
 )
 
 
-def played(seed, size, loss=0.0, span=12 * S, settle=25 * S, facts=30, quiet=False, make=Fleet):
+def play_schedule(seed, size, loss=0.0, span=12 * S, settle=25 * S, facts=30, quiet=False, make=Fleet):
     """Play one schedule and return the fleet with the final state in its trace; `quiet`: only message loss."""
     chance = random.Random(seed * 7919 + size)
     # In a quarter of the schedules facts expire while there are faults.
@@ -52,12 +52,12 @@
         when, name = 2 * S + int(chance.random() * span), chance.choice(names)
         what = chance.random()
         if what < 0.5:
-            fleet.at(when, fleet.purged, name, chance.randrange(facts // 2), n)
+            fleet.at(when, fleet.purge, name, chance.randrange(facts // 2), n)
         else:
             server, source = chance.choice(servers), chance.choice(("bus", "file"))
             fleet.at(
                 when,
-                fleet.drained,
+                fleet.drain,
                 name,
                 server,
                 SourceState.DRAINING if what < 0.9 else SourceState.GONE,
@@ -67,7 +67,7 @@
             if chance.random() < 0.7:
                 fleet.at(
                     when + int(chance.random() * 4 * S),
-                    fleet.drained,
+                    fleet.drain,
                     name,
                     server,
                     SourceState.LIFTED,
@@ -145,21 +145,21 @@
     elif what == "lift-gone":
         # The front that got a drain is down for long; meanwhile another gets the lifting from the same source.
         other = chance.choice(names)
-        fleet.at(when, fleet.drained, name, 0x20, SourceState.DRAINING)
-        fleet.at(when, fleet.drained, other, 0x20, SourceState.DRAINING)
+        fleet.at(when, fleet.drain, name, 0x20, SourceState.DRAINING)
+        fleet.at(when, fleet.drain, other, 0x20, SourceState.DRAINING)
         fleet.at(when + 200 * MS, fleet.kill, name)
-        fleet.at(when + 8 * S, fleet.drained, other, 0x20, SourceState.LIFTED)
+        fleet.at(when + 8 * S, fleet.drain, other, 0x20, SourceState.LIFTED)
         fleet.at(when + 8 * S + duration, restart)
 
 
-def reported(arguments, text, broken, **more):
-    """Run `broken(seed, flags)` for the seeds of the command line; return whether any schedule had violations."""
+def run_seeds(arguments, text, find_violations, **more):
+    """Run `find_violations(seed, flags)` for the seeds of the command line; return whether any found one."""
     flags = argparse.ArgumentParser(description=text.split("\n")[0])
     for name, default in {"seeds": 50, "first": 0, "size": 5, "loss": 0.0, **more}.items():
         flags.add_argument("--" + name, type=type(default), default=default)
     wanted, started_at, bad = flags.parse_args(arguments), time.monotonic(), 0
     for seed in range(wanted.first, wanted.first + wanted.seeds):
-        found = broken(seed, wanted)
+        found = find_violations(seed, wanted)
         bad += bool(found)
         if found:
             print(json.dumps({"seed": seed, "broken": len(found), "first": found[0]}))
@@ -173,9 +173,11 @@
 
 if __name__ == "__main__":
     sys.exit(
-        reported(
+        run_seeds(
             sys.argv[1:],
             __doc__,
-            lambda seed, wanted: checkers.broken(played(seed, wanted.size, wanted.loss).trace),
+            lambda seed, wanted: checkers.find_violations(
+                play_schedule(seed, wanted.size, wanted.loss).trace
+            ),
         )
     )
--- a/standins/fleet/sharing.py
+++ b/standins/fleet/sharing.py
@@ -15,7 +15,7 @@
 from sprucegate.fleet.quotas.coordinator import QuotaCoordinator
 from sprucegate.fleet.quotas.fair_queue import INITIAL_FILL_TIME
 from sprucegate.fleet.quotas.settings import LEASE_DURATION, QuotaSettings, Tenant
-from standins.fleet.schedules import reported
+from standins.fleet.schedules import run_seeds
 
 MS, S = 1_000_000, 1_000_000_000
 LONGEST = 800 * MS
@@ -252,7 +252,7 @@
                 at += int(S / per_s * chance.uniform(0.5, 1.5))
 
 
-def played(seed, size=5, loss=0.0, span=14 * S, quiet=False):
+def play_schedule(seed, size=5, loss=0.0, span=14 * S, quiet=False):
     """Play tenants with more demand than places, a period with faults, then one without, and return the world."""
     world = World(size, seed, loss=loss)
     chance = random.Random(seed * 31 + size)
@@ -413,7 +413,7 @@
     return found
 
 
-def used(trace):
+def place_time_used(trace):
     """Return the used share of place time by source, from SETTLED to the last GET."""
     places, open_now, since, sums = {}, defaultdict(int), {}, defaultdict(int)
     end = next(at for at, _, what, *_ in reversed(trace) if what == "asks")
@@ -448,17 +448,17 @@
 ALL = (places_over, late_sheds, starved, idle, unanswered)
 
 
-def broken(trace):
+def find_violations(trace):
     return [(check.__name__, text) for check in ALL for text in check(trace)]
 
 
 if __name__ == "__main__":
     sys.exit(
-        reported(
+        run_seeds(
             sys.argv[1:],
             __doc__,
-            lambda seed, wanted: broken(
-                played(seed, wanted.size, wanted.loss, quiet=bool(wanted.quiet)).trace
+            lambda seed, wanted: find_violations(
+                play_schedule(seed, wanted.size, wanted.loss, quiet=bool(wanted.quiet)).trace
             ),
             quiet=0,
         )
--- a/standins/fleet/simulated.py
+++ b/standins/fleet/simulated.py
@@ -103,7 +103,7 @@
         self.fleet.note(self.name, "crash")
         self.fleet.reset_links(self)
 
-    def told(self, key, value):
+    def record_fact(self, key, value):
         before = self.peer.replica.counter
         actions = self.peer.on_own_record(key, value, self.fleet.now)
         fact = self.peer.replica.store.held.get(key)
@@ -294,15 +294,15 @@
         self.network.cut.clear()
         self.note("", "cut", [])
 
-    def told(self, name, key, value):
+    def record_fact(self, name, key, value):
         if self.fronts[name].up and not self.fronts[name].paused:
-            self.fronts[name].told(key, value)
+            self.fronts[name].record_fact(key, value)
 
-    def purged(self, name, number, at):
-        self.told(name, ("purge", "object", number), (at,))
+    def purge(self, name, number, at):
+        self.record_fact(name, ("purge", "object", number), (at,))
 
-    def drained(self, name, server, state=SourceState.DRAINING, start=0, source="bus"):
-        self.told(name, ("word", server, start, source, name), (int(state),))
+    def drain(self, name, server, state=SourceState.DRAINING, start=0, source="bus"):
+        self.record_fact(name, ("word", server, start, source, name), (int(state),))
 
     def run(self, until):
         while self.events and self.events[0][0] <= until:
--- a/standins/fleet/viewing.py
+++ b/standins/fleet/viewing.py
@@ -6,7 +6,7 @@
 import sys
 from collections import defaultdict
 
-from standins.fleet.schedules import played, reported
+from standins.fleet.schedules import play_schedule, run_seeds
 
 MS, S = 1_000_000, 1_000_000_000
 # After this time an ended process is live in no view, if the viewing front and a third one could check its port.
@@ -182,11 +182,11 @@
 ALL = (live_though_away, gone_though_there, stays_in_part)
 
 
-def broken(trace):
+def find_violations(trace):
     return [(check.__name__, text) for check in ALL for text in check(trace)]
 
 
-def detected(trace):
+def detection_times(trace):
     """Return {"killed": [ns ...], "silent": [ns ...]}: from each crash or pause to the end of LIVE in each view."""
     timeline, found = Timeline(trace), {"killed": [], "silent": []}
     for one in timeline.names:
@@ -222,7 +222,9 @@
 
 if __name__ == "__main__":
     sys.exit(
-        reported(
-            sys.argv[1:], __doc__, lambda seed, wanted: broken(played(seed, wanted.size, wanted.loss).trace)
+        run_seeds(
+            sys.argv[1:],
+            __doc__,
+            lambda seed, wanted: find_violations(play_schedule(seed, wanted.size, wanted.loss).trace),
         )
     )
--- a/tests/fleet/test_fleet_agreement.py
+++ b/tests/fleet/test_fleet_agreement.py
@@ -23,7 +23,7 @@
 from sprucegate.units import MILLISECOND, SECOND
 from standins.disk import Crashed, FaultyDisk
 from standins.fleet import explore_fitness, explore_keepers, keepers
-from standins.fleet.keepers import broken, played
+from standins.fleet.keepers import find_violations, play_schedule
 
 THREE = ClusterConfiguration(("a", "b", "c"), ())
 
@@ -31,27 +31,27 @@
 @pytest.mark.parametrize(("size", "loss", "spare"), [(3, 0.0, 0), (3, 0.1, 2), (5, 0.2, 0), (5, 0.05, 1)])
 def test_fault_schedules_violate_no_invariant_and_entries_are_committed(size, loss, spare):
     for seed in range(12):
-        trace = played(seed, size, loss, spare=spare).trace
-        assert not broken(trace), (seed, size, loss, spare)
+        trace = play_schedule(seed, size, loss, spare=spare).trace
+        assert not find_violations(trace), (seed, size, loss, spare)
         proposed = {more[2] for _, _, what, *more in trace if what == "proposes"}
         applied = {more[2] for _, _, what, *more in trace if what == "applies"}
         assert len(proposed & applied) > 50
 
 
 def test_a_seed_reproduces_its_trace_exactly():
-    assert played(7, 5, 0.1).trace == played(7, 5, 0.1).trace
+    assert play_schedule(7, 5, 0.1).trace == play_schedule(7, 5, 0.1).trace
 
 
 def _drop_writes(monkeypatch):
     """Every third write is reported as synced and lost."""
-    original = keepers.Box._synced
+    original = keepers.SimulatedVoter._synced
 
     def synced(self, generation, number):
         if self.up and self.pending and number % 3 == 0:
             self.pending = [write for write in self.pending if write.number != number]
         return original(self, generation, number)
 
-    monkeypatch.setattr(keepers.Box, "_synced", synced)
+    monkeypatch.setattr(keepers.SimulatedVoter, "_synced", synced)
 
 
 def _vote_twice_in_a_term(monkeypatch):
@@ -110,7 +110,7 @@
     inject(monkeypatch)
     for seed in range(150):
         try:
-            if any(found == name for found, _ in broken(played(seed, 3, 0.1).trace)):
+            if any(found == name for found, _ in find_violations(play_schedule(seed, 3, 0.1).trace)):
                 return
         except (AssertionError, IndexError, ValueError):
             continue  # the defect may crash a run before a checker reads its trace
@@ -211,8 +211,8 @@
 
 
 def test_all_interleavings_of_three_voters_up_to_a_depth_keep_the_log_consistent():
-    assert explore_keepers.explored(6) > 1000
-    assert explore_keepers.explored(6, contested=True) > 1000
+    assert explore_keepers.explore_to_depth(6) > 1000
+    assert explore_keepers.explore_to_depth(6, contested=True) > 1000
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,7 @@
 def test_the_explorer_finds_an_injected_defect(monkeypatch, what, inject):
     inject(monkeypatch)
     with pytest.raises(explore_keepers.Broken) as found:
-        explore_keepers.explored(7, contested=what == "votes")
+        explore_keepers.explore_to_depth(7, contested=what == "votes")
     assert found.value.args[0] == what
 
 
@@ -456,28 +456,28 @@
 
 
 def test_all_interleavings_of_starts_with_a_restored_folder_up_to_a_depth(monkeypatch):
-    assert explore_fitness.explored(6) > 1000
+    assert explore_fitness.explore_to_depth(6) > 1000
     # The explorer detects a check that never reports lost state.
     monkeypatch.setattr(explore_fitness, "DurabilityCheck", UncheckedVoter)
     with pytest.raises(explore_fitness.Broken, match="knows"):
-        explore_fitness.explored(7)
+        explore_fitness.explore_to_depth(7)
 
 
 @pytest.mark.parametrize("seed, loss", [(3, 0.0), (192, 0.0), (168, 0.2)])
 def test_a_restored_folder_votes_only_while_no_peer_that_knows_a_later_start_is_reachable(seed, loss):
-    assert broken(played(seed, 3, loss, back=1).trace) == []
+    assert find_violations(play_schedule(seed, 3, loss, back=1).trace) == []
 
 
 def test_the_checkers_of_starts_detect_injected_defects(monkeypatch):
     # Confirmation by all peers was needed once.
     monkeypatch.setattr(DurabilityCheck, "confirmations_needed", lambda self: len(self.peers))
     assert "majority_waits" in {
-        name for seed in (16, 17) for name, _ in broken(played(seed, 3, back=1).trace)
+        name for seed in (16, 17) for name, _ in find_violations(play_schedule(seed, 3, back=1).trace)
     }
     monkeypatch.undo()
     monkeypatch.setattr(keepers, "DurabilityCheck", UncheckedVoter)
     assert "fit_though_known" in {
-        name for seed in (0, 1) for name, _ in broken(played(seed, 3, back=1).trace)
+        name for seed in (0, 1) for name, _ in find_violations(play_schedule(seed, 3, back=1).trace)
     }
 
 
@@ -542,9 +542,9 @@
 
 @pytest.mark.parametrize("seed", [15, 37, 42])
 def test_without_the_durability_check_a_restored_folder_violates_invariants(seed, monkeypatch):
-    trace = played(seed, 3, (0.0, 0.1, 0.3)[seed % 3]).trace
-    assert not broken(trace) and any(what == "put-back" for _, _, what, *_ in trace)
+    trace = play_schedule(seed, 3, (0.0, 0.1, 0.3)[seed % 3]).trace
+    assert not find_violations(trace) and any(what == "put-back" for _, _, what, *_ in trace)
     monkeypatch.setattr(keepers, "DurabilityCheck", UncheckedVoter)
-    trace = played(seed, 3, (0.0, 0.1, 0.3)[seed % 3]).trace
+    trace = play_schedule(seed, 3, (0.0, 0.1, 0.3)[seed % 3]).trace
     found = {check.__name__ for check in keepers.ALL if check(trace)}
     assert found & {"lost", "applied_apart", "stale_reads", "votes_twice"}
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -563,8 +563,8 @@
 
 @pytest.mark.parametrize("seed", [26, 368])
 def test_a_box_that_recovers_goes_out_within_the_budget(seed):
-    world = rollouts.played(seed, 5, 4, 9, loss=0.1)
-    assert rollouts.broken(world.trace, 9) == []
+    world = rollouts.play_schedule(seed, 5, 4, 9, loss=0.1)
+    assert rollouts.find_violations(world.trace, 9) == []
 
 
 def test_a_permit_of_a_lost_front_needs_budget_once_the_front_follows_again():
@@ -584,7 +584,7 @@
 
 
 def test_seed_133_no_more_boxes_go_out_than_the_budgets_allow():
-    world = rollouts.played(133, 5, 4, 9, loss=0.1, span=25 * S)
+    world = rollouts.play_schedule(133, 5, 4, 9, loss=0.1, span=25 * S)
     assert rollouts.over_budget(world.trace) == []
 
 
@@ -753,17 +753,22 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 5, 20])
 def test_no_invariant_is_violated_under_faults(seed):
-    assert rollouts.broken(rollouts.played(seed, (3, 5)[seed % 2], loss=(0, 0.1, 0.3)[seed % 3]).trace) == []
+    assert (
+        rollouts.find_violations(
+            rollouts.play_schedule(seed, (3, 5)[seed % 2], loss=(0, 0.1, 0.3)[seed % 3]).trace
+        )
+        == []
+    )
 
 
 @pytest.mark.parametrize("seed", [1040, 1840])
 def test_a_halt_before_its_release_has_started_is_refused(seed):
-    world = rollouts.played(seed, 3, 4, 9, loss=(0, 0.1, 0.3)[seed % 3], span=25 * S)
-    assert rollouts.broken(world.trace, 9) == []
+    world = rollouts.play_schedule(seed, 3, 4, 9, loss=(0, 0.1, 0.3)[seed % 3], span=25 * S)
+    assert rollouts.find_violations(world.trace, 9) == []
 
 
 def test_the_same_seed_gives_the_same_trace():
-    assert rollouts.played(4, span=12 * S).trace == rollouts.played(4, span=12 * S).trace
+    assert rollouts.play_schedule(4, span=12 * S).trace == rollouts.play_schedule(4, span=12 * S).trace
 
 
 def small(*commands, until=25, waves=None):
@@ -818,13 +823,13 @@
 
 @pytest.mark.parametrize("check, of, name, defect, world", DEFECTS, ids=[s[0] for s in DEFECTS])
 def test_each_checker_finds_its_injected_defect(check, of, name, defect, world, monkeypatch):
-    assert rollouts.broken(world(1).trace, 6) == [] or check == "granted_halted"
+    assert rollouts.find_violations(world(1).trace, 6) == [] or check == "granted_halted"
     monkeypatch.setattr(of, name, defect)
     if check == "granted_halted":
         monkeypatch.setattr(ReleaseTable, "_withdraw_permits", lambda self, release: None)
     if check == "sent_to_drained":
         monkeypatch.setattr(rollouts.Front, "turn", _turn_with_late_drains)
-    assert check in {name for name, _ in rollouts.broken(world(1).trace, 6)}
+    assert check in {name for name, _ in rollouts.find_violations(world(1).trace, 6)}
 
 
 def _turn_with_late_drains(self, now, turn=rollouts.Front.turn):
@@ -844,7 +849,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_invariant_is_violated_with_clock_drift(seed):
-    assert rollouts.broken(rollouts.played(seed, 3, 6, 12, 0.1, apart=0.001).trace) == []
+    assert rollouts.find_violations(rollouts.play_schedule(seed, 3, 6, 12, 0.1, apart=0.001).trace) == []
 
 
 @pytest.mark.parametrize("fast, slow, violated", [(1.001, 0.999, False), (2.0, 0.3, True)])
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -332,18 +332,18 @@
 @pytest.mark.parametrize("size, loss", [(3, 0.0), (4, 0.2), (6, 0.1)])
 def test_no_invariant_is_violated_under_faults(size, loss):
     for seed in range(3):
-        assert sharing.broken(sharing.played(seed, size, loss, span=8 * S).trace) == []
+        assert sharing.find_violations(sharing.play_schedule(seed, size, loss, span=8 * S).trace) == []
 
 
 # Each of these seeds once ran one fill too many: slots of the former lease holder were still counted for a front after
 # that lease holder had lent them again.
 @pytest.mark.parametrize("seed, size, loss", [(12, 3, 0.2), (8, 8, 0.0)])
 def test_seeds_of_former_violations(seed, size, loss):
-    assert sharing.broken(sharing.played(seed, size, loss).trace) == []
+    assert sharing.find_violations(sharing.play_schedule(seed, size, loss).trace) == []
 
 
 def test_a_fleet_without_faults_shares_by_weight_and_leaves_no_slot_idle():
-    assert sharing.broken(sharing.played(5, 4, quiet=True, span=8 * S).trace) == []
+    assert sharing.find_violations(sharing.play_schedule(5, 4, quiet=True, span=8 * S).trace) == []
 
 
 def _use_floor_at_once(monkeypatch):
@@ -400,15 +400,17 @@
     violations = (
         violation
         for seed in range(8)
-        for violation, _ in sharing.broken(sharing.played(seed, 4, quiet=quiet, span=8 * S).trace)
+        for violation, _ in sharing.find_violations(
+            sharing.play_schedule(seed, 4, quiet=quiet, span=8 * S).trace
+        )
     )
     assert any(violation == name for violation in violations)
 
 
 def test_exploring_small_instances_finds_an_injected_defect(monkeypatch):
-    assert explore_shares.explored(2) > 300
+    assert explore_shares.explore_to_depth(2) > 300
     _use_floor_at_once(monkeypatch)
-    _, two, _ = explore_shares.WHILES
+    _, two, _ = explore_shares.PERIODS
     with pytest.raises(explore_shares.Broken):
         for one, other in itertools.permutations(explore_shares.NAMES, 2):
             made = explore_shares.Instance()  # four steps lead to too many fills, for some pair of fronts
@@ -480,7 +482,7 @@
 def shared(tmp_path):
     size = 4
     fronts = " ".join(f'"n{at}"' for at in range(size))
-    boxes = filling.boxes([1, 1, 2], {"s-13": 6, "s-14": 3}, tmp_path / "fills")
+    boxes = filling.start_boxes([1, 1, 2], {"s-13": 6, "s-14": 3}, tmp_path / "fills")
     with Rig(
         tmp_path,
         size,
@@ -558,7 +560,7 @@
 
 def slot_time(rig, since):
     """({tenant: seconds of fills at the parent}, fills above the limit), of those that began after `since` (ns)."""
-    rows, over = filling.counted(rig.folder / "fills")
+    rows, over = filling.read_fills(rig.folder / "fills")
     got = dict.fromkeys(FIRST_BYTES, 0.0)
     for at, source, thing, took in rows:
         if at >= since and source == "s-13":
@@ -706,7 +708,7 @@
 
 
 def test_a_front_whose_fleet_service_is_off_uses_its_floor(tmp_path):
-    boxes = filling.boxes([1], {"s-11": 4, "s-12": 2}, tmp_path / "fills")
+    boxes = filling.start_boxes([1], {"s-11": 4, "s-12": 2}, tmp_path / "fills")
     more = SHARES.format('"n0" "n1"').replace('"parent 6" "origin 3"', '"parent 4" "origin 2"')
     with Rig(
         tmp_path,
@@ -766,7 +768,7 @@
 
 def test_a_large_fleet_keeps_shares_when_the_lease_holder_is_killed(tmp_path):
     fronts = " ".join(f'"n{at}"' for at in range(8))
-    boxes = filling.boxes([1, 1.5, 2], {"s-13": 10, "s-14": 5}, tmp_path / "fills")
+    boxes = filling.start_boxes([1, 1.5, 2], {"s-13": 10, "s-14": 5}, tmp_path / "fills")
     more = SHARES.format(fronts).replace('"parent 6" "origin 3"', '"parent 10" "origin 5"')
     with Rig(
         tmp_path,
--- a/tests/fleet/test_fleet_simulated.py
+++ b/tests/fleet/test_fleet_simulated.py
@@ -11,7 +11,7 @@
 from sprucegate.fleet.replica.version_vector import VersionVector
 from sprucegate.fleet.replica_storage import ReplicaStorage
 from standins.fleet import checkers, explore
-from standins.fleet.schedules import played
+from standins.fleet.schedules import play_schedule
 from standins.fleet.simulated import Fleet, S
 
 INTERVALS = st.lists(st.tuples(st.integers(1, 30), st.integers(1, 30)), max_size=12)
@@ -64,11 +64,11 @@
 @pytest.mark.parametrize("first", range(0, 40, 10))
 def test_no_fault_schedule_violates_an_invariant(size, loss, first):
     for seed in range(first, first + 10):
-        assert not checkers.broken(played(seed, size, loss).trace), (seed, size, loss)
+        assert not checkers.find_violations(play_schedule(seed, size, loss).trace), (seed, size, loss)
 
 
 def test_a_seed_reproduces_its_trace_exactly():
-    assert played(11, 5, 0.1).trace == played(11, 5, 0.1).trace
+    assert play_schedule(11, 5, 0.1).trace == play_schedule(11, 5, 0.1).trace
 
 
 # Each checker is shown to fail: with an injected defect, one of a few schedules is reported under its number.
@@ -154,7 +154,7 @@
 def test_each_checker_detects_its_injected_defect(monkeypatch, number, inject):
     inject(monkeypatch)
     for seed in range(60):
-        if any(at == number for at, _ in checkers.broken(played(seed, 4, 0.1).trace)):
+        if any(at == number for at, _ in checkers.find_violations(play_schedule(seed, 4, 0.1).trace)):
             return
     raise AssertionError(f"checker {number} detected nothing in 60 schedules")
 
@@ -197,9 +197,9 @@
 
 
 def test_no_interleaving_of_a_small_instance_violates_an_invariant():
-    states, settled = explore.explored(5)
+    states, settled = explore.explore_to_depth(5)
     assert states > 900 and settled > 600
-    assert explore.explored(4, ("a", "b", "c"), losses=0, crashes=0)[0] > 100
+    assert explore.explore_to_depth(4, ("a", "b", "c"), losses=0, crashes=0)[0] > 100
 
 
 def _claim_before_all_pieces(monkeypatch):
@@ -229,7 +229,7 @@
 def test_the_explorer_detects_an_injected_defect(monkeypatch, invariant, inject, depth):
     inject(monkeypatch)
     with pytest.raises(explore.Broken) as found:
-        explore.explored(depth)
+        explore.explore_to_depth(depth)
     assert found.value.args[0] == invariant
 
 
@@ -239,7 +239,7 @@
     fleet.start("n0", "n1")
     fleet.run(3 * S)
     for number in range(300):
-        fleet.purged(("n0", "n1")[number % 2], number, number)
+        fleet.purge(("n0", "n1")[number % 2], number, number)
         fleet.run(fleet.now + S // 100)
     third = fleet.fronts["n2"]
     third.disk.crash_at = crash_at
@@ -262,7 +262,7 @@
     for crash_at in range(1, 40):
         fleet, has_crashed = fleet_after_catch_up(crash_at=crash_at)
         crashed += has_crashed
-        assert not checkers.broken(fleet.trace), crash_at
+        assert not checkers.find_violations(fleet.trace), crash_at
         assert len(fleet.fronts["n2"].holds()) == 300
         assert [x for x in fleet.trace if x[1:3] == ("n2", "live")][-1][3] == "caught-up"
     assert crashed > 20
@@ -274,7 +274,7 @@
     for fault_at in range(7, 40):
         fleet, _ = fleet_after_catch_up(fault_at=fault_at)
         failed += any(x[1:3] == ("n2", "not-kept") for x in fleet.trace)
-        assert not checkers.broken(fleet.trace), fault_at
+        assert not checkers.find_violations(fleet.trace), fault_at
         assert len(fleet.fronts["n2"].holds()) == 300 and fleet.fronts["n2"].peer.replica.is_disk_writable
         # The records are on its disk as well: it has them after a restart.
         fleet.kill("n2")
@@ -287,13 +287,13 @@
     fleet = Fleet(3, 5, alone_after=S, purge_life=S)
     fleet.start()
     fleet.run(3 * S)
-    fleet.drained("n0", 16)
+    fleet.drain("n0", 16)
     fleet.run(4 * S)
     # n2 receives everything but records: it is reachable, and hasn't seen that the drain was lifted.
     fleet.network.cut |= {
         (a, "n2", kind) for a in ("n0", "n1") for kind in (replica.SpreadRecords, replica.TransferEnd)
     }
-    fleet.drained("n0", 16, SourceState.LIFTED)
+    fleet.drain("n0", 16, SourceState.LIFTED)
     fleet.run(30 * S)
     assert all(("word", 16, 0, "bus", "n0") in fleet.fronts[n].holds() for n in ("n0", "n1"))
     fleet.kill("n2")
@@ -303,7 +303,7 @@
     fleet.start("n2")
     fleet.run(130 * S)
     fleet.dump()
-    assert not fleet.fronts["n2"].holds() and not checkers.broken(fleet.trace)
+    assert not fleet.fronts["n2"].holds() and not checkers.find_violations(fleet.trace)
 
 
 def test_fronts_that_return_together_catch_up_from_those_that_stayed_not_from_each_other():
@@ -312,7 +312,7 @@
         fleet.start()
         fleet.run(4 * S)
         for number in range(50):
-            fleet.purged(f"n{number % 3}", number, number)
+            fleet.purge(f"n{number % 3}", number, number)
         fleet.run(6 * S)
         returning = [f"n{at}" for at in range(3, 10)]
         for name in returning:
--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -19,7 +19,7 @@
 from sprucegate.fleet.random_source import RandomSource
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
-from standins.fleet.schedules import played
+from standins.fleet.schedules import play_schedule
 
 MS, S = 1_000_000, 1_000_000_000
 
@@ -226,7 +226,7 @@
 @pytest.mark.parametrize("size, loss", [(3, 0.0), (5, 0.1), (5, 0.3)])
 def test_views_are_true_or_more_careful_under_schedules_of_faults(size, loss):
     for seed in range(12):
-        assert viewing.broken(played(seed, size, loss).trace) == []
+        assert viewing.find_violations(play_schedule(seed, size, loss).trace) == []
 
 
 def _never_careful(monkeypatch):
@@ -255,7 +255,11 @@
 )
 def test_a_sown_defect_makes_its_checker_cry_out(monkeypatch, name, sow):
     sow(monkeypatch)
-    assert any(name == cry for seed in range(12) for cry, _ in viewing.broken(played(seed, 5, 0.1).trace))
+    assert any(
+        name == cry
+        for seed in range(12)
+        for cry, _ in viewing.find_violations(play_schedule(seed, 5, 0.1).trace)
+    )
 
 
 @pytest.fixture(scope="module")
