--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -57,7 +57,7 @@
 
 
 def _keepers_put_back(seed):
-    return digest_of(keepers.play_schedule(seed, 3, 0.1, back=1, apart=0.01).trace)
+    return digest_of(keepers.play_schedule(seed, 3, 0.1, back=1, clock_drift=0.01).trace)
 
 
 def _rollouts(seed):
--- a/standins/fleet/keepers.py
+++ b/standins/fleet/keepers.py
@@ -224,9 +224,9 @@
 class World:
     process_class = SimulatedVoter
 
-    def __init__(self, size, seed, loss=0.0, spare=0, apart=0.0):
-        # `apart`: largest relative drift of a process's clock from true time.
-        self.apart, self.clocks, self.clock_random = apart, {}, random.Random(seed + 1)
+    def __init__(self, size, seed, loss=0.0, spare=0, clock_drift=0.0):
+        # `clock_drift`: largest relative drift of a process's clock from true time.
+        self.clock_drift, self.clocks, self.clock_random = clock_drift, {}, random.Random(seed + 1)
         self.seed, self.chance, self.now, self.trace, self.loss = seed, random.Random(seed), 0, [], loss
         self.events, self.sequence, self.cut, self.armed_timers = [], count(), set(), {}
         names = self.names = [f"k{at}" for at in range(size + spare)]
@@ -238,18 +238,23 @@
         self.numbers = count(1)
 
     def clock(self, name):
-        """Return the reading of a process's clock; with `apart` each clock has a rate and an offset of its own."""
-        if not self.apart:
+        """Return the reading of a process's clock; with `clock_drift` each clock has its own rate and offset."""
+        if not self.clock_drift:
             return self.now
         rate, offset = self.clocks.setdefault(
             name,
-            (1 + self.apart * (2 * self.clock_random.random() - 1), self.clock_random.randrange(1000 * S)),
+            (
+                1 + self.clock_drift * (2 * self.clock_random.random() - 1),
+                self.clock_random.randrange(1000 * S),
+            ),
         )
         return int(self.now * rate) + offset
 
     def when(self, name, due):
         """Return the approximate true time at which that clock shows `due`."""
-        return self.now + int((due - self.clock(name)) / self.clocks[name][0]) + 1 if self.apart else due
+        return (
+            self.now + int((due - self.clock(name)) / self.clocks[name][0]) + 1 if self.clock_drift else due
+        )
 
     def note(self, name, what, *more):
         self.trace.append((self.now, name, what, *more))
@@ -366,12 +371,12 @@
             box.execute(actions)
 
 
-def play_schedule(seed, size=3, loss=0.0, span=12 * S, spare=0, back=0, apart=0.0):
+def play_schedule(seed, size=3, loss=0.0, span=12 * S, spare=0, back=0, clock_drift=0.0):
     """Play a schedule of faults, then time to settle, and return the world.
 
     With `back` one voter's folder is restored from a copy, while another voter is down for a part of that time.
     """
-    world = World(size, seed, loss, spare, apart)
+    world = World(size, seed, loss, spare, clock_drift)
     chance = random.Random(seed * 31 + size)
     names, may_restore = list(world.boxes), True
     for box in world.boxes.values():
@@ -649,7 +654,12 @@
             __doc__,
             lambda seed, wanted: find_violations(
                 play_schedule(
-                    seed, wanted.size, wanted.loss, spare=wanted.spare, back=wanted.back, apart=wanted.apart
+                    seed,
+                    wanted.size,
+                    wanted.loss,
+                    spare=wanted.spare,
+                    back=wanted.back,
+                    clock_drift=wanted.apart,
                 ).trace
             ),
             size=3,
--- a/standins/fleet/rollouts.py
+++ b/standins/fleet/rollouts.py
@@ -313,9 +313,9 @@
     process_class = RolloutVoter
 
     def __init__(
-        self, size, fronts, caches, seed, loss=0.0, misbehaviours=(), noise=0.0, gate=None, apart=0.0
+        self, size, fronts, caches, seed, loss=0.0, misbehaviours=(), noise=0.0, gate=None, clock_drift=0.0
     ):
-        super().__init__(size, seed, loss, apart=apart)
+        super().__init__(size, seed, loss, clock_drift=clock_drift)
         self.gate, self.noise = gate, noise
         self.keepers = list(self.boxes)
         self.caches = {f"c{at}": Cache(self, f"c{at}") for at in range(caches)}
@@ -364,11 +364,11 @@
     return [name, "std", version, "1", [names[:1], names[1:4], names[4:]], 3 * S]
 
 
-def play_schedule(seed, size=3, fronts=6, caches=12, loss=0.0, span=40 * S, ends=True, apart=0.0):
+def play_schedule(seed, size=3, fronts=6, caches=12, loss=0.0, span=40 * S, ends=True, clock_drift=0.0):
     """Play a release and manual drains with two to eight faults, then time to settle if `ends`."""
     chance = random.Random(seed * 17 + size)
     misbehaviours = chance.choice([(), ("slow",), ("lying", "slow")])
-    world = Fleet(size, fronts, caches, seed, loss, misbehaviours, apart=apart)
+    world = Fleet(size, fronts, caches, seed, loss, misbehaviours, clock_drift=clock_drift)
     names = list(world.fronts)
     world.at(2 * S, world.operator, chance.choice(names), "release", plan(world.caches), "op")
     for _ in range(chance.randrange(1, 5)):
@@ -598,7 +598,7 @@
             __doc__,
             lambda seed, wanted: find_violations(
                 play_schedule(
-                    seed, wanted.size, wanted.fronts, wanted.caches, wanted.loss, apart=wanted.apart
+                    seed, wanted.size, wanted.fronts, wanted.caches, wanted.loss, clock_drift=wanted.apart
                 ).trace,
                 wanted.caches,
             ),
--- a/tests/fleet/test_fleet_rollout.py
+++ b/tests/fleet/test_fleet_rollout.py
@@ -849,7 +849,9 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_invariant_is_violated_with_clock_drift(seed):
-    assert rollouts.find_violations(rollouts.play_schedule(seed, 3, 6, 12, 0.1, apart=0.001).trace) == []
+    assert (
+        rollouts.find_violations(rollouts.play_schedule(seed, 3, 6, 12, 0.1, clock_drift=0.001).trace) == []
+    )
 
 
 @pytest.mark.parametrize("fast, slow, violated", [(1.001, 0.999, False), (2.0, 0.3, True)])
