--- a/tests/fleet/test_fleet_views.py
+++ b/tests/fleet/test_fleet_views.py
@@ -19,7 +19,7 @@
 from sprucegate.fleet.random_source import RandomSource
 from standins.fleet import viewing
 from standins.fleet.rig import Rig
-from standins.fleet.schedules import played
+from standins.fleet.schedules import play_schedule
 
 MS, S = 1_000_000, 1_000_000_000
 
@@ -229,7 +229,7 @@
 @pytest.mark.parametrize("size, loss", [(3, 0.0), (5, 0.1), (5, 0.3)])
 def test_views_are_correct_or_more_cautious_under_fault_schedules(size, loss):
     for seed in range(12):
-        assert viewing.broken(played(seed, size, loss).trace) == []
+        assert viewing.find_violations(play_schedule(seed, size, loss).trace) == []
 
 
 def _hide_failures(monkeypatch):
@@ -259,7 +259,9 @@
 def test_an_injected_defect_is_reported_by_its_checker(monkeypatch, name, inject):
     inject(monkeypatch)
     assert any(
-        name == violation for seed in range(12) for violation, _ in viewing.broken(played(seed, 5, 0.1).trace)
+        name == violation
+        for seed in range(12)
+        for violation, _ in viewing.find_violations(play_schedule(seed, 5, 0.1).trace)
     )
 
 
@@ -314,10 +316,10 @@
 def test_a_one_way_partition_and_a_partition_between_two_fronts(fleet):
     for name in fleet.names:
         wait_until_all_see(fleet, name, "live")
-    fleet.trouble("cut", **{"from": [n for n in fleet.names if n != "n1"], "to": ["n1"]})
+    fleet.inject_fault("cut", **{"from": [n for n in fleet.names if n != "n1"], "to": ["n1"]})
     # n1 sends but receives nothing.
     fleet.wait(lambda: health_at(fleet, "n0", "n1") == "one-way", 30)
-    fleet.trouble("heal")
+    fleet.inject_fault("heal")
     wait_until_all_see(fleet, "n1", "live", patience=40)
     fleet.split(["n0"], ["n2"])
     fleet.wait(
@@ -325,7 +327,7 @@
         40,
     )
     assert health_at(fleet, "n1", "n0") == health_at(fleet, "n1", "n2") == "live"
-    fleet.trouble("heal")
+    fleet.inject_fault("heal")
     for name in ("n0", "n2"):
         wait_until_all_see(fleet, name, "live", patience=40)
 
@@ -352,7 +354,7 @@
     # By the failure detector alone.
     assert {health_at(keeper_fleet, "n0", other) for other in ("n1", "n2")} == {"live"}
     assert view(keeper_fleet, "n0")["state"] == "whole" and keeper_fleet.get("n0", 5, 5)[0] == 200
-    keeper_fleet.trouble("heal")
+    keeper_fleet.inject_fault("heal")
     keeper_fleet.wait(lambda: all(view(keeper_fleet, name)["agreed"] for name in keeper_fleet.names))
 
 
@@ -362,7 +364,7 @@
     fact = keeper_fleet.fronts["n1"].ask("why", "view", "n0")["facts"][0]
     assert fact["by"] == "keepers" and view(keeper_fleet, "n0")["agreed"] == 0
     assert keeper_fleet.get("n0", 6, 6)[0] == 200
-    keeper_fleet.trouble("heal")
+    keeper_fleet.inject_fault("heal")
     wait_until_all_see(keeper_fleet, "n0", "live", patience=40)
 
 
@@ -374,7 +376,7 @@
             since = len(front.lines)
             front.kill()
             front.start()
-            front.until("ready", since, patience=40)
+            front.until("ready", since, timeout_s=40)
         rig.wait(lambda: health_at(rig, "n0", "n2") == health_at(rig, "n1", "n2") == "flapping", 30)
         assert rig.get("n2", 7, 7)[0] == 200
         wait_until_all_see(rig, "n0", "live", ["n2"])
