--- a/sprucegate/assembly/run.py
+++ b/sprucegate/assembly/run.py
@@ -73,7 +73,7 @@
     if not membership_ready:
         # Other fronts may be holding back a list that removes too many servers: if servers of the last run are
         # known, the fleet is joined before the sources are read.
-        membership_ready = not await driver.membership.recovers() or config.fleet is None
+        membership_ready = not await driver.membership.recover() or config.fleet is None
         if membership_ready:
             await driver.membership.start()
     for _ in range(3):  # iterations of the loop until a signal reaches its handler, and one more
@@ -84,7 +84,7 @@
             driver.membership.stop()
         log("stopped", **driver.counters.read_and_reset())
         return 0
-    repeatable = () if config.shares is None else (config.shares.header_bytes,)
+    repeatable = () if config.shares is None else (config.shares.lowercase_header,)
     reader = ConnectionReader(driver, pool, config.descriptors // 2, config.times, frozenset(repeatable))
     listener = await _open_listener(config.listen, stop, log)
     if listener is None:
@@ -93,7 +93,7 @@
         log("stopped", **driver.counters.read_and_reset())
         return 0 if stop.is_set() else 1
     now = driver.clock()
-    driver.servers.warm_up(driver.router.endpoints_to_connect(driver.servers.most), now)
+    driver.servers.warm_up(driver.router.endpoints_to_connect(driver.servers.max_connections), now)
     subscription = Subscription(driver, config)
     subscription.start()
     loop.add_signal_handler(signal.SIGHUP, reload, subscription, config, log)
@@ -107,7 +107,7 @@
         if not membership_ready:
             await driver.membership.start()
     driver.ready = True
-    log("ready", listen="{}:{}".format(*config.listen), caches=len(driver.servers.places), last=config.offset)
+    log("ready", listen="{}:{}".format(*config.listen), caches=len(driver.servers.by_id), last=config.offset)
     await stop.wait()
     if driver.fleet is not None:
         driver.fleet.leave()
--- a/sprucegate/fleet/quotas/component.py
+++ b/sprucegate/fleet/quotas/component.py
@@ -65,7 +65,7 @@
         self.loop = fleet.loop
         timeouts = [one for one in self.driver.config.settings.get("viewer_timeout", ()) if one]
         self.settings = QuotaSettings(
-            tenants=tuple(Tenant(*one) for one in node.weights),
+            tenants=tuple(Tenant(*one) for one in node.tenant_weights),
             fronts=tuple(node.fronts),
             slots={},
             fill_time_max=node.longest or max(timeouts, default=FILL_TIME_MAX_DEFAULT),
@@ -108,9 +108,11 @@
         kinds = {value: name for name, value in self.driver.config.kinds.items()}
         slots = {}
         for source in [*router.group("parent"), *router.group("origin")]:
-            server = self.driver.servers.places.get(source.id)
+            server = self.driver.servers.by_id.get(source.id)
             name = server.name if server is not None else ""
-            count = self.node.counts.get(name) or self.node.counts.get(kinds.get(source.entry.kind, ""))
+            count = self.node.slot_counts.get(name) or self.node.slot_counts.get(
+                kinds.get(source.entry.kind, "")
+            )
             if count:
                 slots[source.id] = count
                 self.source_names[source.id] = name
@@ -131,10 +133,10 @@
             for name, row in view.rows.items()
             if view.allows(PeerAction.LEASE_HOLDER, name)
         ]
-        if view.allows_own(OwnAction.LEND):
+        if view.allows_own(OwnAction.GRANT_SLOTS):
             candidates.append((own.name, own.incarnation))
         may_borrow = view.allows_own(OwnAction.BORROW)
-        may_use_floors = view.allows_own(OwnAction.FLOOR)
+        may_use_floors = view.allows_own(OwnAction.USE_MINIMUM)
         now = time.monotonic_ns()
         self._perform(self.quotas.on_view_changed(candidates, may_borrow, may_use_floors, now))
 
@@ -146,13 +148,13 @@
     def explain(self, given):
         """Return the rows of `fleet why share`, for the tenants or sources given, or for all."""
         now = time.monotonic_ns()
-        return quota_status(self.quotas, self.node.names, self.source_names, given, now)
+        return quota_status(self.quotas, self.node.tenant_names, self.source_names, given, now)
 
     # Events of the front, called by its driver.
 
     def tenant_index(self, headers):
         """Return the index of a client's tenant; clients that name no listed one belong to the common tenant."""
-        index, listed = tenant_of(headers.get(self.node.header_bytes), self.node.listed)
+        index, listed = tenant_of(headers.get(self.node.lowercase_header), self.node.tenant_indices)
         if not listed:
             self.driver.counters.count("tenants_unlisted")
         return index
--- a/sprucegate/front/connection_reader.py
+++ b/sprucegate/front/connection_reader.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from sprucegate.front.client_connections import ClientConnection, ConnectionState
-from sprucegate.upstream.sockets import receive_into, set_no_delay, waited
+from sprucegate.upstream.sockets import receive_into, set_no_delay, time_since_last_data
 
 REQUESTS_PER_ITERATION = 3  # requests dispatched in one iteration of the event loop
 CONNECTIONS_PER_PASS = 16  # connections accepted, or examined for eviction, in one pass
@@ -184,7 +184,7 @@
         now = self.driver.clock()
         was_started = client.reader.request_started
         requests = client.reader.feed(data)
-        arrived = now - waited(client.sock) if requests else now
+        arrived = now - time_since_last_data(client.sock) if requests else now
         if (
             client.reader.request_started
             and not was_started
--- a/sprucegate/front/driver.py
+++ b/sprucegate/front/driver.py
@@ -199,7 +199,7 @@
         names = [
             server.name if server is not None else f"{at:x}"
             for at in (action.cache, action.fill_source)
-            for server in [self.servers.places.get(at)]
+            for server in [self.servers.by_id.get(at)]
         ]
         return (
             f"to {names[0]}"
@@ -221,7 +221,7 @@
 
     def on_response(self, attempt, response):
         """Pass the first response that a server returns on to the client unchanged."""
-        if response.still_good:
+        if response.not_modified:
             self.response_writer.respond(attempt.request, 304, headers=etag_header(response.tag))
         else:
             self.response_writer.respond(attempt.request, 200, response.body, etag_header(response.tag))
@@ -240,9 +240,9 @@
         """Return the earliest time at which a response was generated, on this front's clock; None where unknown."""
         if response.age is not None:
             return attempt.decided_at - response.age
-        self.platform_time.copy_stamped(response.made, attempt.cache, now)
+        self.platform_time.add_copy_timestamp(response.generated_at, attempt.cache, now)
         self.router.platform_clock_offset = self.platform_time.least_offset
-        age = self.platform_time.copy_age(response.made, now) if response.made else None
+        age = self.platform_time.copy_age(response.generated_at, now) if response.generated_at else None
         return None if age is None else now - age
 
     def client_left(self, request):
@@ -284,7 +284,7 @@
         self.record_platform_stamps(event, now)
         if isinstance(event, EndpointList):
             if self.membership is not None:
-                event = self.membership.merged(event, now)
+                event = self.membership.merge_bus_list(event, now)
             if event is not None:
                 self.apply(event)
             if self.fleet is not None:
@@ -305,14 +305,14 @@
         """Record the platform's time stamps in a discovery event: ages are computed relative to the newest one."""
         if isinstance(event, EndpointList):
             for entry in event.entries:
-                self.platform_time.stamped(entry.started, now)
+                self.platform_time.add_timestamp(entry.started, now)
         elif event is not None:
-            self.platform_time.stamped(event.at, now)
+            self.platform_time.add_timestamp(event.at, now)
         self.router.platform_clock_offset = self.platform_time.least_offset
 
     def apply(self, hosts):
         """Apply an effective endpoint list: that of the bus alone, or the one merged from all sources."""
-        self.servers.listed(hosts)
+        self.servers.apply_endpoints(hosts)
         self.router.update_endpoints(hosts.entries, hosts.whole, self.clock())
         serving = {entry.id for entry in hosts.entries if entry.state is EndpointState.SERVING}
         named = hosts.names.keys()
--- a/tests/front/test_crossings.py
+++ b/tests/front/test_crossings.py
@@ -486,7 +486,7 @@
     first = made.send(1, "a" * 16)
     sock, _ = await loop.sock_accept(listener)
     assert await answer_attempt(made, sock, first) is AttemptOutcome.RETURNED
-    (held,) = made.servers.places[1].held
+    (held,) = made.servers.by_id[1].transport_state
     return loop, listener, made, sock, held
 
 
@@ -545,11 +545,11 @@
         first = made.send(1, "a" * 16)
         sock, _ = await loop.sock_accept(listener)
         assert b"a" * 16 in await loop.sock_recv(sock, 4096)
-        (held,) = made.servers.places[1].held
+        (held,) = made.servers.by_id[1].transport_state
         await loop.sock_sendall(
             sock, served(b"f" * 16, {})
         )  # bytes arrived, so a time-out of an attempt does not close it
-        while held.answered < first.decided_at:
+        while held.last_answer < first.decided_at:
             await asyncio.sleep(0)
         made.list({1: slow_server.address})  # the cache has a new address, which does not answer the connect
         assert made.servers.withdraw(
--- a/tests/front/test_front_codecs.py
+++ b/tests/front/test_front_codecs.py
@@ -84,7 +84,7 @@
     reader = codec.AnswerReader()
     first, second = reader.feed(ANSWERS[:cut]) + reader.feed(ANSWERS[cut:])
     assert (first.id, first.body, first.fields["etag"]) == (b"aa", b"xxxxx", "t1")
-    assert codec.meaning(second, "") == (
+    assert codec.interpret(second, "") == (
         AttemptOutcome.MISS,
         CacheStatus.FILL_SOURCE_MISS,
         1_500_000,
@@ -124,20 +124,20 @@
 )
 def test_an_answer_with_invalid_fields_is_malformed(word, fields):
     with pytest.raises(codec.MalformedAnswerError):
-        codec.meaning(codec.Answer(b"aa", word, fields, b""), "")
+        codec.interpret(codec.Answer(b"aa", word, fields, b""), "")
 
 
 def test_a_not_modified_answer_must_have_the_etag_that_was_sent():
     answer = codec.Answer(b"aa", b"still_good", {"etag": "t1"}, b"")
-    assert codec.meaning(answer, "t1")[0] is AttemptOutcome.RETURNED
+    assert codec.interpret(answer, "t1")[0] is AttemptOutcome.RETURNED
     with pytest.raises(codec.MalformedAnswerError):
-        codec.meaning(answer, "t2")
+        codec.interpret(answer, "t2")
 
 
 @pytest.mark.parametrize("oldest, expected", [(0, None), (999_999, "1"), (1_999_999, "1"), (2_000_000, "2")])
 def test_a_maximum_age_is_rounded_down_but_never_to_zero_which_means_no_limit(oldest, expected):
     forward = SendAttempt(0, 1, 1, 2, oldest, 1_500_999_999, False, True, False, True)
-    line = codec.serve(b"aa", "media", "7f", 3, forward, None, "", b"")
+    line = codec.encode_request(b"aa", "media", "7f", 3, forward, None, "", b"")
     fields = dict(pair.split("=") for pair in line.split()[2].decode().split(","))
     assert fields.get("maxage") == expected and fields["max"] == "1500" and fields["flags"] == "h+r"
 
