--- a/sprucegate/routing/attempt_results.py
+++ b/sprucegate/routing/attempt_results.py
@@ -28,6 +28,7 @@
 _REACHABILITY_UNKNOWN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT)
 _NOT_CACHE_FAILURES = (AttemptOutcome.FULL, AttemptOutcome.NOT_SENT)
 _FILL_RESULT_UNKNOWN = (AttemptOutcome.RESET, AttemptOutcome.NOT_SENT)
+# Outcomes for which RequestState.missed is set: plain misses, and attempts that were never sent.
 _MISSES = (AttemptOutcome.MISS, AttemptOutcome.NOT_SENT)
 
 
--- a/sprucegate/routing/cache_selection.py
+++ b/sprucegate/routing/cache_selection.py
@@ -23,7 +23,7 @@
 WIDTH_MAX = 3
 HOT_SHARE = 0.25  # of the average work per cache
 TIME_LEFT_RATIO = 0.75  # of the time left; the rest is for requests that will share the link later
-FALLBACK_CACHES_MAX = 128
+FALLBACK_CACHES_MAX = 128  # further caches searched for one that is expected to answer in time
 
 
 def object_key(request: Request) -> bytes:
--- a/sprucegate/routing/digest.py
+++ b/sprucegate/routing/digest.py
@@ -25,7 +25,7 @@
 RECHECK_MARGIN_NS = SECOND
 ROUND_TRIP_NS = 2 * MILLISECOND  # upper bound inside a location
 OBJECTS_MAX = 4096
-SENDING_TIMES_PER_OBJECT = 8
+SENDING_TIMES_PER_OBJECT = 8  # latest ones kept, of all parts of the object
 
 
 class Belief(NamedTuple):
--- a/sprucegate/routing/fill_source.py
+++ b/sprucegate/routing/fill_source.py
@@ -20,12 +20,12 @@
 if TYPE_CHECKING:
     from sprucegate.routing.request import RequestState
 
-FILLS_KEPT = 256
-FILL_AGE_MAX_NS = 3 * SECOND
-ON_TIME_RATIOS_AGE_MAX_NS = 20 * MILLISECOND
+FILLS_KEPT = 256  # latest fills of all sources, for the on-time ratios
+FILL_AGE_MAX_NS = 3 * SECOND  # since the start of a fill: older ones don't count in the on-time ratios
+ON_TIME_RATIOS_AGE_MAX_NS = 20 * MILLISECOND  # then the fills are counted again
 PRIOR_FILLS = 4  # weight of the overall ratio, in fills, when it is combined with a source's own
 MIN_ON_TIME_RATIO = 0.7
-PARENTS_COMPARED = 32
+PARENTS_COMPARED = 32  # first usable parents in rendezvous order; further ones are not considered
 THROTTLE_RATIO = 1.3  # the share of fills allowed is this multiple of the origin's on-time ratio
 FILL_SHARE_MIN = 0.15  # even a late fill leaves a copy for later requests
 
@@ -49,7 +49,7 @@
 
     def disregard(self) -> None:
         """Exclude the fill from the statistics of its source."""
-        self.due_at = -LONG_AGO
+        self.due_at = -LONG_AGO  # later than all times: it never becomes late
         self.on_time = None
 
 
--- a/sprucegate/routing/health_record.py
+++ b/sprucegate/routing/health_record.py
@@ -13,10 +13,12 @@
 from sprucegate.routing.sentinels import LONG_AGO
 from sprucegate.units import MILLISECOND, SECOND
 
-SAMPLES_MAX = 16
+SAMPLES_MAX = 16  # latest slowness samples kept
 SAMPLE_AGE_MAX_NS = 10 * SECOND
 SAMPLES_MIN = 3  # fewer samples give no estimate
-RESULTS_MAX = 6  # few: each router sends a server few requests, and a hanging one fails only at time-outs
+# Latest results kept for the failure ratio: few, as each router sends a server few requests, and those to a
+# hanging server fail only when they time out.
+RESULTS_MAX = 6
 RESULT_SPACING_NS = 2 * MILLISECOND  # upper bound of a round trip inside a location
 SLOWNESS_RATIO_MAX = 3.0
 FAILURE_RATIO_MAX = 0.5
@@ -25,7 +27,7 @@
 CONGESTED_SLOWNESS = 1.3  # lower samples are within the noise of measurement
 CONGESTION_TRANSFERS_MIN = 3  # with fewer, only a slowness above SLOWNESS_RATIO_MAX indicates congestion
 LINK_CAPACITY_QUANTILE = 0.25  # a low quantile keeps the queue at the link short
-ESTIMATE_AGE_MAX_NS = 20 * MILLISECOND
+ESTIMATE_AGE_MAX_NS = 20 * MILLISECOND  # then the link capacity is estimated again
 
 
 class HealthRecord:
@@ -37,6 +39,7 @@
     :ivar ejected_until: end of the ejection, 0 for none.
     :ivar on_probation: whether no attempt has succeeded since the last ejection.
     :ivar link_capacity: (time of the estimate, transfers that the link carries without slowing down).
+        With too few samples the number is -LONG_AGO, which is larger than any number of transfers.
     """
 
     __slots__ = (
@@ -75,7 +78,7 @@
         return median(fresh) if len(fresh) >= SAMPLES_MIN else 0
 
     def expected_slowness(self, concurrent_transfers: int, now: int) -> float:
-        """Slowness to expect if `concurrent_transfers` transfers share the link, at least 1.
+        """Slowness to expect with `concurrent_transfers` on the link, at least 1.
 
         A full link is shared evenly, so that transfers / slowness of a sample is the number of transfers that
         it carries without slowing down.
@@ -93,7 +96,7 @@
             if len(capacities) >= SAMPLES_MIN:
                 self.link_capacity = now, capacities[int(LINK_CAPACITY_QUANTILE * (len(capacities) - 1))]
             else:
-                self.link_capacity = now, -LONG_AGO
+                self.link_capacity = now, -LONG_AGO  # no congestion is expected
         return max(1.0, concurrent_transfers / self.link_capacity[1])
 
     def failure_ratio(self, now: int) -> float:
--- a/sprucegate/routing/inbound_link.py
+++ b/sprucegate/routing/inbound_link.py
@@ -14,11 +14,11 @@
 from sprucegate.units import SECOND
 
 UTILIZATION_REPORT_AGE_MAX_NS = SECOND
-RECENT_MISSES_MAX = 64
-LINK_SHARE = 0.3  # usable share of an even split: other routers' loads are uneven, and waits add up
+RECENT_MISSES_MAX = 64  # responses from which the share of misses is estimated
+LINK_SHARE = 0.3  # usable share of an even split: other routers' loads are uneven, and queueing delays add up
 TRIAL_SHARE = 0.08  # share of requests sent although expected late, to detect when congestion ends
-SIMILAR_SLOWNESS_RATIO = 1.5
-PEER_SLOWNESS_DEFAULT = 9
+SIMILAR_SLOWNESS_RATIO = 1.5  # a source up to this many times as slow as its peers isn't the cause itself
+PEER_SLOWNESS_DEFAULT = 9  # stands in for the slowness of the parents if none of them has an estimate
 
 
 class InboundLink:
--- a/sprucegate/routing/load_estimation.py
+++ b/sprucegate/routing/load_estimation.py
@@ -10,8 +10,8 @@
 from sprucegate.units import MILLISECOND, SECOND
 
 SENDING_TIMES_PER_SERVICE = 64
-COMPLETIONS_MAX = 256
-RATE_AGE_MAX_NS = 20 * MILLISECOND
+COMPLETIONS_MAX = 256  # latest answered requests, from which the rate of completed work is computed
+RATE_AGE_MAX_NS = 20 * MILLISECOND  # then the rate is computed again
 DEFAULT_SENDING_TIME_NS = 400 * MILLISECOND
 
 
@@ -63,6 +63,7 @@
         service = request.delivery_service
         stretch = self.settings.of_service("objective_stretch", service, 0)
         extra = int(stretch * self.sending_time(request))
+        # Without an objective: -LONG_AGO as a duration, longer than any request takes.
         objective: int = self.settings.of_service("latency_objective", service, -LONG_AGO)
         return objective + extra
 
--- a/sprucegate/routing/load_shedding.py
+++ b/sprucegate/routing/load_shedding.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from sprucegate.routing.request import RequestState
 
-COMPACTION_MIN = 128
+COMPACTION_MIN = 128  # with fewer timers, those of finished requests are not removed ahead of time
 
 Timer = tuple[int, int, "RequestState | None"]
 
--- a/sprucegate/routing/outlier_detection.py
+++ b/sprucegate/routing/outlier_detection.py
@@ -10,7 +10,7 @@
 from sprucegate.routing.server import Server
 from sprucegate.routing.server_registry import ServerRegistry
 
-RECENT_SERVERS_MAX = 256
+RECENT_SERVERS_MAX = 256  # of each role; further servers are compared as if they had no recent result
 
 
 class OutlierDetector:
--- a/sprucegate/routing/response_cache.py
+++ b/sprucegate/routing/response_cache.py
@@ -7,10 +7,10 @@
 from sprucegate.routing.settings import RoutingSettings
 from sprucegate.units import MILLISECOND
 
+# Largest size of the front's cache of responses, in each process; applied in `front/driver.py`.
 RESPONSE_CACHE_BYTES = 64 << 20
-QUEUE_TIMES_SENDING_TIME_MAX = (
-    5 * MILLISECOND * 100 * MILLISECOND
-)  # outgoing link queue (ns) times sending time (ns)
+# Queueing delay at the outgoing link times sending time of the response, in ns squared.
+QUEUE_TIMES_SENDING_TIME_MAX = 5 * MILLISECOND * 100 * MILLISECOND
 
 
 class ResponseCachePolicy:
--- a/sprucegate/routing/retry.py
+++ b/sprucegate/routing/retry.py
@@ -11,7 +11,7 @@
 
 ATTEMPTS_KEPT = 100
 RETRY_BUDGET_RATIO = 0.2  # share of the last attempts that may be retries
-ATTEMPTS_MIN = 10  # the budget is that of at least so many attempts
+ATTEMPTS_MIN = 10  # after fewer attempts, as many retries are allowed as after this many
 
 
 class RetryPolicy:
--- a/sprucegate/routing/router.py
+++ b/sprucegate/routing/router.py
@@ -27,11 +27,12 @@
 from sprucegate.routing.slow_start import SlowStart
 from sprucegate.units import MILLISECOND, SECOND
 
-# Limits that the line transport imports.
+# The first two are used by the line transport (`upstream/lines/transport.py`).
 CONNECTIONS_PER_CACHE = 4  # each one is read separately, which costs CPU under a high request rate
 STALL_TIMEOUT_NS = 150 * MILLISECOND  # a response without data for so long is taken to be stalled for good
 ENDPOINT_RETRY_NS = SECOND  # gives an overloaded discovery service time to recover
 TIMEOUT_MIN_NS = MILLISECOND
+# Ranks that attempts are sent with; that of writes is given to all requests that run at the origin.
 RANK_OF_WRITES, RANK_OF_FIRST_REQUESTS, RANK_OF_REPEATED_REQUESTS = range(3)
 
 
--- a/sprucegate/routing/server.py
+++ b/sprucegate/routing/server.py
@@ -8,8 +8,8 @@
 
 UNREACHABLE_TIME_NS = SECOND
 REPORT_AGE_MAX_NS = SECOND
-CONGESTION_REPORT_AGE_MAX_NS = 2 * SECOND
-SLOWNESS_PER_REPORTED_REQUEST = 0.6  # per reported request in flight and transfer that the link bears
+CONGESTION_REPORT_AGE_MAX_NS = 2 * SECOND  # an older load report doesn't count in the expected slowness
+SLOWNESS_PER_REPORTED_REQUEST = 0.6  # per reported request in flight, at a server of weight 1
 
 
 class Server:
--- a/sprucegate/routing/server_registry.py
+++ b/sprucegate/routing/server_registry.py
@@ -11,7 +11,7 @@
 from sprucegate.routing.settings import RoutingSettings
 
 RANKED_FIRST = 8  # servers ranked at first; most requests need no more
-RANKING_GROWTH = 4
+RANKING_GROWTH = 4  # if more servers are needed, this many times as many are ranked
 CONNECTIONS_AT_START_RATIO = 0.75  # the rest is left for connections that requests open
 
 
--- a/sprucegate/routing/settings.py
+++ b/sprucegate/routing/settings.py
@@ -24,29 +24,31 @@
     :ivar origin_kind: endpoint kind of the origin, -1 if there is none.
     :ivar siblings: which siblings may fill a miss: "location", "any" or "none".
     :ivar direct: whether a request may bypass the caches.
-    :ivar joins: whether caches collapse concurrent fills of one object.
+    :ivar joins: whether caches collapse concurrent requests for a missing object into one fill.
     :ivar cancel: whether an attempt may be cancelled.
     :ivar max_forwards: maximum attempts for one request.
     :ivar retry_after: whether a rejection may carry a retry delay.
     :ivar max_retry_after: longest retry delay (ns).
     :ivar discovery: "push", or "ask" if the router has to subscribe to the endpoint list.
-    :ivar tells: which cache statuses caches report: "all", "hit" or "none".
+    :ivar tells: which cache statuses caches report in their responses: "all", "hit" or "none". With "none",
+        statuses are inferred from the speed of responses.
     :ivar tick: granularity of times on the wire (ns).
-    :ivar purge_done: time within which all caches apply an invalidation (ns).
+    :ivar purge_done: time after a purge by which all caches have applied it (ns).
     :ivar client_kb_per_s: rate at which responses are sent to clients, 0 if unknown.
     :ivar link_in_kb_per_s: rate of each location's link from the parents.
     :ivar fronts_by_location: number of routers at each location.
     :ivar cold_share: share of its full rate that a cache sustains right after its start.
     :ivar warm_time: time after its start from which a cache sustains its full rate (ns).
-    :ivar fall_time: window over which the load of a cold cache is measured for an overload (ns).
-    :ivar fall_multiple: multiple of the sustainable rate at which a cold cache fails.
+    :ivar fall_time: length of the window in which a cold cache or parent fails if it gets too much work (ns).
+    :ivar fall_multiple: multiple of the work that it sustains in one such window at which a cold cache fails.
     :ivar parent_cold_share: `cold_share` of parents.
     :ivar parent_warm_time: `warm_time` of parents (ns).
     :ivar parent_fall_multiple: `fall_multiple` of parents.
     :ivar latency_objective: time within which a request is to be answered (ns).
     :ivar objective_stretch: extension of the latency objective, as a multiple of the sending time.
     :ivar revenue: value of a request.
-    :ivar effect: "idempotent", "tokened" or "non-idempotent".
+    :ivar effect: "idempotent", "tokened" (a repeat is recognised by its idempotency key) or
+        "non-idempotent". Only "idempotent" requests are repeated if they may have been executed.
     :ivar runs_at_origin: whether requests are executed at the origin.
     :ivar fresh_time: freshness lifetime (ns).
     :ivar grace_time: how long past its freshness lifetime a copy may still be served (ns).
--- a/sprucegate/routing/slow_start.py
+++ b/sprucegate/routing/slow_start.py
@@ -20,8 +20,9 @@
 from sprucegate.routing.settings import RoutingSettings
 
 BUDGET_RATIO_MAX = 1.4  # of its share of the work that warm servers complete
-OVERLOAD_MARGIN_RATIO = 0.7  # of the work at which it fails; the rest is for what this router can't see
-BURST_RATIO = 0.9  # of the work at which it fails, in any one window, including saved-up tokens
+# Both are shares of the work in one window of `fall_time` at which the server fails (`overload`).
+OVERLOAD_MARGIN_RATIO = 0.7  # limit of the tokens earned; the rest is for what this router can't see
+BURST_RATIO = 0.9  # limit of the tokens earned together with those saved up before
 STATUSES_KEPT = 64
 PRIOR_FILLS = 8  # fills assumed at first when the share of fills is estimated
 
