--- a/sprucegate/fleet/replica/facts.py
+++ b/sprucegate/fleet/replica/facts.py
@@ -23,7 +23,7 @@
 from sprucegate.fleet.replica.version_vector import VersionVector
 
 BUCKETS = 256  # ranges of keys that are compared by digest
-RECORDS_MAX = 250_000  # a snapshot of this many records stays within its bound in bytes
+RECORDS_MAX = 250_000  # a snapshot of this many stays below SNAPSHOT_BYTES_MAX (storage/snapshots.py)
 
 
 class SourceState(IntEnum):
@@ -52,9 +52,8 @@
 
     NEW = auto()  # it holds from here on
     OLD = auto()  # seen before, or overridden by the record held
-    OTHER = (
-        auto()
-    )  # other content under a version that was seen: two processes of one identity, or a restored disk
+    # Other content under a version that was seen: two processes of one identity, or a restored disk.
+    OTHER = auto()
     FULL = auto()  # no room; what is held stays
 
 
--- a/sprucegate/fleet/replica/replica.py
+++ b/sprucegate/fleet/replica/replica.py
@@ -28,12 +28,12 @@
 
 MS, S = 1_000_000, 1_000_000_000
 FAN_OUT = 4  # neighbours that a replica chooses; as many choose it, on average
-DIGEST_PERIOD = 250 * MS  # a digest to each neighbour
+DIGEST_PERIOD = 250 * MS  # between digests to each neighbour; also from one repair to the next request
 SEEN_REPORT_INTERVAL_MIN = 500 * MS  # to one peer: a report's size grows with that of the fleet
 SEEN_REPORT_PERIOD = 5 * S  # to one random peer, so that each replica learns which records may be removed
 NEIGHBOURS_PERIOD = 30 * S  # then others are chosen: a choice that happens to split the fleet must not last
-INCOMING_NEIGHBOUR_TIMEOUT = 2 * S
-RECORDS_PER_MESSAGE = 200
+INCOMING_NEIGHBOUR_TIMEOUT = 2 * S  # without a digest from it: the peer no longer counts as a neighbour
+RECORDS_PER_MESSAGE = 200  # at most, in a piece of a transfer, a push from the send queue or a merged repair
 RECORD_BYTES, INTERVAL_BYTES = 90, 40  # approximate size on the wire, by which transfers are rate-limited
 CATCH_UP_PEERS = 3  # asked by a returning replica for what it lacks
 SLOW_PEER_PERIOD = 10 * MS  # until a peer that reads nothing is looked at again
@@ -42,9 +42,10 @@
 CATCH_UP_PERIOD = 50 * MS  # between two checks of the progress of catching up
 CATCH_UP_DELAY = 100 * MS  # from the first peer met until some are asked
 CATCH_UP_STALL = 500 * MS  # without progress: other peers are asked
-EXPIRY_PERIOD = 2 * S
+EXPIRY_PERIOD = 2 * S  # between two searches for expired records
+# With the oldest beyond these, what it had seen is forgotten, and the states that it owns are no longer lifted for it.
 FORMER_PEERS_MAX = 1000
-RANGE_DIGESTS_INTERVAL_MIN = 500 * MS
+RANGE_DIGESTS_INTERVAL_MIN = 500 * MS  # to one peer, between two messages with the digests of all ranges
 COMPARED_KEYS_MAX = 1500  # records compared by key in one message: one turn of the event loop on either side
 INVALIDATION, SERVER_STATE, HELD_LIST = "purge", "word", "held"
 
@@ -390,7 +391,7 @@
         return []
 
     def on_peer_changed(self, name, reachable, now):
-        """A peer became reachable or unreachable; one that is declared dead is not waited for before removals."""
+        """A peer became reachable or unreachable. Records are removed without waiting for unreachable peers."""
         if reachable and name not in self.peers and name != self.name:
             self.peers[name] = self.former_peers.pop(name, None) or VersionVector()
             self._choose_neighbours(now)
@@ -438,7 +439,10 @@
         return actions + self._start_write() + self._end_catch_up_if_complete(now)
 
     def on_write_failed(self, number, fault, now):
-        """A write failed: records only make peers more careful, so they are still pushed, but not reported as seen."""
+        """A write failed. Its own records are still pushed, but not reported as seen.
+
+        Losing such a record here does no harm: a purge or a drain only makes peers use a copy or a server less.
+        """
         released = self.writing[2] if self.writing else []
         self.writing = None
         was_writable = self.is_disk_writable
@@ -495,7 +499,8 @@
         self.unsaved[0].append(record)
         self._schedule_expiry(record, now)
         for transfer in self.outgoing_transfers.values():
-            # Otherwise the end could claim a version whose record this one replaced, and the peer had neither.
+            # The transfer's claims may include a version whose record this one replaces. Without this record the peer
+            # would count that version as seen, but hold neither of the two.
             transfer.intervals.append((*record.version[:2], record.version[2], record.version[2] + 1))
 
     def _start_write(self):
@@ -795,7 +800,10 @@
     # Removal.
 
     def _on_timer_expiry(self, now):
-        """Remove expired records that all reachable peers have seen; one declared dead learns it by their versions."""
+        """Remove expired records that all reachable peers have seen.
+
+        An unreachable peer removes a server's state later, as others have seen but not kept it (`_on_range_keys`).
+        """
         self.timers["expiry"] = now + EXPIRY_PERIOD
         actions = []
         while self.expiry_queue and self.expiry_queue[0][0] <= now:
@@ -882,7 +890,7 @@
         ]
 
     def _check_catch_up(self, now):
-        # A timer of its own: by a deadline that has passed while it waits for more, it would be due without end.
+        # Not `catch_up_deadline`: catching up may go on after it, and a deadline in the past would be due all the time.
         self.catch_up_check_at = now + CATCH_UP_PERIOD
         if actions := self._end_catch_up_if_complete(now):
             return actions
--- a/sprucegate/fleet/rollout/commands.py
+++ b/sprucegate/fleet/rollout/commands.py
@@ -8,7 +8,7 @@
 from sprucegate.fleet.rollout.gates import METRICS
 
 TEXT_LENGTH_MAX = 200  # characters of a name or a reason
-BOXES_MAX = 5000
+BOXES_MAX = 5000  # servers in one "boxes" command
 ARGUMENT_TYPES = {
     "ask": tuple[str, str, str, str],
     "withdraw": tuple[str],
@@ -44,7 +44,7 @@
     "started",
 )
 REPORT_TYPE = tuple[list[tuple[str, int, int, int, int, int, int]], list[str], dict[str, str]]
-# A report has a column for each metric after the count of GETs, with starts in the place of crashes.
+# A row of a report: box, GETs, errors, sheds, late, misses, starts. It has starts where METRICS has crashes.
 assert len(METRICS) == 5
 
 
--- a/sprucegate/fleet/rollout/gates.py
+++ b/sprucegate/fleet/rollout/gates.py
@@ -2,15 +2,18 @@
 
 The two groups' rates are compared by Newcombe's confidence interval for the difference of two proportions (Statistics
 in Medicine 17, 1998, method 10, from the Wilson interval of each). A gate is evaluated repeatedly while a wave bakes,
-so each evaluation gets an equal part of the risk (Bonferroni). scipy is not used: it has the Wilson interval but not
-Newcombe's difference, and every front that may lead would load it. The quantile is the standard library's.
+so each evaluation gets an equal part of the risk (Bonferroni). scipy is not used, as it lacks Newcombe's difference
+and every front that may lead would have to load it.
 """
 
 from enum import IntEnum
 from statistics import NormalDist
 from typing import NamedTuple
 
-EVALUATIONS_MAX = 40  # of one wave
+# Evaluations of one wave by which the risk and the baking time are divided. Evaluation goes on while the gate is
+# inconclusive, so there may be more.
+EVALUATIONS_MAX = 40
+# Fronts report starts and not crashes: the leader passes 0 crashes, and the most starts of a server as `starts`.
 METRICS = ("errors", "sheds", "late", "misses", "crashes")
 
 
@@ -25,7 +28,8 @@
 class GateLimits(NamedTuple):
     """Limits of a gate.
 
-    `increase_max`: how much higher a rate may be (thousandths), for each of METRICS; `risk`: of a false failure.
+    `increase_max`: how much higher a rate may be (thousandths): errors, sheds, late, misses; the last one, of crashes,
+    is not read, as any crash fails the gate. `risk`: of a false failure.
     """
 
     increase_max: tuple = (5, 20, 50, 100, 0)
--- a/sprucegate/fleet/rollout/leader.py
+++ b/sprucegate/fleet/rollout/leader.py
@@ -15,8 +15,8 @@
 MS, S = 1_000_000, 1_000_000_000
 FRONT_LEASE = 6 * S  # from a front's last request until it no longer counts
 FRONT_LEASE_MARGIN = 1500 * MS  # a front's own lease ends earlier: an election, clock drift, a slow answer
-PERMIT_LEASE = 30 * S
-RETURN_TIMEOUT = 300 * S  # from the stop of a released box to its return
+PERMIT_LEASE = 30 * S  # without a renewal or a step: the permit is marked overdue, and its release halted
+RETURN_TIMEOUT = 300 * S  # from when this leader first saw a box out until its release is halted
 REPORT_AGE_MAX = 3 * S  # an older report says nothing of what can be reached now
 RETRY_INTERVAL = S  # after which a command that has not been committed is proposed again
 
@@ -188,8 +188,8 @@
                 # Starts are not added up over fronts, as each front counts all starts of a box.
                 seen = self.starts.setdefault(box, {})
                 seen[name] = seen.get(name, 0) + max(0, row[5] - old[5])
-                # The maximum over the fronts. It never falls, so it is updated and not searched for at each report:
-                # with 200 fronts and boxes the search took most of a leader's time.
+                # The maximum over the fronts never falls, so it is updated: a search over all fronts at each report
+                # takes most of the leader's time with 200 fronts and boxes.
                 total[5] = max(total[5], seen[name])
             self.reports[name] = contacts[name].incarnation, report, rows
 
@@ -213,7 +213,7 @@
             ):
                 whole_since = now
                 self.waves[name] = at, base, returned, whole_since
-            # No more evaluations than the gate's risk is divided by.
+            # EVALUATIONS_MAX evaluations in the time that a wave bakes; more while the gate is inconclusive.
             if now - self.evaluated_at.get(name, 0) < max(S, release.plan.bake // gates.EVALUATIONS_MAX):
                 continue
             self.evaluated_at[name] = now
--- a/sprucegate/fleet/rollout/permits.py
+++ b/sprucegate/fleet/rollout/permits.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 ENDED_MAX = 1000  # ended permits, and names of fronts that left, that are kept
-OPEN_PERMITS_MAX = 2000
+OPEN_PERMITS_MAX = 2000  # asked for or granted and not ended; a further request is refused
 # Scopes of a budget, by the words of the operator's file and of stored budgets.
 FLEET, LOCATION, KIND, GROUP = "fleet", "location", "kind", "group"
 SCOPES = (FLEET, LOCATION, KIND, GROUP)
@@ -233,7 +233,14 @@
     def blocked_by(self, permit, out=None):
         """Return why the server may not go out now, as (rule, of, out, at most), or None where it may.
 
-        The rules "last" and "gone" concern this server alone; any other also makes later requests wait behind this one.
+        `of`: what the rule applies to; `out` and `at most`: how many are out, and may be. The rules:
+        "gone": the server is no longer listed; `out` and `at most` are 0.
+        "last": no other server of its role, kind and location is in service; both are the number of the others.
+        "warm": caches in service lack the spare capacity for what this one and those out can't take while cold; both
+        are the number of those out.
+        Otherwise scope and role of a budget, which limits the count or the weight; `of` is the scope's value.
+        `blocked` adds "behind": an earlier request, whose id is `of`, waits for a budget or for "warm".
+        "last" and "gone" concern this server alone; any other rule also makes later requests wait behind this one.
         """
         box = self.boxes.get(permit.box)
         if box is None:
@@ -363,7 +370,7 @@
     def advance_all(self):
         """Advance permits without a report of their own, as when a front that was waited for is fenced.
 
-        Without any live front nothing advances: that nobody is there to object proves nothing.
+        Without a live front nothing but a front's own permit advances: without reports nothing is known to be drained.
         """
         for permit in list(self.open_by_box.values()):
             self._advance(permit)
@@ -378,7 +385,8 @@
             and self._has_failed(permit.box)
             and (why := self.blocked_by(permit, self._out_by_permit(permit)))
         ):
-            # The server may have recovered without this log knowing it yet. The permit stands, and waits for its turn.
+            # The server may have recovered without this log knowing it yet. The permit stays drained, and is checked
+            # again at the next "out".
             return f"held back: {why[0]}"
         permit.step, permit.holder = PermitStep.OUT, holder
         return "out"
@@ -408,7 +416,7 @@
         return "cold"
 
     def report_warm(self, id, start, front, incarnation):
-        """A front sees this start answer at its full share of the load; the holder's word alone is not enough."""
+        """A front sees this start answer at its full share of the load. The holder can't report that in its place."""
         permit = self.permits.get(id)
         if (
             permit is None
--- a/sprucegate/fleet/rollout/releases.py
+++ b/sprucegate/fleet/rollout/releases.py
@@ -17,9 +17,9 @@
 
     RUNNING = 0
     HALTED = 1
-    BACK = 2  # rolled back in waves under the same budgets
+    BACK = 2  # being rolled back: all boxes at once, as far as the budgets allow
     DONE = 3
-    RETURNED = 4
+    RETURNED = 4  # rolled back
 
 
 # The name of a phase in reasons and in operators' answers.
@@ -182,7 +182,7 @@
         release.why = ""
         release.gate_passed = False
         self._record(name, "resumed", by)
-        release.run += 1  # withdrawn permits are requested again under new ids
+        release.run += 1  # gives new ids to the permits that the halt withdrew, as an id can't be used again
         return "resumed"
 
     def roll_back(self, name, by):
@@ -193,7 +193,7 @@
         if release.phase is ReleasePhase.BACK:
             return "goes back"
         self._withdraw_permits(release)
-        # A box that is out for this release has the new version, or may have: it is rolled back once it has returned.
+        # A box that is out for this release may have the new version already: it is rolled back once it has returned.
         out = [
             p.box
             for p in self.permits.open_by_box.values()
@@ -252,7 +252,7 @@
                 for box in wave:
                     if box not in release.done:
                         self._request_permit(release, box)
-                # A box that was given up is not waited for.
+                # A wave ends without the boxes that are no longer in `permits.boxes`, such as those given up.
                 if release.gate_passed and all(
                     box in release.done or box not in self.permits.boxes for box in wave
                 ):
