--- a/sprucegate/discovery/service.py
+++ b/sprucegate/discovery/service.py
@@ -102,6 +102,7 @@
         if isinstance(loaded, list):
             await self._offer(loaded)
         elif self.snapshot_entries is not None:
+            # `generation`: number of the merged list.
             self.log("servers_from_snapshot", generation=self.view.generation, entries=self.snapshot_entries)
         if not self.batching:
             self._apply_queue()
@@ -237,6 +238,7 @@
         now = time.monotonic()
         since, logged = self.incomplete or (now, False)
         if not logged and now - since > INCOMPLETE_LOG_DELAY_S:
+            # `generation`: number of the merged list, which stays in force.
             self.log("servers_unsettled", error=why, generation=self.view.generation)
             logged = True
         self.incomplete = since, logged
--- a/sprucegate/fleet/consensus/voter_driver.py
+++ b/sprucegate/fleet/consensus/voter_driver.py
@@ -85,6 +85,7 @@
                 name, start_count, known_starts, stored = await self._on_disk_thread(self._open_storage)
                 break
             except (OSError, ConsensusStorageError, ValueError) as fault:
+                # Not final: retried.
                 self.log("keeper_off", error=f"{type(fault).__name__}: {fault}")
                 await asyncio.sleep(DISK_RETRY_SECONDS)
         else:
@@ -117,6 +118,7 @@
         if stored.snapshot is not None and not state_machine.restore(
             msgspec.msgpack.decode(stored.snapshot[3])
         ):
+            # Final: recovery is not tried again, and this voter takes no part.
             self.log("keeper_off", error="the stored snapshot's state has an unknown format")
             self.raft_node = None
             return
@@ -130,6 +132,7 @@
             last=self.raft_node.log.last_index(),
         )
         if self.durability.may_vote:
+            # "itself alone": no other voter is configured.
             self.log("keeper_fit", raft_node=name, by="an operator" if self.trusted else "itself alone")
         if self.only_one_left:
             self.only_one_left = False
@@ -163,6 +166,7 @@
             ) is not None:
                 index, actions = self.raft_node.change_membership(*step, now)
                 if index:
+                    # Proposed, not yet committed.
                     self.log("keepers_change", voters=list(step[0]), learners=list(step[1]))
                 self.perform(actions)
 
@@ -283,6 +287,7 @@
                 await self._on_disk_thread(self.storage.begin_new_identity, name)
                 break
             except OSError as fault:
+                # Not final: retried.
                 self.log("keeper_off", error=f"{type(fault).__name__}: {fault}")
                 await asyncio.sleep(DISK_RETRY_SECONDS)
         self.trusted = False
--- a/sprucegate/fleet/service.py
+++ b/sprucegate/fleet/service.py
@@ -254,6 +254,7 @@
         """Perform actions of the node, in order."""
         in_force = sum(isinstance(action, RecordInForce) for action in actions)
         if in_force > LOGGED_ONE_BY_ONE_MAX:  # a transfer, which may have the whole table: one line for all
+            # "several": a count in place of a line for each record.
             self.log("fleet_told", kind="several", key=[], count=in_force)
         self.records_since_freeze += in_force
         if self.records_since_freeze > FREEZE_AFTER_RECORDS:
