--- a/tests/front/test_deadline_sent.py
+++ b/tests/front/test_deadline_sent.py
@@ -28,9 +28,17 @@
 
 def test_what_a_request_waited_before_it_could_be_read_is_off_its_time(tmp_path):
     """The front is stopped while requests arrive, on an idle connection and on one not accepted yet."""
-    front, cache_server, _ = two(tmp_path, lambda call, fields, body: None, lambda call, fields, body: None)
+    front, cache_server, origin_server = two(
+        tmp_path, lambda call, fields, body: None, lambda call, fields, body: None
+    )
     with front:
         idle = front.connect()
+        # A connection that is being established while the front is stopped times out, and its server counts as
+        # unreachable: both are accepted, and the front has run since, before it is stopped.
+        end = time.monotonic() + 10
+        while not (cache_server.connections and origin_server.connections):
+            assert time.monotonic() < end, "the front connected to no server ahead of the first request"
+            time.sleep(0.01)
         front.ask(b"GET /status/live HTTP/1.1\r\nHost: a\r\n\r\n", idle)
         stopped(front)
         begun = time.monotonic()
